--- a/src/coordination/scheduling/PredictiveScheduler.test.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.test.ts
@@ -20,7 +20,7 @@
   finished(assignment, { promptTokens: 2_004, completionTokens: 16, cachedTokens });
 
 describe("PredictiveScheduler: placement", () => {
-  it("sends a season's questions where the season is held, at every router alike", async () => {
+  it("sends prompts with the same prefix to the engine that has it cached, the same one at every router", async () => {
     const chosen = new Set<string>();
     for (let router = 0; router < 3; router += 1) {
       const { assign, createWork, clock } = createSchedulingFixture({ engines: 8 });
@@ -35,21 +35,23 @@
     expect(chosen.size).toEqual(1);
   });
 
-  it("expects nothing of an engine's cache after a crash, new weights or an answer of another start", async () => {
-    const crashes: readonly ((system: ReturnType<typeof createSchedulingFixture>, at: Assignment) => void)[] =
-      [
-        ({ report }, { engine }) => report(engine.id, { incarnation: "b" }),
-        ({ report }, { engine }) => {
-          report(engine.id, { weightsVersion: "2" });
-          report(engine.id, { weightsVersion: "1" });
-        },
-        ({ list, report, ids }, { engine }) => {
-          list(ids.filter((id) => id !== engine.id));
-          list(ids);
-          report(engine.id);
-        },
-      ];
-    for (const crash of crashes) {
+  it("expects an empty cache after a restart, a change of weights or a removal from the VM list", async () => {
+    const invalidations: readonly ((
+      system: ReturnType<typeof createSchedulingFixture>,
+      at: Assignment,
+    ) => void)[] = [
+      ({ report }, { engine }) => report(engine.id, { incarnation: "b" }),
+      ({ report }, { engine }) => {
+        report(engine.id, { weightsVersion: "2" });
+        report(engine.id, { weightsVersion: "1" });
+      },
+      ({ list, report, ids }, { engine }) => {
+        list(ids.filter((id) => id !== engine.id));
+        list(ids);
+        report(engine.id);
+      },
+    ];
+    for (const invalidate of invalidations) {
       const system = createSchedulingFixture({ engines: 1 });
       const first = await system.assign(system.createWork());
       first.markFirstToken();
@@ -57,10 +59,10 @@
       const second = await system.assign(system.createWork());
       expect(second.expectedCachedTokens).toEqual(2_000);
       system.clock.advanceTo(10);
-      crash(system, first);
+      invalidate(system, first);
       const third = await system.assign(system.createWork());
       expect(third.expectedCachedTokens).toEqual(0);
-      // The answer of before the crash founds nothing.
+      // An answer from before the crash must not count as evidence of cached levels.
       second.markFirstToken();
       second.release(answerOf(second, 2_000));
       third.release({ ...answerOf(third), ended: "failed", firstTokenAfter: undefined });
@@ -69,7 +71,7 @@
     }
   });
 
-  it("doubts an engine that answers as another start than reported", async () => {
+  it("does not rely on the cache of an engine that answers with another incarnation than reported", async () => {
     const { assign, createWork } = createSchedulingFixture({ engines: 1 });
     const first = await assign(createWork());
     first.markFirstToken();
@@ -77,7 +79,7 @@
     expect((await assign(createWork())).expectedCachedTokens).toEqual(0);
   });
 
-  it("expects nothing of what another organisation has cached", async () => {
+  it("does not count prefixes that another organisation has cached", async () => {
     const { assign, createWork } = createSchedulingFixture({ engines: 1 });
     const first = await assign(createWork({ organisation: "noto" }));
     first.markFirstToken();
@@ -85,7 +87,7 @@
     expect((await assign(createWork({ organisation: "ragusa" }))).expectedCachedTokens).toEqual(0);
   });
 
-  it("takes no engine that is excluded, leaving, suspect or on other weights", async () => {
+  it("never chooses an engine that is excluded, leaving, suspect or on other weights", async () => {
     const { assign, begin, clock, createWork, directory, report } = createSchedulingFixture({ engines: 5 });
     directory.markLeaving("engine-0");
     directory.markFailed("engine-1", 0);
@@ -101,7 +103,7 @@
     expect(codeOf(suspectOnly)).toEqual("no_engine");
   });
 
-  it("waits a moment for an engine that may report again, and no longer", async () => {
+  it("waits up to one second for a failed engine to report again", async () => {
     const { begin, clock, createWork, directory, report } = createSchedulingFixture({ engines: 1 });
     directory.markFailed("engine-0", 0);
     const early = begin(createWork());
@@ -122,112 +124,113 @@
     expect(codeOf(late)).toEqual("no_engine");
   });
 
-  it("spreads a hot season over more engines before any of them is full", async () => {
+  it("spreads a hot prefix over more engines before any of them is full", async () => {
     const { begin, createWork, clock } = createSchedulingFixture({ engines: 8, maximumRunning: 8 });
-    const asked: Begun[] = [];
+    const requests: Begun[] = [];
     for (let question = 0; question < 400; question += 1) {
-      asked.push(begin(createWork()));
+      requests.push(begin(createWork()));
       await settle();
       clock.advanceTo(clock.monotonic() + 20);
-      for (const assignment of assignmentsOf(asked)) assignment.markFirstToken();
-      const [ended] = asked.length > 20 ? assignmentsOf(asked.splice(0, 1)) : [];
+      for (const assignment of assignmentsOf(requests)) assignment.markFirstToken();
+      const [ended] = requests.length > 20 ? assignmentsOf(requests.splice(0, 1)) : [];
       ended?.release(answerOf(ended, 2_000));
-      expect(asked.filter(isWaiting).length).toEqual(0);
+      expect(requests.filter(isWaiting).length).toEqual(0);
     }
-    const chosen = new Set(assignmentsOf(asked).map(({ engine }) => engine.id));
+    const chosen = new Set(assignmentsOf(requests).map(({ engine }) => engine.id));
     expect(chosen.size).toBeGreaterThan(2);
   });
 });
 
 describe("PredictiveScheduler: admission", () => {
-  it("answers at once where nothing can be done in time, with a time to come back", async () => {
+  it("refuses at once, with Retry-After, work that cannot meet its deadline", async () => {
     const { begin, createWork, report } = createSchedulingFixture({ engines: 1 });
     report("engine-0", { running: 4, waiting: 3, pendingPromptTokens: 50_000 });
-    const hopeless = begin(createWork({ requestClass: "price-lookup" }));
-    const patient = begin(createWork({ requestClass: "reconciliation" }));
+    const urgent = begin(createWork({ requestClass: "price-lookup" }));
+    const batch = begin(createWork({ requestClass: "reconciliation" }));
     await settle();
-    expect(codeOf(hopeless)).toEqual("overloaded");
-    expect(hopeless.refusal?.failure.outcome).toEqual("not_run");
-    expect(hopeless.refusal?.failure.retryAfterSeconds).toEqual(5);
-    expect(isWaiting(patient)).toEqual(true);
+    expect(codeOf(urgent)).toEqual("overloaded");
+    expect(urgent.refusal?.failure.outcome).toEqual("not_run");
+    expect(urgent.refusal?.failure.retryAfterSeconds).toEqual(5);
+    expect(isWaiting(batch)).toEqual(true);
   });
 
-  it("refuses what waits when its deadline passes out of reach, and lets the rest in", async () => {
+  it("refuses queued work once its deadline cannot be met, and serves the rest", async () => {
     const { begin, assign, createWork, clock } = createSchedulingFixture({ engines: 1, maximumRunning: 1 });
-    const holder = await assign(createWork());
-    holder.markFirstToken();
-    const patient = begin(createWork());
+    const slotHolder = await assign(createWork());
+    slotHolder.markFirstToken();
+    const queued = begin(createWork());
     clock.advanceTo(100);
     const urgent = begin(createWork({ requestClass: "price-lookup" }));
     await settle();
     if (isWaiting(urgent)) clock.advanceTo(700);
     await settle();
     expect(codeOf(urgent)).toEqual("overloaded");
-    expect(isWaiting(patient)).toEqual(true);
-    holder.release(answerOf(holder));
+    expect(isWaiting(queued)).toEqual(true);
+    slotHolder.release(answerOf(slotHolder));
     clock.advanceTo(clock.monotonic() + 1);
     await settle();
-    expect(patient.assignment?.engine.id).toEqual("engine-0");
+    expect(queued.assignment?.engine.id).toEqual("engine-0");
   });
 
-  it("forgets what waits when its caller goes away", async () => {
+  it("removes queued work when its caller disconnects", async () => {
     const { assign, begin, createWork, clock, scheduler } = createSchedulingFixture({
       engines: 1,
       maximumRunning: 1,
     });
-    const holder = await assign(createWork());
+    const slotHolder = await assign(createWork());
     const caller = new AbortController();
     const waiting = begin(createWork(), caller.signal);
     caller.abort();
     await settle();
     expect(codeOf(waiting)).toEqual("caller_gone");
-    holder.release(answerOf(holder));
+    slotHolder.release(answerOf(slotHolder));
     clock.advanceTo(100);
     const next = await assign(createWork());
     next.release(answerOf(next));
     expect((scheduler.dump() as { readonly waiting: number }).waiting).toEqual(0);
   });
 
-  it("lets interactive work go before batch work, and loses none of either", async () => {
+  it("serves interactive work before batch work, and loses none of either", async () => {
     const { assign, begin, createWork, clock } = createSchedulingFixture({ engines: 1, maximumRunning: 1 });
-    let holder = await assign(createWork());
+    let slotHolder = await assign(createWork());
     const batch = Array.from({ length: 3 }, () => begin(createWork({ requestClass: "reconciliation" })));
     const interactive = Array.from({ length: 3 }, () => begin(createWork()));
-    for (let turn = 0; turn < 6; turn += 1) {
-      holder.markFirstToken();
-      holder.release(answerOf(holder, 2_000));
+    for (let round = 0; round < 6; round += 1) {
+      slotHolder.markFirstToken();
+      slotHolder.release(answerOf(slotHolder, 2_000));
       clock.advanceTo(clock.monotonic() + 1);
       await settle();
       const granted = [interactive, batch].map((group) => assignmentsOf(group).length);
-      expect(granted).toEqual([Math.min(3, turn + 1), Math.max(0, turn - 2)]);
-      const latest = turn < 3 ? interactive[turn] : batch[turn - 3];
-      holder = latest?.assignment ?? holder;
+      expect(granted).toEqual([Math.min(3, round + 1), Math.max(0, round - 2)]);
+      const latest = round < 3 ? interactive[round] : batch[round - 3];
+      slotHolder = latest?.assignment ?? slotHolder;
     }
   });
 
-  it("serves waiting organisations by their standing, however much one of them asks for", async () => {
+  it("serves organisations in proportion to their standing, even when one floods the queue", async () => {
     const { assign, begin, createWork, clock } = createSchedulingFixture({
       engines: 1,
       maximumRunning: 1,
       standings: { flood: 1, noto: 3 },
     });
-    let holder = await assign(createWork({ organisation: "flood" }));
+    let slotHolder = await assign(createWork({ organisation: "flood" }));
     const segments = [textOf("rules", 100), "question"];
     const flood = Array.from({ length: 20 }, () => begin(createWork({ organisation: "flood", segments })));
     const noto = Array.from({ length: 8 }, () => begin(createWork({ organisation: "noto", segments })));
-    const seen = new Set([holder]);
-    for (let turn = 0; turn < 8; turn += 1) {
-      holder.markFirstToken();
-      holder.release(answerOf(holder));
+    const assigned = new Set([slotHolder]);
+    for (let round = 0; round < 8; round += 1) {
+      slotHolder.markFirstToken();
+      slotHolder.release(answerOf(slotHolder));
       clock.advanceTo(clock.monotonic() + 1);
       await settle();
-      holder = assignmentsOf([...flood, ...noto]).find((assignment) => !seen.has(assignment)) ?? holder;
-      seen.add(holder);
+      slotHolder =
+        assignmentsOf([...flood, ...noto]).find((assignment) => !assigned.has(assignment)) ?? slotHolder;
+      assigned.add(slotHolder);
     }
     expect([flood, noto].map((group) => assignmentsOf(group).length)).toEqual([2, 6]);
   });
 
-  it("has a cold prefix computed though late, behind what is in time, and refuses it behind a queue", async () => {
+  it("runs a request that is late only for its cold prefix at low priority, and refuses it behind a queue", async () => {
     const { assign, begin, createWork, report } = createSchedulingFixture({ engines: 1 });
     const long = { requestClass: "price-lookup", segments: [textOf("rules", 8_000), "question"] };
     const late = await assign(createWork(long));
@@ -240,7 +243,7 @@
     expect(codeOf(behind)).toEqual("overloaded");
   });
 
-  it("puts whoever has computed more than its share behind the others", async () => {
+  it("lowers the priority of an organisation that is over its prefill budget", async () => {
     const { assign, createWork, clock } = createSchedulingFixture({
       engines: 8,
       maximumRunning: 64,
@@ -260,7 +263,7 @@
     expect(later.priority).toEqual(3);
   });
 
-  it("lets waiting batch work take no room from its organisation's interactive work", async () => {
+  it("does not count waiting batch work against its organisation's interactive work", async () => {
     const { assign, begin, createWork } = createSchedulingFixture({ engines: 4, concurrentRequests: 4 });
     const batch = Array.from({ length: 10 }, () => begin(createWork({ requestClass: "reconciliation" })));
     await settle();
@@ -269,7 +272,7 @@
     expect((await assign(createWork())).engine.pool).toEqual("modelli");
   });
 
-  it("keeps an organisation to its limit, and counts a request that is tried again once", async () => {
+  it("enforces an organisation's limit, and counts a retried request once", async () => {
     const { assign, begin, createWork } = createSchedulingFixture({ concurrentRequests: 2 });
     const first = await assign(createWork());
     await assign(createWork());
@@ -290,7 +293,7 @@
   { weight: 4, arbitrary: fc.record({ kind: fc.constant("ask" as const), requestClass: fc.nat(2) }) },
   {
     weight: 3,
-    arbitrary: fc.record({ kind: fc.constant("end" as const), which: fc.nat(20), whole: fc.boolean() }),
+    arbitrary: fc.record({ kind: fc.constant("end" as const), which: fc.nat(20), complete: fc.boolean() }),
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("abort" as const), which: fc.nat(40) }) },
   {
@@ -309,30 +312,30 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("fail" as const), engine: fc.nat(2) }) },
 );
 
-describe("PredictiveScheduler, whatever happens", () => {
+describe("PredictiveScheduler: random sequences of events", () => {
   it("ends every request exactly once, assigns only live engines, and refuses before the deadline", async () => {
     const classes = ["price-lookup", "line-tagging", "reconciliation"];
     const property = fc.asyncProperty(fc.array(step, { maxLength: 60, size: "max" }), async (steps) => {
       const system = createSchedulingFixture({ engines: 3, maximumRunning: 2 });
       const { clock, directory, scheduler } = system;
-      const asked: { readonly begun: Begun; readonly caller: AbortController }[] = [];
+      const requests: { readonly begun: Begun; readonly caller: AbortController }[] = [];
       const released = new Set<Assignment>();
-      const end = (assignment: Assignment, whole: boolean): void => {
-        if (whole) assignment.markFirstToken();
-        assignment.release(whole ? answerOf(assignment) : { ...answerOf(assignment), ended: "failed" });
+      const end = (assignment: Assignment, complete: boolean): void => {
+        if (complete) assignment.markFirstToken();
+        assignment.release(complete ? answerOf(assignment) : { ...answerOf(assignment), ended: "failed" });
         released.add(assignment);
       };
       const running = (): readonly Assignment[] =>
-        assignmentsOf(asked.map(({ begun }) => begun)).filter((assignment) => !released.has(assignment));
+        assignmentsOf(requests.map(({ begun }) => begun)).filter((assignment) => !released.has(assignment));
       for (const action of steps) {
         if (action.kind === "ask") {
           const caller = new AbortController();
           const work = system.createWork({ requestClass: classes[action.requestClass] ?? "" });
-          asked.push({ begun: system.begin(work, caller.signal), caller });
+          requests.push({ begun: system.begin(work, caller.signal), caller });
         } else if (action.kind === "end") {
           const assignment = running()[action.which];
-          if (assignment !== undefined) end(assignment, action.whole);
-        } else if (action.kind === "abort") asked[action.which]?.caller.abort();
+          if (assignment !== undefined) end(assignment, action.complete);
+        } else if (action.kind === "abort") requests[action.which]?.caller.abort();
         else if (action.kind === "wait") clock.advanceTo(clock.monotonic() + action.time);
         else if (action.kind === "report") system.report(`engine-${action.engine}`, action);
         else directory.markFailed(`engine-${action.engine}`, clock.monotonic());
@@ -343,12 +346,12 @@
         }
       }
       for (const id of system.ids) system.report(id);
-      for (let round = 0; round < 200 && asked.some(({ begun }) => isWaiting(begun)); round += 1) {
+      for (let round = 0; round < 200 && requests.some(({ begun }) => isWaiting(begun)); round += 1) {
         for (const assignment of running()) end(assignment, true);
         clock.advanceTo(clock.monotonic() + 50);
         await settle();
       }
-      expect(asked.filter(({ begun }) => isWaiting(begun)).length).toEqual(0);
+      expect(requests.filter(({ begun }) => isWaiting(begun)).length).toEqual(0);
       expect((scheduler.dump() as { readonly waiting: number }).waiting).toEqual(0);
     });
     await fc.assert(property, { numRuns: 150, seed: 20261202 });
--- a/src/coordination/scheduling/PredictiveScheduler.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.ts
@@ -1,4 +1,4 @@
-/** Placement by predicted time to first token, with admission in front of it. */
+/** Places requests by their predicted time to first token, behind an admission queue. */
 import type { RequestError } from "../../protocol/errors.ts";
 import type { Usage } from "../../protocol/types.ts";
 import { createCachePicture } from "../../state/cachePicture.ts";
@@ -13,23 +13,23 @@
 import type { AffinityLearner } from "./affinity.ts";
 import {
   assumedGeneratedTokens,
-  enginePatience,
-  fewestPrefillTokens,
+  engineRecoveryTimeout,
+  minimumPrefillSample,
   generatedTokenCost,
   latePriority,
-  longestRetryAfter,
-  pictureLimits,
-  queueInterval,
-  shortestRetryAfter,
+  maximumRetryAfter,
+  cacheModelLimits,
+  queuePollInterval,
+  minimumRetryAfter,
 } from "./constants.ts";
-import { createComputingShares } from "./prefillBudgets.ts";
-import type { ComputingShares } from "./prefillBudgets.ts";
+import { createPrefillBudgets } from "./prefillBudgets.ts";
+import type { PrefillBudgets } from "./prefillBudgets.ts";
 import { createEngineEstimates } from "./engineEstimates.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
 import { createHomeConfidence } from "./homeConfidence.ts";
 import type { HomeConfidence } from "./homeConfidence.ts";
-import { createHoldingTimes } from "./slotHoldingTimes.ts";
-import type { HoldingTimes } from "./slotHoldingTimes.ts";
+import { createSlotHoldingTimes } from "./slotHoldingTimes.ts";
+import type { SlotHoldingTimes } from "./slotHoldingTimes.ts";
 import { createOrganisationLimits } from "./organisationLimits.ts";
 import type { OrganisationLimits } from "./organisationLimits.ts";
 import { createPlacement } from "./placement.ts";
@@ -41,34 +41,33 @@
 import { createShuffleShards } from "./shuffleShards.ts";
 import type { ShuffleShards } from "./shuffleShards.ts";
 
-/** What a predictive scheduler works with. */
 export interface PredictiveSchedulerDependencies {
   readonly directory: EngineDirectory;
   readonly clock: Clock;
   readonly configuration: () => ConfigurationIndex | undefined;
   /** This router's data centre. */
   readonly dataCentre: string;
-  /** Live routers that give work to the same engines, this one included; 1 unless told. */
+  /** @returns Number of live routers that use the same engines, including this one; 1 by default. */
   readonly liveRouters?: () => number;
-  /** This router's part of an organisation's limits, 0 to 1; the whole unless told. */
+  /** @returns This router's share of an organisation's limits, 0 to 1; 1 by default. */
   readonly organisationShare?: (organisation: string) => number;
 }
 
-interface WaitingWork {
+interface QueuedWork {
   readonly work: Work;
   readonly settle: (result: Assignment | RequestError) => void;
 }
 
-const hotPrefixesShown = 20;
+const dumpedHotPrefixes = 20;
 
-/** A shorter predicted wait is none, milliseconds. */
-const idleWait = 2;
+/** A predicted wait shorter than this counts as none, milliseconds. */
+const maximumIdleWait = 2;
 
-/** Part of a level's tokens that has to come from the cache for the level to have been held. */
-const heldShare = 0.9;
+/** Share of a level's tokens that the engine must have taken from its cache for the level to count as cached. */
+const cacheHitShare = 0.9;
 
 const retryAfter = (milliseconds: number): number =>
-  Math.min(longestRetryAfter, Math.max(shortestRetryAfter, Math.ceil(milliseconds / 1_000)));
+  Math.min(maximumRetryAfter, Math.max(minimumRetryAfter, Math.ceil(milliseconds / 1_000)));
 
 const servedTokens = (work: Work, cachedTokens: number, usage: Usage | undefined): number => {
   const computed =
@@ -77,80 +76,80 @@
   return computed + generated * generatedTokenCost;
 };
 
-/** What lies below the level by which the prompt is placed does not return, and nothing is believed about it. */
+/** Levels below the affinity level are not expected to be reused, so the cache model does not track them. */
 const reusedKeys = (work: Work, { affinity }: Prediction): readonly string[] =>
   work.levels.slice(0, affinity.index + 1).map(({ key }) => key);
 
-/** Decides by what answers have shown; keeps no more than bounded tables. */
+/** Predicts from what earlier answers and load reports have shown; its tables are bounded. */
 export class PredictiveScheduler extends Scheduler implements Disposable {
   private readonly directory: EngineDirectory;
   private readonly clock: Clock;
-  private readonly picture: CachePicture;
+  private readonly cacheModel: CachePicture;
   private readonly estimates: EngineEstimates;
-  private readonly affinity: AffinityLearner;
+  private readonly affinityLearner: AffinityLearner;
   private readonly shards: ShuffleShards;
-  private readonly holdingTimes: HoldingTimes;
+  private readonly slotHoldingTimes: SlotHoldingTimes;
   private readonly priorityMix: PriorityMix = createPriorityMix();
   private readonly homeConfidence: HomeConfidence = createHomeConfidence();
-  private readonly computingShares: ComputingShares;
+  private readonly prefillBudgets: PrefillBudgets;
   private readonly limits: OrganisationLimits;
   private readonly placement: Placement;
-  private readonly queue: AdmissionQueue<WaitingWork> = createAdmissionQueue();
+  private readonly queue: AdmissionQueue<QueuedWork> = createAdmissionQueue();
   private readonly unsubscribe: () => void;
-  private callOffPump: (() => void) | undefined;
+  private cancelProcessing: (() => void) | undefined;
 
-  constructor(parts: PredictiveSchedulerDependencies) {
+  constructor(dependencies: PredictiveSchedulerDependencies) {
     super();
-    const { directory, clock, configuration } = parts;
-    const liveRouters = parts.liveRouters ?? (() => 1);
+    const { directory, clock, configuration } = dependencies;
+    const liveRouters = dependencies.liveRouters ?? (() => 1);
     this.directory = directory;
     this.clock = clock;
-    this.picture = createCachePicture(directory, pictureLimits);
+    this.cacheModel = createCachePicture(directory, cacheModelLimits);
     this.estimates = createEngineEstimates(directory, configuration);
-    this.affinity = createAffinityLearner(liveRouters);
+    this.affinityLearner = createAffinityLearner(liveRouters);
     this.shards = createShuffleShards(directory, configuration);
-    this.holdingTimes = createHoldingTimes();
-    this.computingShares = createComputingShares(liveRouters);
-    this.limits = createOrganisationLimits(parts.organisationShare ?? (() => 1));
+    this.slotHoldingTimes = createSlotHoldingTimes();
+    this.prefillBudgets = createPrefillBudgets(liveRouters);
+    this.limits = createOrganisationLimits(dependencies.organisationShare ?? (() => 1));
     const {
-      picture,
+      cacheModel,
       estimates,
-      affinity,
+      affinityLearner,
       shards,
-      holdingTimes,
+      slotHoldingTimes,
       priorityMix,
       homeConfidence,
-      computingShares,
+      prefillBudgets,
     } = this;
-    const { dataCentre } = parts;
+    const { dataCentre } = dependencies;
     this.placement = createPlacement({
       directory,
       configuration,
       dataCentre,
       liveRouters,
-      picture,
+      cacheModel,
       estimates,
-      affinity,
+      affinityLearner,
       shards,
-      holdingTimes,
+      slotHoldingTimes,
       priorityMix,
       homeConfidence,
-      computingShares,
+      prefillBudgets,
     });
     this.unsubscribe = directory.subscribe(({ kind }) => {
-      if (kind !== "added") this.schedulePump(0);
+      if (kind !== "added") this.scheduleProcessing(0);
     });
   }
 
   override assign(work: Work, signal: AbortSignal): Promise<Assignment> {
     const now = this.clock.monotonic();
     if (signal.aborted) return Promise.reject(refusals.callerGone());
-    const refused = this.enter(work, now);
-    if (refused !== undefined) return Promise.reject(refused);
-    const ahead = this.queue.ahead(work);
+    const refusal = this.admit(work, now);
+    if (refusal !== undefined) return Promise.reject(refusal);
+    const ahead = this.queue.countAhead(work);
     const result = this.tryNow(work, ahead, now);
     const isRefused = result !== undefined && !("engine" in result);
-    if (result !== undefined && (isRefused || ahead < 1)) return this.settleAtOnce(work, result);
+    if (result !== undefined && (isRefused || ahead < 1)) return this.settleImmediately(work, result);
     return this.wait(work, signal);
   }
 
@@ -161,16 +160,16 @@
       waiting: this.queue.size(),
       classes: this.queue.dump(),
       organisations: this.limits.dump(),
-      beliefs: this.picture.size(),
-      trackedPrefixes: this.affinity.size(),
-      hotPrefixes: this.affinity
-        .hottest(hotPrefixesShown, now)
+      beliefs: this.cacheModel.size(),
+      trackedPrefixes: this.affinityLearner.size(),
+      hotPrefixes: this.affinityLearner
+        .hottest(dumpedHotPrefixes, now)
         .map(({ key, rate }) => ({ key, perSecond: rate * 1_000 })),
       engines: this.directory.all().map((engine) => {
         const estimate = this.estimates.of(engine, now);
         return {
           id: engine.id,
-          limit: estimate.limit(),
+          limit: estimate.slotLimit(),
           running: estimate.ownRunning(),
           othersRunning: estimate.othersRunning(now),
           millisecondsPerToken: estimate.millisecondsPerToken(),
@@ -183,86 +182,90 @@
 
   [Symbol.dispose](): void {
     this.unsubscribe();
-    this.callOffPump?.();
-    this.picture[Symbol.dispose]();
+    this.cancelProcessing?.();
+    this.cacheModel[Symbol.dispose]();
     this.estimates[Symbol.dispose]();
     this.shards[Symbol.dispose]();
   }
 
-  /** Counts a request against its organisation's limits; a further attempt of one that was let in always is. */
-  private enter(work: Work, now: number): RequestError | undefined {
+  /**
+   * Counts a request against its organisation's limits. A further attempt of an admitted request is always admitted.
+   *
+   * @returns The refusal if the limits are reached.
+   */
+  private admit(work: Work, now: number): RequestError | undefined {
     if (work.furtherAttempt ?? work.excluded.size > 0) {
-      this.limits.retake(work.context, now);
+      this.limits.readmit(work.context, now);
       return undefined;
     }
-    const wait = this.limits.take(work.context, now);
-    if (wait !== undefined) return refusals.organisationLimit(retryAfter(wait));
-    this.affinity.note(work, now);
+    const delay = this.limits.admit(work.context, now);
+    if (delay !== undefined) return refusals.organisationLimit(retryAfter(delay));
+    this.affinityLearner.record(work, now);
     return undefined;
   }
 
-  private settleAtOnce(work: Work, result: Prediction | RequestError): Promise<Assignment> {
+  private settleImmediately(work: Work, result: Prediction | RequestError): Promise<Assignment> {
     if ("engine" in result) return Promise.resolve(this.dispatch(work, result));
-    this.limits.giveUp(work.context);
+    this.limits.cancel(work.context);
     return Promise.reject(result);
   }
 
   private wait(work: Work, signal: AbortSignal): Promise<Assignment> {
     return new Promise((resolve, reject) => {
-      const leave = (): void => waiting.settle(refusals.callerGone());
-      const expire = (): void => {
+      const onAbort = (): void => waiting.settle(refusals.callerGone());
+      const onDeadline = (): void => {
         const late = work.context.requestClass.firstTokenDeadline;
         waiting.settle(refusals.overloaded(retryAfter(late)));
       };
       const settle = (result: Assignment | RequestError): void => {
         if (!this.queue.remove(waiting)) return;
-        signal.removeEventListener("abort", leave);
-        callOffExpiry();
+        signal.removeEventListener("abort", onAbort);
+        cancelExpiry();
         if ("engine" in result) {
           resolve(result);
           return;
         }
-        this.limits.giveUp(work.context);
+        this.limits.cancel(work.context);
         reject(result);
       };
-      const waiting: WaitingWork = { work, settle };
+      const waiting: QueuedWork = { work, settle };
       const untilDeadline = work.context.firstTokenDeadline - this.clock.monotonic();
-      const callOffExpiry = this.clock.after(Math.max(0, untilDeadline), expire);
-      signal.addEventListener("abort", leave);
+      const cancelExpiry = this.clock.after(Math.max(0, untilDeadline), onDeadline);
+      signal.addEventListener("abort", onAbort);
       this.queue.add(waiting);
-      this.pump();
+      this.processQueue();
     });
   }
 
   /**
-   * @param ahead - Waiting pieces that go first.
-   * @returns Where to send the work now, a refusal, or undefined if it has to wait.
+   * @param ahead - Number of queued items that go first.
+   * @returns Where to send the work now, a refusal, or `undefined` if it must wait.
    */
   private tryNow(work: Work, ahead: number, now: number): Prediction | RequestError | undefined {
     const prediction = this.placement.choose(work, now);
     if (prediction === undefined) {
-      return this.mayComeBack(work, now) ? undefined : refusals.noEngine(shortestRetryAfter);
+      return this.mayRecover(work, now) ? undefined : refusals.noEngine(minimumRetryAfter);
     }
-    const queued = prediction.queueTurn * ahead;
-    const late = prediction.lateBy + queued;
+    const queueDelay = prediction.delayPerQueuedItem * ahead;
+    const late = prediction.lateBy + queueDelay;
     if (late > 0) return refusals.overloaded(retryAfter(late));
     return prediction.hasRoom && this.limits.mayStart(work.context) ? prediction : undefined;
   }
 
   /**
-   * Whether an engine that failed, or has not reported yet, may take the work soon: a failed one is asked for its
-   * load several times within the patience, and most failures are over by then.
+   * Whether an engine that failed, or has not reported yet, may take the work soon. A failed engine is polled for
+   * its load several times within the timeout, and most failures are over by then.
    */
-  private mayComeBack({ pools, excluded, context }: Work, now: number): boolean {
-    if (now - context.arrivedAt >= enginePatience) return false;
+  private mayRecover({ pools, excluded, context }: Work, now: number): boolean {
+    if (now - context.arrivedAt >= engineRecoveryTimeout) return false;
     const engines = pools.flatMap((pool) => this.directory.inPool(pool));
     return engines.some(
       ({ id, state }) => (state === "suspect" || state === "unconfirmed") && !excluded.has(id),
     );
   }
 
-  /** Gives engines to waiting work, as far as there is room, and refuses what can't be in time any more. */
-  private pump(): void {
+  /** Assigns engines to queued work as far as there is room, and refuses work that can no longer meet its deadline. */
+  private processQueue(): void {
     const now = this.clock.monotonic();
     let ahead = 0;
     for (const waiting of this.queue.next(now)) {
@@ -271,15 +274,15 @@
       if (result === undefined) continue;
       waiting.settle("engine" in result ? this.dispatch(waiting.work, result) : result);
     }
-    if (this.queue.size() > 0) this.schedulePump(queueInterval);
+    if (this.queue.size() > 0) this.scheduleProcessing(queuePollInterval);
   }
 
-  private schedulePump(delay: number): void {
+  private scheduleProcessing(delay: number): void {
     if (this.queue.size() === 0) return;
-    this.callOffPump?.();
-    this.callOffPump = this.clock.after(delay, () => {
-      this.callOffPump = undefined;
-      this.pump();
+    this.cancelProcessing?.();
+    this.cancelProcessing = this.clock.after(delay, () => {
+      this.cancelProcessing = undefined;
+      this.processQueue();
     });
   }
 
@@ -287,20 +290,20 @@
     const { engine, stamp, estimate, cachedTokens, priority } = prediction;
     const dispatchedAt = this.clock.monotonic();
     const keys = reusedKeys(work, prediction);
-    const own = {
+    const engineWork = {
       priority,
       uncachedTokens: work.promptTokens - cachedTokens,
       dispatchedAt,
       firstTokenAfter: prediction.wait + prediction.prefill,
     };
     this.directory.addInFlight(engine.id, 1);
-    estimate.begin(own);
+    estimate.begin(engineWork);
     this.limits.start(work.context);
-    this.priorityMix.note(priority, own.uncachedTokens);
+    this.priorityMix.record(priority, engineWork.uncachedTokens);
     this.queue.charge(work, servedTokens(work, cachedTokens, undefined));
-    this.computingShares.charge(work.context.organisation.name, own.uncachedTokens);
-    // The engine computes prompts in turn, so what is sent after this one will find its levels.
-    if (stamp !== undefined && priority < latePriority) this.picture.note(keys, stamp, dispatchedAt);
+    this.prefillBudgets.charge(work.context.organisation.name, engineWork.uncachedTokens);
+    // Engines compute prompts in order, so prompts sent after this one will find its levels cached.
+    if (stamp !== undefined && priority < latePriority) this.cacheModel.note(keys, stamp, dispatchedAt);
     let released = false;
     return {
       engine,
@@ -311,18 +314,18 @@
       markFirstToken: () => {
         const now = this.clock.monotonic();
         if (released) return;
-        estimate.firstToken(own, now);
-        if (stamp !== undefined) this.picture.note(keys, stamp, now);
+        estimate.firstToken(engineWork, now);
+        if (stamp !== undefined) this.cacheModel.note(keys, stamp, now);
       },
       release: (report) => {
         if (released) return;
         released = true;
         const now = this.clock.monotonic();
         this.directory.addInFlight(engine.id, -1);
-        estimate.end(own, now);
+        estimate.end(engineWork, now);
         this.limits.end(work.context);
         this.learn(work, prediction, report, now - dispatchedAt);
-        this.schedulePump(0);
+        this.scheduleProcessing(0);
       },
     };
   }
@@ -332,12 +335,12 @@
     const { usage, incarnation, firstTokenAfter } = report;
     const keys = reusedKeys(work, prediction);
     if (stamp !== undefined && incarnation !== undefined && incarnation !== stamp.incarnation) {
-      this.picture.doubt(stamp, this.clock.monotonic());
+      this.cacheModel.doubt(stamp, this.clock.monotonic());
       return;
     }
-    if (firstTokenAfter === undefined) this.picture.forget(keys, prediction.engine.id);
+    if (firstTokenAfter === undefined) this.cacheModel.forget(keys, prediction.engine.id);
     if (report.ended !== "finished") return;
-    this.holdingTimes.learn(work, elapsed);
+    this.slotHoldingTimes.learn(work, elapsed);
     if (usage === undefined || usage.promptTokens === 0) return;
     this.queue.charge(
       work,
@@ -345,26 +348,30 @@
     );
     const computed = usage.promptTokens - usage.cachedTokens;
     const corrected = computed - (work.promptTokens - cachedTokens);
-    this.computingShares.charge(work.context.organisation.name, corrected);
+    this.prefillBudgets.charge(work.context.organisation.name, corrected);
     if (firstTokenAfter !== undefined) {
       const waited = firstTokenAfter - computed * estimate.millisecondsPerToken() - prediction.ownWait;
       estimate.learnWait(prediction.priority, Math.max(0, waited), this.clock.monotonic());
     }
-    if (prediction.wait < idleWait && firstTokenAfter !== undefined && computed >= fewestPrefillTokens) {
+    if (
+      prediction.wait < maximumIdleWait &&
+      firstTokenAfter !== undefined &&
+      computed >= minimumPrefillSample
+    ) {
       estimate.learnPrefill(computed, firstTokenAfter);
     }
     this.learnCache(work, prediction, usage);
   }
 
-  /** Compares what was believed of the engine's cache with what the engine took from it. */
+  /** Compares the predicted cache contents with the tokens that the engine took from its cache. */
   private learnCache(work: Work, prediction: Prediction, usage: Usage): void {
-    const { affinity, believed, homeUntested, estimate } = prediction;
-    // Estimated tokens are brought to the engine's count.
+    const { affinity, expectedLevel, isUnobservedHome, estimate } = prediction;
+    // Converts the router's estimated token counts to the engine's.
     const scale = usage.promptTokens / work.promptTokens;
-    const holds = (tokens: number): boolean => usage.cachedTokens >= tokens * scale * heldShare;
-    if (homeUntested)
+    const holds = (tokens: number): boolean => usage.cachedTokens >= tokens * scale * cacheHitShare;
+    if (isUnobservedHome)
       this.homeConfidence.learn(work.context.organisation.name, affinity.rate, holds(affinity.level.tokens));
-    if (believed === undefined) return;
-    this.estimates.learnRetention(estimate, holds(believed.tokens), believed.confidence);
+    if (expectedLevel === undefined) return;
+    this.estimates.learnRetention(estimate, holds(expectedLevel.tokens), expectedLevel.confidence);
   }
 }
--- a/src/coordination/scheduling/admissionQueue.ts
+++ b/src/coordination/scheduling/admissionQueue.ts
@@ -1,27 +1,26 @@
 /**
- * Work that waits for an engine, and the order in which it gets one: interactive before batch, classes by the
- * deadline that is due first, and within a class the organisation that has been served the least for its
- * standing (virtual token counters).
+ * Queue of the work that waits for an engine. Interactive work goes before batch work, classes are ordered by their
+ * earliest deadline, and within a class the organisation that has been served the least relative to its standing
+ * goes first (fair queueing with virtual token counters).
  */
-import { scannedPerOrganisation, scannedWaiting, urgentShare } from "./constants.ts";
+import { maximumScannedPerOrganisation, maximumScanned, urgentDeadlineShare } from "./constants.ts";
 import type { Work } from "./Scheduler.ts";
 
-/** Something that waits. */
-export interface Waiting {
+export interface QueueItem {
   readonly work: Work;
 }
 
-/** Waiting work in order. */
-export interface AdmissionQueue<T extends Waiting> {
-  readonly add: (waiting: T) => void;
-  /** @returns False if it was not waiting. */
-  readonly remove: (waiting: T) => boolean;
+/** Waiting work in fair order. */
+export interface AdmissionQueue<T extends QueueItem> {
+  readonly add: (item: T) => void;
+  /** @returns False if the item was not queued. */
+  readonly remove: (item: T) => boolean;
   readonly size: () => number;
-  /** @returns About how many waiting pieces go before a further piece of work, by standing and class. */
-  readonly ahead: (work: Work) => number;
-  /** The pieces that are next, first ones first; a bounded number. */
+  /** @returns An estimate of how many queued items go before further work, by standing and class. */
+  readonly countAhead: (work: Work) => number;
+  /** @returns A bounded number of items, in the order in which they are to be served. */
   readonly next: (now: number) => readonly T[];
-  /** Counts tokens that an organisation is served; negative to give back. */
+  /** Charges tokens to an organisation; negative values are refunds. */
   readonly charge: (work: Work, tokens: number) => void;
   readonly dump: () => unknown;
 }
@@ -32,28 +31,32 @@
   readonly waiting: Set<T>;
 }
 
-/** Tokens that a piece of work is taken to cost before any has been charged, and how fast that is learned. */
-const firstCharge = 500;
-const usualChargeGain = 0.05;
+/** Assumed cost of an item before any has been charged, tokens. */
+const initialCharge = 500;
+/** Weight of a new charge in the average cost. */
+const averageChargeGain = 0.05;
 
 type ClassQueue<T> = Map<string, OrganisationQueue<T>>;
 
-/** Makes an empty queue. */
-export const createAdmissionQueue = <T extends Waiting>(): AdmissionQueue<T> => {
+/** Creates an empty queue. */
+export const createAdmissionQueue = <T extends QueueItem>(): AdmissionQueue<T> => {
   const classes = new Map<string, ClassQueue<T>>();
-  let usualCharge = firstCharge;
+  let averageCharge = initialCharge;
   const sizes = { interactive: 0, batch: 0 };
 
   const queueOf = ({ context }: Work): OrganisationQueue<T> => {
     const name = context.requestClass.name;
-    const ofClass = classes.get(name) ?? new Map<string, OrganisationQueue<T>>();
-    classes.set(name, ofClass);
-    const known = ofClass.get(context.organisation.name) ?? { served: 0, waiting: new Set<T>() };
-    ofClass.set(context.organisation.name, known);
-    return known;
+    const classQueue = classes.get(name) ?? new Map<string, OrganisationQueue<T>>();
+    classes.set(name, classQueue);
+    const organisationQueue = classQueue.get(context.organisation.name) ?? {
+      served: 0,
+      waiting: new Set<T>(),
+    };
+    classQueue.set(context.organisation.name, organisationQueue);
+    return organisationQueue;
   };
 
-  /** The least that any organisation that waits in the class has been served. */
+  /** The lowest served count among the organisations with work waiting in the class. */
   const leastServed = (work: Work): number => {
     let least = Number.POSITIVE_INFINITY;
     for (const queue of classes.get(work.context.requestClass.name)?.values() ?? []) {
@@ -62,75 +65,75 @@
     return least === Number.POSITIVE_INFINITY ? 0 : least;
   };
 
-  const add = (waiting: T): void => {
-    const queue = queueOf(waiting.work);
-    // Who did not wait saves up no claim on the time in which it did not.
-    if (queue.waiting.size === 0) queue.served = Math.max(queue.served, leastServed(waiting.work));
-    queue.waiting.add(waiting);
-    sizes[waiting.work.context.requestClass.kind] += 1;
+  const add = (item: T): void => {
+    const queue = queueOf(item.work);
+    // An organisation accumulates no credit while it has nothing queued.
+    if (queue.waiting.size === 0) queue.served = Math.max(queue.served, leastServed(item.work));
+    queue.waiting.add(item);
+    sizes[item.work.context.requestClass.kind] += 1;
   };
 
-  const remove = (waiting: T): boolean => {
-    const removed = queueOf(waiting.work).waiting.delete(waiting);
-    if (removed) sizes[waiting.work.context.requestClass.kind] -= 1;
+  const remove = (item: T): boolean => {
+    const removed = queueOf(item.work).waiting.delete(item);
+    if (removed) sizes[item.work.context.requestClass.kind] -= 1;
     return removed;
   };
 
   const isUrgent = ({ context }: Work, now: number): boolean => {
     const { kind, firstTokenDeadline } = context.requestClass;
     if (kind === "interactive") return true;
-    return context.firstTokenDeadline - now < firstTokenDeadline * urgentShare;
+    return context.firstTokenDeadline - now < firstTokenDeadline * urgentDeadlineShare;
   };
 
-  /** The class's next pieces, in the order in which the organisations' turns come if all cost the same. */
-  const nextOfClass = (ofClass: ClassQueue<T>): readonly T[] => {
-    const turns: { readonly item: T; readonly at: number }[] = [];
-    for (const { waiting, served } of ofClass.values()) {
-      let at = served;
-      let taken = 0;
+  /** The class's next items in order of their virtual time, assuming that each costs the average. */
+  const nextOfClass = (classQueue: ClassQueue<T>): readonly T[] => {
+    const schedule: { readonly item: T; readonly virtualTime: number }[] = [];
+    for (const { waiting, served } of classQueue.values()) {
+      let virtualTime = served;
+      let scanned = 0;
       for (const item of waiting) {
-        turns.push({ item, at });
-        at += usualCharge / item.work.context.organisation.standing;
-        taken += 1;
-        if (taken === scannedPerOrganisation) break;
+        schedule.push({ item, virtualTime });
+        virtualTime += averageCharge / item.work.context.organisation.standing;
+        scanned += 1;
+        if (scanned === maximumScannedPerOrganisation) break;
       }
     }
-    turns.sort((left, right) => left.at - right.at);
-    return turns.slice(0, scannedWaiting).map(({ item }) => item);
+    schedule.sort((left, right) => left.virtualTime - right.virtualTime);
+    return schedule.slice(0, maximumScanned).map(({ item }) => item);
   };
 
-  /** Waiting pieces of a class that go before one more of an organisation: it gets turns by its standing. */
-  const aheadInClass = (ofClass: ClassQueue<T>, { context }: Work): number => {
+  /** Queued items of a class that go before a further one of an organisation, which is served by its standing. */
+  const countAheadInClass = (classQueue: ClassQueue<T>, { context }: Work): number => {
     const { name, standing } = context.organisation;
     let waiting = 0;
-    let turns = 1;
-    for (const [organisation, queue] of ofClass) {
+    let itemsPerRound = 1;
+    for (const [organisation, queue] of classQueue) {
       if (queue.waiting.size === 0) continue;
       waiting += queue.waiting.size;
       const [first] = queue.waiting;
-      const theirs = first?.work.context.organisation.standing ?? 0;
-      if (organisation !== name) turns += theirs / standing;
+      const otherStanding = first?.work.context.organisation.standing ?? 0;
+      if (organisation !== name) itemsPerRound += otherStanding / standing;
     }
-    const own = ofClass.get(name)?.waiting.size ?? 0;
-    return Math.min(waiting, (own + 1) * turns - 1);
+    const own = classQueue.get(name)?.waiting.size ?? 0;
+    return Math.min(waiting, (own + 1) * itemsPerRound - 1);
   };
 
-  const ahead = (work: Work): number => {
+  const countAhead = (work: Work): number => {
     if (sizes.interactive + sizes.batch === 0) return 0;
     const { name, kind, firstTokenDeadline } = work.context.requestClass;
     let count = 0;
-    for (const [other, ofClass] of classes) {
-      if (other === name) {
-        count += aheadInClass(ofClass, work);
+    for (const [otherName, classQueue] of classes) {
+      if (otherName === name) {
+        count += countAheadInClass(classQueue, work);
         continue;
       }
-      for (const { waiting } of ofClass.values()) {
+      for (const { waiting } of classQueue.values()) {
         const [first] = waiting;
-        const theirs = first?.work.context.requestClass;
-        if (theirs === undefined) continue;
-        const before =
-          theirs.kind === kind ? theirs.firstTokenDeadline <= firstTokenDeadline : kind === "batch";
-        if (before) count += waiting.size;
+        const otherClass = first?.work.context.requestClass;
+        if (otherClass === undefined) continue;
+        const goesFirst =
+          otherClass.kind === kind ? otherClass.firstTokenDeadline <= firstTokenDeadline : kind === "batch";
+        if (goesFirst) count += waiting.size;
       }
     }
     return count;
@@ -138,8 +141,8 @@
 
   const next = (now: number): readonly T[] => {
     if (sizes.interactive + sizes.batch === 0) return [];
-    const groups = [...classes.values()].flatMap((ofClass) => {
-      const items = nextOfClass(ofClass);
+    const groups = [...classes.values()].flatMap((classQueue) => {
+      const items = nextOfClass(classQueue);
       const deadlines = items.map(({ work }) => work.context.firstTokenDeadline);
       const urgent = items.some(({ work }) => isUrgent(work, now));
       return items.length === 0 ? [] : [{ items, urgent, deadline: Math.min(...deadlines) }];
@@ -147,24 +150,24 @@
     groups.sort(
       (left, right) => Number(right.urgent) - Number(left.urgent) || left.deadline - right.deadline,
     );
-    return groups.flatMap(({ items }) => items).slice(0, scannedWaiting);
+    return groups.flatMap(({ items }) => items).slice(0, maximumScanned);
   };
 
   return {
     add,
     remove,
     size: () => sizes.interactive + sizes.batch,
-    ahead,
+    countAhead,
     next,
     charge: (work, tokens) => {
-      if (tokens > 0) usualCharge += (tokens - usualCharge) * usualChargeGain;
+      if (tokens > 0) averageCharge += (tokens - averageCharge) * averageChargeGain;
       queueOf(work).served += tokens / work.context.organisation.standing;
     },
     dump: () =>
       Object.fromEntries(
-        [...classes].map(([name, ofClass]) => [
+        [...classes].map(([name, classQueue]) => [
           name,
-          [...ofClass].map(([organisation, { served, waiting }]) => ({
+          [...classQueue].map(([organisation, { served, waiting }]) => ({
             organisation,
             waiting: waiting.size,
             served: Math.round(served),
--- a/src/coordination/scheduling/affinity.ts
+++ b/src/coordination/scheduling/affinity.ts
@@ -1,72 +1,83 @@
 /**
- * Which level of a prompt decides where it belongs, and over how many engines that level is spread.
+ * Chooses the prefix level that decides where a prompt is placed (the affinity level), and estimates its request
+ * rate.
  *
- * The deepest level that returns while engines still hold it is the one worth keeping together: shallower ones
- * are small and soon everywhere, deeper ones (the question itself) never return.
+ * It is the deepest level that is requested again while engines still have it cached. Shallower levels are small
+ * and soon cached on every engine; deeper ones, such as the question itself, are never requested again.
  */
 import type { PrefixLevel } from "../../protocol/types.ts";
 import { createHeatSketch } from "../../state/heatSketch.ts";
 import type { HotKey } from "../../state/heatSketch.ts";
-import { heatLimits, rareCounting, rareReuse, reuseGain, reuseThreshold } from "./constants.ts";
+import {
+  heatSketchLimits,
+  rareSamplingInterval,
+  rareReuseThreshold,
+  reuseGain,
+  reuseThreshold,
+} from "./constants.ts";
 import type { Work } from "./Scheduler.ts";
 
 /** The level by which a prompt is placed. */
 export interface Affinity {
   readonly level: PrefixLevel;
-  /** Its place among the prompt's levels. */
+  /** Index among the prompt's levels. */
   readonly index: number;
-  /** Requests of all routers that share the level, a millisecond. */
+  /** Requests of all routers that share the level, per millisecond. */
   readonly rate: number;
 }
 
-/** Learns which levels return. */
+/** Learns which prefix levels are reused. */
 export interface AffinityLearner {
-  /** Counts a request's levels. */
-  readonly note: (work: Work, now: number) => void;
+  /** Records a request's levels. */
+  readonly record: (work: Work, now: number) => void;
   /**
    * @param retention - How long engines keep unused prefixes, milliseconds.
-   * @returns Undefined for a prompt without levels.
+   * @returns The affinity level; `undefined` for a prompt without levels.
    */
   readonly choose: (work: Work, retention: number, now: number) => Affinity | undefined;
-  /** @returns Requests of all routers that share a level, a millisecond. */
+  /** @returns Requests of all routers that share a level, per millisecond. */
   readonly rate: (key: string, now: number) => number;
   readonly hottest: (count: number, now: number) => readonly HotKey[];
   readonly size: () => number;
 }
 
-/** Makes a learner. @param liveRouters - Routers that see a like share of the requests. */
+/**
+ * Creates a learner.
+ *
+ * @param liveRouters - Number of routers, each of which is assumed to see an equal share of the requests.
+ */
 export const createAffinityLearner = (liveRouters: () => number): AffinityLearner => {
-  const heat = createHeatSketch(heatLimits);
-  /** For each class, by distance from the prompt's end: how often a level had been seen before. */
-  const reuse = new Map<string, number[]>();
+  const heat = createHeatSketch(heatSketchLimits);
+  /** For each request class, by distance from the prompt's last level: share of levels seen before. */
+  const reuseByClass = new Map<string, number[]>();
 
-  let skipped = 0;
+  let skippedCount = 0;
 
   const reuseOf = (work: Work): number[] => {
     const name = work.context.requestClass.name;
-    const known = reuse.get(name) ?? [];
-    reuse.set(name, known);
-    return known;
+    const rates = reuseByClass.get(name) ?? [];
+    reuseByClass.set(name, rates);
+    return rates;
   };
 
-  /** Until learned, the end of a prompt is taken to be new and the rest to be shared. */
-  const firstReuse = (distance: number): number => (distance === 0 ? 0 : 1);
+  /** Until samples exist, the last level of a prompt is assumed to be new and the others to be shared. */
+  const initialReuse = (distance: number): number => (distance === 0 ? 0 : 1);
 
-  /** Levels that hardly ever return would only fill the sketch: one in some of them is enough to learn by. */
-  const isRarelyCounted = (usual: number | undefined): boolean => {
-    if (usual === undefined || usual >= rareReuse) return false;
-    skipped = (skipped + 1) % rareCounting;
-    return skipped !== 0;
+  /** Levels that are hardly ever reused would only fill the sketch, so they are sampled. */
+  const skipsSample = (reuseRate: number | undefined): boolean => {
+    if (reuseRate === undefined || reuseRate >= rareReuseThreshold) return false;
+    skippedCount = (skippedCount + 1) % rareSamplingInterval;
+    return skippedCount !== 0;
   };
 
-  const note = (work: Work, now: number): void => {
-    const learned = reuseOf(work);
+  const record = (work: Work, now: number): void => {
+    const rates = reuseOf(work);
     const last = work.levels.length - 1;
     work.levels.forEach(({ key }, index) => {
       const distance = last - index;
-      if (isRarelyCounted(learned[distance])) return;
-      const before = learned[distance] ?? firstReuse(distance);
-      learned[distance] = before + ((heat.has(key) ? 1 : 0) - before) * reuseGain;
+      if (skipsSample(rates[distance])) return;
+      const previous = rates[distance] ?? initialReuse(distance);
+      rates[distance] = previous + ((heat.has(key) ? 1 : 0) - previous) * reuseGain;
       heat.note(key, now);
     });
   };
@@ -74,20 +85,20 @@
   const rate = (key: string, now: number): number => heat.rate(key, now) * Math.max(1, liveRouters());
 
   const choose = (work: Work, retention: number, now: number): Affinity | undefined => {
-    const learned = reuseOf(work);
+    const rates = reuseOf(work);
     const last = work.levels.length - 1;
     for (let index = last; index >= 0; index -= 1) {
       const level = work.levels[index];
       if (level === undefined) continue;
       const levelRate = rate(level.key, now);
       const distance = last - index;
-      const usual = learned[distance] ?? firstReuse(distance);
-      // A level seen once has no rate yet: it is taken to return as often as others in its place do.
-      const returns = levelRate === 0 ? usual : 1 - Math.exp(-levelRate * retention);
-      if (index === 0 || returns >= reuseThreshold) return { level, index, rate: levelRate };
+      const reuseRate = rates[distance] ?? initialReuse(distance);
+      // A level seen once has no rate yet: assume the reuse rate of the levels at the same distance.
+      const reuseProbability = levelRate === 0 ? reuseRate : 1 - Math.exp(-levelRate * retention);
+      if (index === 0 || reuseProbability >= reuseThreshold) return { level, index, rate: levelRate };
     }
     return undefined;
   };
 
-  return { note, choose, rate, hottest: heat.hottest, size: heat.size };
+  return { record, choose, rate, hottest: heat.hottest, size: heat.size };
 };
--- a/src/coordination/scheduling/cacheForecast.ts
+++ b/src/coordination/scheduling/cacheForecast.ts
@@ -1,32 +1,39 @@
-/** How much of a prompt an engine is expected to hold in its cache. */
+/** Predicts how much of a prompt an engine has in its prefix cache. */
 import type { PrefixLevel } from "../../protocol/types.ts";
 import type { CachePicture, EngineStamp, LevelBeliefs } from "../../state/cachePicture.ts";
-import { youngestBelief } from "./constants.ts";
+import { minimumRetentionSampleAge } from "./constants.ts";
 
-/** Engines forget what was used least recently: hardly anything before a time, nearly all after it. */
+/**
+ * Engines evict the least recently used blocks: hardly any before a certain age and nearly all after it. Exponent of
+ * the sigmoid that models this.
+ */
 const steepness = 3;
 
-/** @returns Confidence that an engine still holds what it held so long ago, 0 to 1; half at its retention. */
+/**
+ * @param age - Time since the engine was last known to have the prefix cached, milliseconds.
+ * @param retention - How long the engine keeps unused prefixes, milliseconds.
+ * @returns Confidence that the engine still has it cached, 0 to 1; 0.5 where the age equals the retention.
+ */
 export const confidenceAt = (age: number, retention: number): number =>
   1 / (1 + (age / retention) ** steepness);
 
-/** Own work that is older by so many retentions tells nothing any more. */
-const staleAfter = 2;
+/** Age, in retentions, from which this router's own work says nothing about a cache any more. */
+const staleRetentions = 2;
 
-/** A level that an engine is believed to hold from this router's own work. */
-export interface Belief {
+/** A prefix level that an engine is expected to have cached, judging by this router's own work. */
+export interface ExpectedLevel {
   readonly tokens: number;
   readonly confidence: number;
 }
 
-/** What is known of one prompt's levels, looked up once for all engines that are compared. */
+/** Cache predictions for one prompt; the prompt's levels are looked up once for all compared engines. */
 export interface CacheForecast {
   /**
-   * @param stamp - The engine; undefined where its cache must not be relied on.
-   * @param retention - Time constant of the engine's forgetting, milliseconds.
-   * @param prior - Confidence that other routers' work has brought the affinity level there; 0 where the engine
+   * @param stamp - The engine's stamp; `undefined` if its cache must not be relied on.
+   * @param retention - How long the engine keeps unused prefixes, milliseconds.
+   * @param prior - Confidence that other routers' work has put the affinity level into the cache; 0 if the engine
    * is not one of the level's homes.
-   * @returns Tokens, weighted with the confidence that the engine holds them.
+   * @returns Expected number of cached tokens: tokens weighted with the confidence that they are cached.
    */
   readonly cachedTokens: (
     stamp: EngineStamp | undefined,
@@ -34,58 +41,71 @@
     prior: number,
     now: number,
   ) => number;
-  /** @returns True if this router's own work founds no belief in the affinity level there, or a stale one. */
+  /** @returns True if this router's own work shows nothing, or nothing recent, about the affinity level there. */
   readonly isUnknown: (stamp: EngineStamp | undefined, retention: number, now: number) => boolean;
-  /** @returns The deepest level believed in; undefined where none is, or it is too fresh to test anything. */
-  readonly believed: (stamp: EngineStamp | undefined, retention: number, now: number) => Belief | undefined;
+  /**
+   * @returns The deepest level expected in the cache; `undefined` if there is none, or if it is too recent to be a
+   * sample of the engine's retention.
+   */
+  readonly expectedLevel: (
+    stamp: EngineStamp | undefined,
+    retention: number,
+    now: number,
+  ) => ExpectedLevel | undefined;
 }
 
 /**
- * Makes a forecast for one prompt.
+ * Creates the forecast for one prompt.
  *
- * @param affinityKey - The level by which the prompt is placed; levels above it go where it goes.
+ * @param affinityKey - Key of the affinity level; the levels above it are cached wherever it is.
  */
 export const createCacheForecast = (
-  picture: CachePicture,
+  cacheModel: CachePicture,
   levels: readonly PrefixLevel[],
   affinityKey: string,
 ): CacheForecast => {
-  const beliefs: readonly (LevelBeliefs | undefined)[] = levels.map(({ key }) => picture.levelBeliefs(key));
+  const levelViews: readonly (LevelBeliefs | undefined)[] = levels.map(({ key }) =>
+    cacheModel.levelBeliefs(key),
+  );
   const affinityIndex = levels.findIndex(({ key }) => key === affinityKey);
 
   const confidenceOf = (index: number, stamp: EngineStamp, retention: number, now: number): number => {
-    const age = picture.age(beliefs[index], stamp, now);
+    const age = cacheModel.age(levelViews[index], stamp, now);
     return age === undefined ? 0 : confidenceAt(age, retention);
   };
 
-  const believed = (stamp: EngineStamp | undefined, retention: number, now: number): Belief | undefined => {
+  const expectedLevel = (
+    stamp: EngineStamp | undefined,
+    retention: number,
+    now: number,
+  ): ExpectedLevel | undefined => {
     if (stamp === undefined) return undefined;
     for (let index = levels.length - 1; index >= 0; index -= 1) {
-      const age = picture.age(beliefs[index], stamp, now);
+      const age = cacheModel.age(levelViews[index], stamp, now);
       if (age === undefined) continue;
-      if (age < youngestBelief) return undefined;
+      if (age < minimumRetentionSampleAge) return undefined;
       return { tokens: levels[index]?.tokens ?? 0, confidence: confidenceAt(age, retention) };
     }
     return undefined;
   };
 
   return {
-    believed,
+    expectedLevel,
     isUnknown: (stamp, retention, now) => {
       if (stamp === undefined) return true;
-      const age = picture.age(beliefs[affinityIndex], stamp, now);
-      return age === undefined || age > retention * staleAfter;
+      const age = cacheModel.age(levelViews[affinityIndex], stamp, now);
+      return age === undefined || age > retention * staleRetentions;
     },
     cachedTokens: (stamp, retention, prior, now) => {
       if (stamp === undefined) return 0;
       let tokens = 0;
-      // An engine that holds a level holds the levels above it.
-      let deeper = 0;
+      // An engine that has a level cached also has the levels above it.
+      let deepestConfidence = 0;
       for (let index = levels.length - 1; index >= 0; index -= 1) {
-        const own = confidenceOf(index, stamp, retention, now);
-        const confidence = index <= affinityIndex ? 1 - (1 - own) * (1 - prior) : own;
-        deeper = Math.max(deeper, confidence);
-        tokens += deeper * ((levels[index]?.tokens ?? 0) - (levels[index - 1]?.tokens ?? 0));
+        const observed = confidenceOf(index, stamp, retention, now);
+        const confidence = index <= affinityIndex ? 1 - (1 - observed) * (1 - prior) : observed;
+        deepestConfidence = Math.max(deepestConfidence, confidence);
+        tokens += deepestConfidence * ((levels[index]?.tokens ?? 0) - (levels[index - 1]?.tokens ?? 0));
       }
       return tokens;
     },
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -1,34 +1,39 @@
-/** Which engines are worth comparing for a piece of work. */
+/** Lists the engines that placement compares for a request. */
 import type { CachePicture } from "../../state/cachePicture.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Affinity } from "./affinity.ts";
-import { createBalance } from "./loadWeights.ts";
-import { compareAllUpTo, maximumWidth, nextInOrder, sampledEngines, wideningLoad } from "./constants.ts";
+import { createLoadWeights } from "./loadWeights.ts";
+import {
+  fullComparisonLimit,
+  maximumHomesPerPrefix,
+  comparedSuccessors,
+  sampledEngines,
+  maximumLoadPerHome,
+} from "./constants.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
-import type { HoldingTimes } from "./slotHoldingTimes.ts";
+import type { SlotHoldingTimes } from "./slotHoldingTimes.ts";
 import type { Work } from "./Scheduler.ts";
-import { firstInOrder } from "./shuffleShards.ts";
+import { highestRanked } from "./shuffleShards.ts";
 import type { Member, Shard } from "./shuffleShards.ts";
 
-/** Engines by id. */
+/** Ids of candidate engines. */
 export interface Candidates {
-  /** Those among which the prefix is spread on purpose. */
+  /** The first engines in the prefix's rendezvous order, over which its requests are spread. */
   readonly homes: ReadonlySet<string>;
-  /** The homes, and engines that are believed to hold the prefix. */
+  /** The homes, and the engines that the cache model expects to have the prefix cached. */
   readonly holders: ReadonlySet<string>;
-  /** Engines to turn to where none of these is in time. */
+  /** @returns Fallback engines for the case that none of the holders can meet the deadline. */
   readonly listOthers: () => ReadonlySet<string>;
 }
 
-/** What candidates are listed from. */
-export interface CandidateParts {
+export interface CandidateDependencies {
   readonly directory: EngineDirectory;
-  readonly picture: CachePicture;
+  readonly cacheModel: CachePicture;
   readonly estimates: EngineEstimates;
-  readonly holdingTimes: HoldingTimes;
+  readonly slotHoldingTimes: SlotHoldingTimes;
 }
 
-/** True if an engine may answer a piece of work. */
+/** @returns True if an engine is live, not excluded, and has the required weights and adapter loaded. */
 export const isEligible = (engine: EngineReplica | undefined, work: Work): engine is EngineReplica =>
   engine?.state === "live" &&
   engine.load !== undefined &&
@@ -36,54 +41,60 @@
   work.weightsVersions.includes(engine.load.weightsVersion) &&
   (work.adapter === undefined || engine.load.adapters.includes(work.adapter));
 
-/** Makes a lister. */
-export const createCandidateLister = (parts: CandidateParts) => {
-  const { directory, picture, estimates, holdingTimes } = parts;
-  /** Walks through the engines that are not compared for their caches' sake. */
-  let sample = 0;
-  const balance = createBalance(parts);
+/** Creates a function that lists the candidates for a request. */
+export const createCandidateLister = (dependencies: CandidateDependencies) => {
+  const { directory, cacheModel, estimates, slotHoldingTimes } = dependencies;
+  /** Position of the last sampled engine among those that are not compared for their caches. */
+  let sampleOffset = 0;
+  const loadWeights = createLoadWeights(dependencies);
 
-  /** Engines that a level needs so that none is loaded by it beyond what leaves others room. */
-  const widthOf = (work: Work, chosen: Affinity, shard: Shard, now: number): number => {
+  /** Number of homes that a level needs so that its requests do not exceed the load limit of any of them. */
+  const homeCountOf = (work: Work, affinity: Affinity, shard: Shard, now: number): number => {
     const engine = directory.get(shard.members[0]?.id ?? "");
     if (engine === undefined) return 1;
     const typical = estimates.of(engine, now);
-    const slots = (chosen.rate * holdingTimes.of(work)) / typical.limit();
-    const computing =
-      chosen.rate * (work.promptTokens - chosen.level.tokens) * typical.millisecondsPerToken();
-    return Math.min(maximumWidth, Math.max(1, Math.ceil(Math.max(slots, computing) / wideningLoad)));
+    const slotLoad = (affinity.rate * slotHoldingTimes.of(work)) / typical.slotLimit();
+    const prefillLoad =
+      affinity.rate * (work.promptTokens - affinity.level.tokens) * typical.millisecondsPerToken();
+    return Math.min(
+      maximumHomesPerPrefix,
+      Math.max(1, Math.ceil(Math.max(slotLoad, prefillLoad) / maximumLoadPerHome)),
+    );
   };
 
-  const sampleOf = (members: readonly Member[]): readonly Member[] => {
-    if (members.length <= compareAllUpTo) return members;
+  const pickSample = (members: readonly Member[]): readonly Member[] => {
+    if (members.length <= fullComparisonLimit) return members;
     const chosen: Member[] = [];
     for (let count = 0; count < sampledEngines; count += 1) {
-      sample = (sample + 7919) % members.length;
-      const member = members[sample];
+      sampleOffset = (sampleOffset + 7919) % members.length;
+      const member = members[sampleOffset];
       if (member !== undefined) chosen.push(member);
     }
     return chosen;
   };
 
-  /** The prefix's homes in order, how many they are, and the engines to compare them with. */
-  const listCandidates = (work: Work, shard: Shard, chosen: Affinity, now: number): Candidates => {
-    const weightOf = balance.weightOf(shard, now);
+  const listCandidates = (work: Work, shard: Shard, affinity: Affinity, now: number): Candidates => {
+    const weightOf = loadWeights.weightOf(shard, now);
     const firstEligible = (count: number): readonly Member[] =>
-      firstInOrder(shard.members, weightOf, chosen.level.key, count).filter(({ id }) =>
+      highestRanked(shard.members, weightOf, affinity.level.key, count).filter(({ id }) =>
         isEligible(directory.get(id), work),
       );
-    const width = widthOf(work, chosen, shard, now);
-    let ordered = firstEligible(width + nextInOrder);
-    if (ordered.length < width) ordered = firstEligible(shard.members.length);
-    const homes = new Set(ordered.slice(0, width).map(({ id }) => id));
-    const believed = picture.levelBeliefs(chosen.level.key)?.keys() ?? [];
+    const homeCount = homeCountOf(work, affinity, shard, now);
+    let ordered = firstEligible(homeCount + comparedSuccessors);
+    if (ordered.length < homeCount) ordered = firstEligible(shard.members.length);
+    const homes = new Set(ordered.slice(0, homeCount).map(({ id }) => id));
+    const knownHolders = cacheModel.levelBeliefs(affinity.level.key)?.keys() ?? [];
     const listOthers = (): ReadonlySet<string> =>
       new Set(
-        [...ordered.slice(width, width + nextInOrder), ...sampleOf(shard.members), ...sampleOf(shard.others)]
+        [
+          ...ordered.slice(homeCount, homeCount + comparedSuccessors),
+          ...pickSample(shard.members),
+          ...pickSample(shard.others),
+        ]
           .map(({ id }) => id)
           .filter((id) => !homes.has(id)),
       );
-    return { homes, holders: new Set([...homes, ...believed]), listOthers };
+    return { homes, holders: new Set([...homes, ...knownHolders]), listOthers };
   };
 
   return listCandidates;
--- a/src/coordination/scheduling/constants.ts
+++ b/src/coordination/scheduling/constants.ts
@@ -1,145 +1,156 @@
-/** What the predictive scheduler is tuned with; docs/operators/placement.md says what each trades. */
+/** Constants of the predictive scheduler. Times are milliseconds unless stated otherwise. */
 
-/** The heat sketch: keys kept, decay and shortest window in milliseconds. */
-export const heatLimits = { maximumKeys: 4096, memory: 4_000, shortestWindow: 4_000 } as const;
+/** Size of the heat sketch, the time constant of its decay and its shortest rate window. */
+export const heatSketchLimits = { maximumKeys: 4096, memory: 4_000, shortestWindow: 4_000 } as const;
 
-/** The cache picture: levels kept, and engines kept for each. */
-export const pictureLimits = { maximumLevels: 8192, maximumEnginesPerLevel: 8 } as const;
+/** Size of the cache model: prefix levels, and engines for each level. */
+export const cacheModelLimits = { maximumLevels: 8192, maximumEnginesPerLevel: 8 } as const;
 
-/** What is assumed of a pool that the configuration does not (yet) describe. */
-export const unknownPool = { maximumRunning: 16, prefillTokensPerSecond: 8_000 } as const;
+/** Capacity assumed for a pool that the configuration does not (yet) describe. */
+export const defaultPoolCapacity = { maximumRunning: 16, prefillTokensPerSecond: 8_000 } as const;
 
-/** One way there and back between data centres, milliseconds. */
 export const roundTripBetweenDataCentres = 1;
 
-/** An organisation's shard: engines for each one that its standing alone would give it, and the fewest, at most half. */
+/** An organisation's shard has this many times the engines that its share of the standing amounts to. */
 export const shardFactor = 2;
-export const smallestShard = 4;
-/** Standing that shards may put on an engine, against an even spread. */
-export const shardImbalance = 1.1;
-
-/** Pools up to this size are compared whole. */
-export const compareAllUpTo = 16;
-/** Most engines that one prefix is spread over on purpose. */
-export const maximumWidth = 16;
-/** Engines next in a prefix's order that are compared beside its homes. */
-export const nextInOrder = 2;
-/** Least loaded engines of a sample that are compared beside a prefix's homes. */
+/** Engines in the smallest shard, unless that is more than half of the pool, rounded up. */
+export const minimumShardSize = 4;
+/** Highest standing that shards may put on an engine, relative to an even spread. */
+export const maximumShardImbalance = 1.1;
+
+/** Up to this many engines inside a shard, and outside it, are all fallback candidates; more are sampled. */
+export const fullComparisonLimit = 16;
+/** Maximum number of engines that are homes of one prefix. */
+export const maximumHomesPerPrefix = 16;
+/** Number of engines after the homes in a prefix's rendezvous order that are fallback candidates. */
+export const comparedSuccessors = 2;
+/** Number of engines sampled as fallback candidates where there are more than {@link fullComparisonLimit}. */
 export const sampledEngines = 2;
 
-/** Other engines are compared where a home's wait is so many times what computing the prefix anew takes. */
+/** Other engines are considered once a home's wait exceeds this many times the time to compute the prefix anew. */
 export const spillFactor = 1;
 
-/** Share of an engine's capacity that one prefix may need before it gets one more home. */
-export const wideningLoad = 1;
+/** Share of an engine's capacity that one prefix may need before it gets another home. */
+export const maximumLoadPerHome = 1;
 
-/** Share of an engine's slots from which a taken one counts against it, and the least share of free ones. */
-export const crowdedFrom = 0.5;
-export const crowdedLeast = 0.1;
+/** Share of taken slots above which each further one adds to the cost of an engine. */
+export const congestionThreshold = 0.5;
+/** Lower bound of the share of free slots by which that cost is divided. */
+export const minimumFreeShare = 0.1;
 
-/** A level is reused if it returns within the engines' retention with at least this probability. */
+/** A level counts as reused if it returns within the engines' retention with at least this probability. */
 export const reuseThreshold = 0.3;
-/** Levels that return more rarely than this are counted once in so many times. */
-export const rareReuse = 0.02;
-export const rareCounting = 16;
-/** Weight of one sighting in what is learned about the levels' reuse. */
+/** Levels whose reuse rate is below this are sampled. */
+export const rareReuseThreshold = 0.02;
+/** One in this many occurrences of a rarely reused level is recorded. */
+export const rareSamplingInterval = 16;
+/** Weight of a new sample in the learned reuse rate of levels. */
 export const reuseGain = 0.02;
 
-/** How long engines are taken to keep an unused prefix before answers tell, milliseconds; and its bounds. */
-export const firstRetention = 20_000;
-export const shortestRetention = 500;
-export const longestRetention = 600_000;
-/** Weight of one answer in the learned retention. */
+/** How long engines are assumed to keep an unused prefix until answers show it. */
+export const initialRetention = 20_000;
+export const minimumRetention = 500;
+export const maximumRetention = 600_000;
+/** Weight of a new answer in the learned retention of its engine. */
 export const retentionGain = 0.05;
-/** Weight of one answer in what is taken of all engines together. */
-export const commonRetentionGain = 0.05;
-/** A younger belief says nothing about retention, milliseconds. */
-export const youngestBelief = 50;
-
-/** Confidence that a home holds a prefix before answers tell; the weight of one answer. */
-export const firstHomeConfidence = 0.5;
+/** Weight of a new answer in the mean retention of all engines. */
+export const meanRetentionGain = 0.05;
+/** A cache entry that is younger than this says nothing about retention. */
+export const minimumRetentionSampleAge = 50;
+
+/** Confidence that a home has a prefix cached, until answers show it. */
+export const initialHomeConfidence = 0.5;
+/** Weight of a new answer in that confidence. */
 export const homeConfidenceGain = 0.05;
-/** From when and over how long other routers are taken to fill the cache of an engine that has just started. */
-export const homeSettlingFrom = 500;
-export const homeSettling = 5_000;
+/** Time after an engine's start before other routers are assumed to fill its cache. */
+export const homeWarmupDelay = 500;
+/** Time over which that confidence then rises to its full value. */
+export const homeWarmupTime = 5_000;
 
-/** Weight of one answer in the learned cost of a prompt token. */
+/** Weight of a new answer in the learned cost of a prompt token. */
 export const prefillGain = 0.1;
-/** Fewest computed tokens from which an answer says something about that cost. */
-export const fewestPrefillTokens = 200;
-/** Learned costs stay within this factor of the configured one. */
-export const prefillCorrection = 4;
-
-/** Mean wait at which a millisecond of prefill is taken to delay others by as much; and the most of it. */
-export const pressureWait = 100;
-export const highestPressure = 4;
-
-/** Part of a prefix that an engine has to be believed to hold for the prefix not to be cold. */
-export const heldFrom = 0.5;
-
-/** A prompt that takes longer to compute goes after the class's others, milliseconds: many would wait for it. */
-export const longPrefill = 200;
-/** The engines' last priority. */
+/** Fewest computed prompt tokens for which an answer is a sample of that cost. */
+export const minimumPrefillSample = 200;
+/** Maximum factor between the learned and the configured cost, in either direction. */
+export const maximumPrefillCorrection = 4;
+
+/** Mean wait at which a millisecond of prefill is assumed to delay other requests by a millisecond. */
+export const pressureReferenceWait = 100;
+/** Upper bound of that delay for each millisecond of prefill. */
+export const maximumPressure = 4;
+
+/** Share of a prefix that an engine must be expected to have cached for the prefix not to be cold there. */
+export const warmPrefixThreshold = 0.5;
+
+/** Prompts with a longer prefill run after the others of their class, many of which would wait for them. */
+export const longPrefillThreshold = 200;
+/** The lowest priority of engines; 0 is the highest. */
 export const lowestPriority = 9;
-/** Engine priority of an organisation's work while it has computed more than its share. */
-export const overSharePriority = 7;
-/** What an organisation may compute over time, in parts that its standing gives it. */
-export const computingShare = 2;
-/** What an organisation may compute at once: so many milliseconds of its share, and at least so many tokens. */
-export const computingBurst = 5_000;
-export const smallestComputingBurst = 10_000;
-/** Batch work starts while its organisation uses no more than this part of its concurrent requests. */
-export const batchConcurrency = 0.75;
-/** Engine priority of work that has to compute a cold prefix and is late anyway: it delays nobody in time. */
+/** Engine priority for organisations that are over their prefill budget. */
+export const overBudgetPriority = 7;
+/** Prefill budget of an organisation over time, as a multiple of its share by standing. */
+export const prefillBudgetFactor = 2;
+/** Burst that a prefill budget allows: the budget of this time. */
+export const prefillBurst = 5_000;
+/** Minimum of that burst, tokens. */
+export const minimumPrefillBurst = 10_000;
+/** Batch work starts while its organisation uses less than this share of its concurrent requests. */
+export const batchConcurrencyShare = 0.75;
+/** Engine priority of work that is late because of a cold prefix, so that it does not delay work in time. */
 export const latePriority = 6;
-/** Part of the time until the last token is due that such work may wait for its first. */
-export const lateShare = 0.5;
+/** Share of the time until the completion deadline within which such work must get its first token. */
+export const lateFirstTokenShare = 0.5;
 
-/** What a millisecond after the deadline weighs against one before it. */
+/** Extra weight of a millisecond of lateness, beside its weight as time to the first token. */
 export const latePenalty = 2;
 
-/** How fast a load report loses its meaning for what others do, milliseconds. */
-export const reportMemory = 700;
-/** How fast waits that answers showed are forgotten, milliseconds. */
-export const usualWaitMemory = 3_000;
-/** Weight of one report or answer in an engine's usual load or wait. */
-export const usualLoadGain = 0.1;
+/** Time constant with which a load report loses its weight in the forecast of other routers' work. */
+export const reportDecayTime = 700;
+/** Time constant with which the waits that answers showed decay. */
+export const averageWaitDecayTime = 3_000;
+/** Weight of a new report or answer in an engine's average load or wait. */
+export const averageLoadGain = 0.1;
 
-/** Routers' parts of an engine's free slots that one router may take for interactive work before the next report. */
-export const freeSlotsTaken = 2;
+/** Per-router shares of an engine's free slots that one router may use for interactive work before the next report. */
+export const interactiveFreeSlotShares = 2;
 
-/** Pending prompts from which a report counts as busy, milliseconds; the weight of one report. */
-export const busyWait = 8;
+/** Prefill time of the pending prompts in a report above which the engine counts as busy. */
+export const busyThreshold = 8;
+/** Weight of a new report in the share of busy reports. */
 export const busyGain = 0.07;
-/** How strongly homes move from engines that are busier than the others by more than a tolerance; weights change by whole steps. */
-export const balanceTolerance = 0.1;
-export const balanceGain = 1.5;
-export const balanceSteps = 10;
-export const leastBalance = 0.3;
-
-/** Share of an engine's slots that batch work may fill. */
-export const batchShare = 0.5;
-
-/** How long a request holds a slot before answers tell, milliseconds; and the weight of one answer. */
-export const firstHoldingTime = 1_000;
-export const holdingGain = 0.1;
-
-/** How long after its arrival work waits where no engine is live but some may report again, milliseconds. */
-export const enginePatience = 1_000;
-
-/** How often waiting work is looked at again while nothing else happens, milliseconds. */
-export const queueInterval = 20;
-/** Most pieces of waiting work looked at in one go, and of one organisation and class. */
-export const scannedWaiting = 64;
-export const scannedPerOrganisation = 8;
-/** Batch work whose time runs out counts as interactive; share of its deadline that is then left. */
-export const urgentShare = 0.2;
-
-/** Cost of a generated token in tokens of prompt, for fairness between organisations. */
+/** Deviation from the shard's mean busy share that does not change an engine's load weight. */
+export const loadWeightTolerance = 0.1;
+/** Change of the load weight for each unit of deviation beyond the tolerance. */
+export const loadWeightGain = 1.5;
+/** Load weights change in steps of 1 divided by this. */
+export const loadWeightSteps = 10;
+export const minimumLoadWeight = 0.3;
+
+/** Share of an engine's slots that batch work may use. */
+export const batchSlotShare = 0.5;
+
+/** How long a request is assumed to hold a slot until answers show it. */
+export const initialSlotHoldingTime = 1_000;
+/** Weight of a new request in the learned slot holding time. */
+export const slotHoldingGain = 0.1;
+
+/** How long after its arrival work waits for engines that are not live to report again, if none is live. */
+export const engineRecoveryTimeout = 1_000;
+
+/** How often the queue is processed while nothing else triggers it. */
+export const queuePollInterval = 20;
+/** Maximum number of queued items examined in one pass. */
+export const maximumScanned = 64;
+/** Maximum number of queued items examined for one organisation and class. */
+export const maximumScannedPerOrganisation = 8;
+/** Batch work is scheduled as urgently as interactive work once less than this share of its deadline is left. */
+export const urgentDeadlineShare = 0.2;
+
+/** Cost of a generated token in prompt tokens, for fairness between organisations. */
 export const generatedTokenCost = 4;
-/** Generated tokens assumed before an answer tells. */
+/** Generated tokens assumed until the answer reports its usage. */
 export const assumedGeneratedTokens = 64;
 
 /** Bounds of Retry-After, seconds. */
-export const shortestRetryAfter = 1;
-export const longestRetryAfter = 60;
+export const minimumRetryAfter = 1;
+export const maximumRetryAfter = 60;
--- a/src/coordination/scheduling/engineEstimate.ts
+++ b/src/coordination/scheduling/engineEstimate.ts
@@ -1,32 +1,32 @@
 /**
- * What one engine is predicted to do: how long a prompt waits for its turn, what a prompt token costs, how
- * many requests it takes, and how long it keeps prefixes. Load reports are late, so the router's own work is
- * counted exactly and only what others do is forecast from them.
+ * Predictions about one engine: how long a prompt waits before it is computed, what a prompt token costs, how many
+ * requests the engine runs at once, and how long it keeps prefixes. Load reports are late, so this router's own work
+ * is counted exactly and only the other routers' work is forecast from reports.
  */
 import type { EngineLoad } from "../../protocol/types.ts";
 import type { EngineReplica } from "../../state/engineDirectory.ts";
 import {
   busyGain,
-  busyWait,
-  firstRetention,
-  longestRetention,
-  prefillCorrection,
+  busyThreshold,
+  initialRetention,
+  maximumRetention,
+  maximumPrefillCorrection,
   prefillGain,
-  reportMemory,
+  reportDecayTime,
   retentionGain,
-  shortestRetention,
-  usualLoadGain,
-  usualWaitMemory,
+  minimumRetention,
+  averageLoadGain,
+  averageWaitDecayTime,
 } from "./constants.ts";
 import { createInFlightHistory } from "./inFlightHistory.ts";
 
-/** What the configuration says of an engine. */
+/** Configured capacity of an engine. */
 export interface EngineCapacity {
   readonly maximumRunning: number;
   readonly prefillTokensPerSecond: number;
 }
 
-/** A request of this router at an engine. */
+/** A request that this router has sent to an engine. */
 export interface EngineWork {
   readonly priority: number;
   /** Prompt tokens that the engine is expected to compute. */
@@ -38,115 +38,124 @@
 
 /** Predictions about one engine. Times are milliseconds, on one monotonic clock. */
 export interface EngineEstimate {
-  /** Takes in a load report that has come since. */
+  /** Applies the engine's latest load report, if it is new. */
   readonly refresh: (engine: EngineReplica, capacity: EngineCapacity, now: number) => void;
   readonly millisecondsPerToken: () => number;
-  /** @returns Milliseconds since the engine's incarnation and weights are as they are. */
-  readonly knownFor: (now: number) => number;
-  /** Time constant of the engine's forgetting of unused prefixes. */
+  /** @returns Milliseconds since the engine's current incarnation and weights were first seen. */
+  readonly identityAge: (now: number) => number;
+  /** @returns How long the engine keeps unused prefixes. */
   readonly retention: () => number;
   /** @returns How long a prompt of this priority waits for prompts of this router. */
   readonly ownWait: (priority: number, now: number) => number;
   /**
-   * @param aheadShare - Part of all routers' uncomputed prompts that goes before one of this priority.
-   * @returns How long it waits for prompts of others.
+   * @param aheadShare - Share of all routers' uncomputed prompt tokens that goes before a prompt of this priority.
+   * @returns How long such a prompt waits for prompts of other routers.
    */
   readonly othersWait: (priority: number, aheadShare: number, now: number) => number;
-  /** @returns How busy reports have shown the engine to be for some time, 0 to 1. */
-  readonly busy: () => number;
-  /** @returns Slots that others are believed to hold. */
+  /** @returns Share of recent reports in which the engine was busy, 0 to 1. */
+  readonly busyShare: () => number;
+  /** @returns Estimated number of slots that other routers' requests hold. */
   readonly othersRunning: (now: number) => number;
   readonly ownRunning: () => number;
-  /** @returns Slots that this router held when the last report was taken. */
-  readonly ownReported: () => number;
-  /** Requests that the engine works on at once without queueing them. */
-  readonly limit: () => number;
+  /** @returns Slots that this router's requests held when the last report was taken. */
+  readonly ownRunningAtReport: () => number;
+  /** @returns Number of requests that the engine runs at once without queueing. */
+  readonly slotLimit: () => number;
   readonly begin: (work: EngineWork) => void;
-  /** The engine has computed the work's prompt. */
+  /** Records that the engine has computed the work's prompt. */
   readonly firstToken: (work: EngineWork, now: number) => void;
   readonly end: (work: EngineWork, now: number) => void;
-  /** Learns what a prompt token costs from an answer. */
+  /** Learns the cost of a prompt token from an answer. */
   readonly learnPrefill: (computedTokens: number, milliseconds: number) => void;
-  /** Learns from an answer how long it waited for others' prompts. */
+  /** Learns from an answer how long its prompt waited for other routers' prompts. */
   readonly learnWait: (priority: number, milliseconds: number, now: number) => void;
-  /** Learns from an answer whether a belief held. @param confidence - What was believed, 0 to 1. */
-  readonly learnRetention: (held: boolean, confidence: number) => void;
+  /**
+   * Learns the retention from an answer.
+   *
+   * @param wasCached - Whether the expected level was cached.
+   * @param confidence - The confidence with which it had been expected, 0 to 1.
+   */
+  readonly learnRetention: (wasCached: boolean, confidence: number) => void;
 }
 
 const clamp = (value: number, low: number, high: number): number => Math.min(high, Math.max(low, value));
 
-/** Makes an estimate that knows the configuration only. */
+/** Creates an estimate that is based on the configuration until reports and answers arrive. */
 export const createEngineEstimate = (): EngineEstimate => {
   const prefilling = new Set<EngineWork>();
   const history = createInFlightHistory();
   let running = 0;
   let pendingTokens = 0;
-  let configuredCost = 0;
-  let cost = 0;
-  let limit = 1;
-  let retention = firstRetention;
+  let configuredTokenCost = 0;
+  let tokenCost = 0;
+  let slotLimit = 1;
+  let retention = initialRetention;
   let lastReport: EngineLoad | undefined;
   let identity = "";
-  let knownSince = 0;
+  let identitySince = 0;
   let reportAt = Number.NEGATIVE_INFINITY;
-  let busy = 0;
+  let busyShare = 0;
   let ownAtReport = 0;
-  let othersAtReport = 0;
-  let othersUsual = 0;
+  let othersRunningAtReport = 0;
+  let othersAverage = 0;
   let othersTokensAtReport = 0;
-  /** By priority: waits for others, as answers showed them. */
-  const usualWaits = new Map<number, { wait: number; readonly at: number }>();
-  /** Since when the engine has worked on the prompt that is next to give a token. */
-  let progressFrom = 0;
+  /** Average wait for other routers' prompts that answers showed, by priority. */
+  const averageWaits = new Map<number, { wait: number; readonly at: number }>();
+  /** When the engine began to compute the prompt whose first token is expected next. */
+  let progressSince = 0;
 
-  const remember = (now: number): void => history.note(now, running, pendingTokens);
+  const recordInFlight = (now: number): void => history.record(now, running, pendingTokens);
 
   const learnLimit = (engine: EngineReplica, maximum: number): void => {
-    const { running: busy = 0, waiting = 0 } = engine.load ?? {};
-    if (waiting > 0 && busy < limit) limit = Math.max(1, limit + (busy - limit) * 0.3);
-    else if (waiting === 0) limit += 1;
-    limit = clamp(limit, 1, maximum);
+    const { running: reportedRunning = 0, waiting = 0 } = engine.load ?? {};
+    if (waiting > 0 && reportedRunning < slotLimit)
+      slotLimit = Math.max(1, slotLimit + (reportedRunning - slotLimit) * 0.3);
+    else if (waiting === 0) slotLimit += 1;
+    slotLimit = clamp(slotLimit, 1, maximum);
   };
 
   const refresh = (engine: EngineReplica, capacity: EngineCapacity, now: number): void => {
     const configured = 1_000 / capacity.prefillTokensPerSecond;
-    if (configured !== configuredCost) {
-      configuredCost = configured;
-      cost = configured;
-      limit = capacity.maximumRunning;
+    if (configured !== configuredTokenCost) {
+      configuredTokenCost = configured;
+      tokenCost = configured;
+      slotLimit = capacity.maximumRunning;
     }
     const { load, loadReadAt } = engine;
     if (load === undefined || load === lastReport) return;
     lastReport = load;
     reportAt = loadReadAt;
     const reported = `${load.incarnation} ${load.weightsVersion}`;
-    if (reported !== identity) knownSince = now;
+    if (reported !== identity) identitySince = now;
     identity = reported;
     const own = history.at(loadReadAt);
     ownAtReport = own.running;
-    othersAtReport = Math.max(0, load.running + load.waiting - own.running);
+    othersRunningAtReport = Math.max(0, load.running + load.waiting - own.running);
     othersTokensAtReport = Math.max(0, load.pendingPromptTokens - own.pendingTokens);
-    othersUsual += (othersAtReport - othersUsual) * usualLoadGain;
-    busy += ((load.pendingPromptTokens * cost > busyWait ? 1 : 0) - busy) * busyGain;
+    othersAverage += (othersRunningAtReport - othersAverage) * averageLoadGain;
+    busyShare += ((load.pendingPromptTokens * tokenCost > busyThreshold ? 1 : 0) - busyShare) * busyGain;
     learnLimit(engine, capacity.maximumRunning);
   };
 
-  /** How much a late report still tells of what is true now. */
-  const reportWeight = (now: number): number => Math.exp(Math.min(0, reportAt - now) / reportMemory);
+  /** Weight of the last report, which decays with its age. */
+  const reportWeight = (now: number): number => Math.exp(Math.min(0, reportAt - now) / reportDecayTime);
 
   const ownWait = (priority: number, now: number): number => {
     let ahead = 0;
     for (const work of prefilling) if (work.priority <= priority) ahead += work.uncachedTokens;
-    const worked = prefilling.size === 0 ? 0 : (now - progressFrom) / cost;
-    return Math.max(0, ahead - worked) * cost;
+    const progressedTokens = prefilling.size === 0 ? 0 : (now - progressSince) / tokenCost;
+    return Math.max(0, ahead - progressedTokens) * tokenCost;
   };
 
-  const usualWait = (priority: number, now: number): number => {
-    const usual = usualWaits.get(priority);
-    return usual === undefined ? 0 : usual.wait * Math.exp((usual.at - now) / usualWaitMemory);
+  const averageWait = (priority: number, now: number): number => {
+    const average = averageWaits.get(priority);
+    return average === undefined ? 0 : average.wait * Math.exp((average.at - now) / averageWaitDecayTime);
   };
 
-  /** By how much the first token of own work that would go before is late: something else is being computed. */
+  /**
+   * How long the first token of own work that goes before this priority is overdue, which shows that the engine is
+   * computing something else.
+   */
   const overdue = (priority: number, now: number): number => {
     let longest = 0;
     for (const work of prefilling) {
@@ -158,60 +167,60 @@
 
   const othersWait = (priority: number, aheadShare: number, now: number): number => {
     const weight = reportWeight(now);
-    const reported = othersTokensAtReport * aheadShare * cost;
-    const forecast = usualWait(priority, now) * (1 - weight) + reported * weight;
+    const reported = othersTokensAtReport * aheadShare * tokenCost;
+    const forecast = averageWait(priority, now) * (1 - weight) + reported * weight;
     return Math.max(forecast, overdue(priority, now));
   };
 
   const removePrefilling = (work: EngineWork, now: number): void => {
     if (!prefilling.delete(work)) return;
     pendingTokens = Math.max(0, pendingTokens - work.uncachedTokens);
-    progressFrom = now;
+    progressSince = now;
   };
 
   return {
     refresh,
-    millisecondsPerToken: () => cost,
-    knownFor: (now) => now - knownSince,
+    millisecondsPerToken: () => tokenCost,
+    identityAge: (now) => now - identitySince,
     retention: () => retention,
     ownWait,
     othersWait,
-    busy: () => busy,
-    othersRunning: (now) => othersUsual + (othersAtReport - othersUsual) * reportWeight(now),
+    busyShare: () => busyShare,
+    othersRunning: (now) => othersAverage + (othersRunningAtReport - othersAverage) * reportWeight(now),
     ownRunning: () => running,
-    ownReported: () => ownAtReport,
-    limit: () => limit,
+    ownRunningAtReport: () => ownAtReport,
+    slotLimit: () => slotLimit,
     begin: (work) => {
-      if (prefilling.size === 0) progressFrom = work.dispatchedAt;
+      if (prefilling.size === 0) progressSince = work.dispatchedAt;
       prefilling.add(work);
       running += 1;
       pendingTokens += work.uncachedTokens;
-      remember(work.dispatchedAt);
+      recordInFlight(work.dispatchedAt);
     },
     firstToken: (work, now) => {
       removePrefilling(work, now);
-      remember(now);
+      recordInFlight(now);
     },
     end: (work, now) => {
       removePrefilling(work, now);
       running -= 1;
-      remember(now);
+      recordInFlight(now);
     },
     learnPrefill: (computedTokens, milliseconds) => {
       const bounded = clamp(
         milliseconds / computedTokens,
-        configuredCost / prefillCorrection,
-        configuredCost * prefillCorrection,
+        configuredTokenCost / maximumPrefillCorrection,
+        configuredTokenCost * maximumPrefillCorrection,
       );
-      cost += (bounded - cost) * prefillGain;
+      tokenCost += (bounded - tokenCost) * prefillGain;
     },
     learnWait: (priority, milliseconds, now) => {
-      const before = usualWait(priority, now);
-      usualWaits.set(priority, { wait: before + (milliseconds - before) * usualLoadGain, at: now });
+      const previous = averageWait(priority, now);
+      averageWaits.set(priority, { wait: previous + (milliseconds - previous) * averageLoadGain, at: now });
     },
-    learnRetention: (held, confidence) => {
-      const factor = held ? 1 + retentionGain * (1 - confidence) : 1 - retentionGain * confidence;
-      retention = clamp(retention * factor, shortestRetention, longestRetention);
+    learnRetention: (wasCached, confidence) => {
+      const factor = wasCached ? 1 + retentionGain * (1 - confidence) : 1 - retentionGain * confidence;
+      retention = clamp(retention * factor, minimumRetention, maximumRetention);
     },
   };
 };
--- a/src/coordination/scheduling/engineEstimates.ts
+++ b/src/coordination/scheduling/engineEstimates.ts
@@ -1,27 +1,26 @@
-/** The estimates of all engines of a directory, kept as long as the directory keeps the engine. */
+/** Estimates for all engines of a directory; an estimate is removed together with its engine. */
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
-import { commonRetentionGain, firstRetention, unknownPool } from "./constants.ts";
+import { meanRetentionGain, initialRetention, defaultPoolCapacity } from "./constants.ts";
 import { createEngineEstimate } from "./engineEstimate.ts";
 import type { EngineEstimate } from "./engineEstimate.ts";
 
-/** Estimates by engine. */
 export interface EngineEstimates extends Disposable {
-  /** @returns The engine's estimate with its last report taken in. */
+  /** @returns The engine's estimate, up to date with its last report. */
   readonly of: (engine: EngineReplica, now: number) => EngineEstimate;
-  /** @returns How long engines usually keep unused prefixes, milliseconds. */
+  /** @returns How long engines keep unused prefixes on average, milliseconds. */
   readonly retention: () => number;
-  /** Learns from an answer of an engine whether a belief held; see {@link EngineEstimate}. */
-  readonly learnRetention: (estimate: EngineEstimate, held: boolean, confidence: number) => void;
+  /** Learns the retention of an engine, and the mean of all engines, from an answer. */
+  readonly learnRetention: (estimate: EngineEstimate, wasCached: boolean, confidence: number) => void;
 }
 
-/** Makes estimates over a directory. */
+/** Creates estimates that follow a directory until they are disposed. */
 export const createEngineEstimates = (
   directory: EngineDirectory,
   configuration: () => ConfigurationIndex | undefined,
 ): EngineEstimates => {
   const estimates = new Map<string, EngineEstimate>();
-  let retention = firstRetention;
+  let retention = initialRetention;
   const unsubscribe = directory.subscribe(({ kind, engine }) => {
     if (kind === "removed") estimates.delete(engine.id);
   });
@@ -33,13 +32,13 @@
         estimate = createEngineEstimate();
         estimates.set(engine.id, estimate);
       }
-      estimate.refresh(engine, configuration()?.pools.get(engine.pool) ?? unknownPool, now);
+      estimate.refresh(engine, configuration()?.pools.get(engine.pool) ?? defaultPoolCapacity, now);
       return estimate;
     },
     retention: () => retention,
-    learnRetention: (estimate, held, confidence) => {
-      estimate.learnRetention(held, confidence);
-      retention += (estimate.retention() - retention) * commonRetentionGain;
+    learnRetention: (estimate, wasCached, confidence) => {
+      estimate.learnRetention(wasCached, confidence);
+      retention += (estimate.retention() - retention) * meanRetentionGain;
     },
     [Symbol.dispose]: unsubscribe,
   };
--- a/src/coordination/scheduling/homeConfidence.ts
+++ b/src/coordination/scheduling/homeConfidence.ts
@@ -1,21 +1,20 @@
 /**
- * How likely a prefix's home holds it although this router has not sent it there: others have, if it is shared by
- * all. Learned from answers, apart for each organisation and for prefixes of different heat.
+ * Confidence that a prefix's home has it cached although this router has not sent it there: if all routers share
+ * the prefix, others have. Learned from answers, separately for each organisation and range of request rates.
  */
-import { firstHomeConfidence, homeConfidenceGain, homeSettling, homeSettlingFrom } from "./constants.ts";
+import { initialHomeConfidence, homeConfidenceGain, homeWarmupTime, homeWarmupDelay } from "./constants.ts";
 
-/** Confidence in homes. */
 export interface HomeConfidence {
   /**
-   * @param rate - Requests of all routers for the prefix, a millisecond; 0 if this router has met it once at most.
-   * @param knownFor - Milliseconds since the engine's present incarnation and weights are known.
-   * @returns 0 to 1.
+   * @param rate - Requests of all routers for the prefix, per millisecond; 0 if this router has seen it at most once.
+   * @param knownFor - Milliseconds since the engine's current incarnation and weights were first seen.
+   * @returns The confidence, 0 to 1.
    */
-  readonly of: (organisation: string, rate: number, knownFor: number) => number;
-  readonly learn: (organisation: string, rate: number, held: boolean) => void;
+  readonly of: (organisation: string, rate: number, identityAge: number) => number;
+  readonly learn: (organisation: string, rate: number, wasCached: boolean) => void;
 }
 
-/** Upper bounds of the rates that are learned about together, a millisecond. */
+/** Upper bounds of the ranges of request rates, per millisecond; each range is learned separately. */
 const rateBounds = [0, 0.0005, 0.001, 0.002, 0.004] as const;
 
 const bucketOf = (rate: number): number => {
@@ -25,7 +24,6 @@
 
 const clampShare = (share: number): number => Math.min(1, Math.max(0, share));
 
-/** Makes a confidence that has learned nothing. */
 export const createHomeConfidence = (): HomeConfidence => {
   const learned = new Map<string, number[]>();
 
@@ -36,15 +34,15 @@
   };
 
   return {
-    of: (organisation, rate, knownFor) => {
-      const confidence = bucketsOf(organisation)[bucketOf(rate)] ?? firstHomeConfidence;
-      return confidence * clampShare((knownFor - homeSettlingFrom) / homeSettling);
+    of: (organisation, rate, identityAge) => {
+      const confidence = bucketsOf(organisation)[bucketOf(rate)] ?? initialHomeConfidence;
+      return confidence * clampShare((identityAge - homeWarmupDelay) / homeWarmupTime);
     },
-    learn: (organisation, rate, held) => {
+    learn: (organisation, rate, wasCached) => {
       const buckets = bucketsOf(organisation);
       const bucket = bucketOf(rate);
-      const before = buckets[bucket] ?? firstHomeConfidence;
-      buckets[bucket] = before + ((held ? 1 : 0) - before) * homeConfidenceGain;
+      const before = buckets[bucket] ?? initialHomeConfidence;
+      buckets[bucket] = before + ((wasCached ? 1 : 0) - before) * homeConfidenceGain;
     },
   };
 };
--- a/src/coordination/scheduling/inFlightHistory.ts
+++ b/src/coordination/scheduling/inFlightHistory.ts
@@ -1,41 +1,40 @@
 /**
- * How much of a router's own work was at an engine at a recent time, so that a late load report can be split
- * into its own part and the others'.
+ * History of this router's requests in flight at an engine, by which a late load report is split into this router's
+ * part and that of the others.
  */
 
-/** Own work at one time. */
+/** This router's requests at an engine at one point in time. */
 export interface InFlight {
   readonly running: number;
   readonly pendingTokens: number;
 }
 
-/** The last changes of what is in flight; bounded. */
+/** A bounded number of the latest changes. */
 export interface InFlightHistory {
-  /** @param at - Not before the last note. */
-  readonly note: (at: number, running: number, pendingTokens: number) => void;
-  /** @returns What was in flight at a time; the oldest that is known for times before. */
+  /** @param at - Time of the change; not before the last recorded one. */
+  readonly record: (at: number, running: number, pendingTokens: number) => void;
+  /** @returns What was in flight at a time; for times before the history, its oldest entry if entries were dropped. */
   readonly at: (time: number) => InFlight;
 }
 
-const keptChanges = 64;
+const maximumChanges = 64;
 
-/** Makes an empty history. */
 export const createInFlightHistory = (): InFlightHistory => {
   const changes: (InFlight & { readonly at: number })[] = [];
   let next = 0;
 
   return {
-    note: (at, running, pendingTokens) => {
-      changes[next % keptChanges] = { at, running, pendingTokens };
+    record: (at, running, pendingTokens) => {
+      changes[next % maximumChanges] = { at, running, pendingTokens };
       next += 1;
     },
     at: (time) => {
-      const oldest = Math.max(0, next - keptChanges);
+      const oldest = Math.max(0, next - maximumChanges);
       for (let index = next - 1; index >= oldest; index -= 1) {
-        const change = changes[index % keptChanges];
+        const change = changes[index % maximumChanges];
         if (change !== undefined && change.at <= time) return change;
       }
-      const first = changes[oldest % keptChanges];
+      const first = changes[oldest % maximumChanges];
       return oldest > 0 && first !== undefined ? first : { running: 0, pendingTokens: 0 };
     },
   };
--- a/src/coordination/scheduling/organisationLimits.ts
+++ b/src/coordination/scheduling/organisationLimits.ts
@@ -1,49 +1,50 @@
-/** Limits of an organisation over all routers, of which this router keeps its share. */
+/** Enforces this router's share of the limits that organisations have over all routers. */
 import type { OrganisationConfiguration } from "../../protocol/configuration/schema.ts";
 import type { RequestContext } from "../../protocol/types.ts";
-import { batchConcurrency } from "./constants.ts";
+import { batchConcurrencyShare } from "./constants.ts";
 
 /**
- * Counts an organisation's requests against its limits. Interactive work counts from its arrival; batch work only
- * while an engine has it, so that what waits takes no room from the organisation's interactive work.
+ * Counts organisations' requests against their limits. Interactive work counts from its arrival, batch work only
+ * while it is assigned to an engine, so that waiting batch work does not block the organisation's interactive work.
  */
 export interface OrganisationLimits {
   /**
-   * Takes one more request if the limits allow it.
+   * Admits one more request if the limits allow it.
    *
-   * @returns Milliseconds after which to ask again, or undefined if the request was taken.
+   * @returns Milliseconds after which to retry, or `undefined` if the request was admitted.
    */
-  readonly take: (context: RequestContext, now: number) => number | undefined;
-  /** Counts a further attempt of a request that was taken already. */
-  readonly retake: (context: RequestContext, now: number) => void;
-  /** False while batch work has to wait for other work of its organisation to end. */
+  readonly admit: (context: RequestContext, now: number) => number | undefined;
+  /** Counts a further attempt of a request that was admitted before. */
+  readonly readmit: (context: RequestContext, now: number) => void;
+  /** @returns False while batch work must wait for other work of its organisation to end. */
   readonly mayStart: (context: RequestContext) => boolean;
-  /** An engine gets the request. */
+  /** Records that an engine is assigned to the request. */
   readonly start: (context: RequestContext) => void;
-  /** A request ends that no engine got. */
-  readonly giveUp: (context: RequestContext) => void;
-  /** A request ends that an engine had. */
+  /** Records the end of a request that was never assigned to an engine. */
+  readonly cancel: (context: RequestContext) => void;
+  /** Records the end of a request that was assigned to an engine. */
   readonly end: (context: RequestContext) => void;
   readonly dump: () => unknown;
 }
 
 interface Account {
   concurrent: number;
-  /** Requests that may start at once. */
+  /** Requests that may be admitted immediately (the tokens of a token bucket). */
   allowance: number;
   filledAt: number;
 }
 
-/** The allowance of so many milliseconds may be used at once. */
-const burst = 1_000;
-/** And never fewer requests than this: a router's part of a small limit would refuse usual arrivals. */
-const smallestBurst = 4;
+/** The allowance of this many milliseconds may be used in a burst. */
+const burstWindow = 1_000;
+/** Fewest requests in a burst: with less, a router's share of a small limit would refuse ordinary arrivals. */
+const minimumBurst = 4;
+/** Retry delay once the concurrent requests are used up, milliseconds. */
 const concurrentRetryAfter = 1_000;
 
 /**
- * Makes accounts.
+ * Creates the accounts of all organisations.
  *
- * @param share - This router's part of an organisation's limits, 0 to 1.
+ * @param share - This router's share of an organisation's limits, 0 to 1.
  */
 export const createOrganisationLimits = (share: (organisation: string) => number): OrganisationLimits => {
   const accounts = new Map<string, Account>();
@@ -58,53 +59,53 @@
     return known;
   };
 
-  const fill = (account: Account, rate: number, now: number): void => {
-    const most = Math.max(smallestBurst, rate * burst);
-    account.allowance = Math.min(most, account.allowance + rate * (now - account.filledAt));
+  const refill = (account: Account, rate: number, now: number): void => {
+    const capacity = Math.max(minimumBurst, rate * burstWindow);
+    account.allowance = Math.min(capacity, account.allowance + rate * (now - account.filledAt));
     account.filledAt = now;
   };
 
   const isBatch = ({ requestClass }: RequestContext): boolean => requestClass.kind === "batch";
 
-  /** Rounded down, so that the routers' parts never add up to more than the whole. */
-  const mostConcurrent = ({ name, limits }: OrganisationConfiguration): number =>
+  /** Rounded down, so that the routers' shares never add up to more than the limit. */
+  const concurrencyLimit = ({ name, limits }: OrganisationConfiguration): number =>
     Math.floor(limits.concurrentRequests * share(name));
 
-  const count = ({ organisation }: RequestContext, difference: 1 | -1): void => {
+  const adjustConcurrent = ({ organisation }: RequestContext, difference: 1 | -1): void => {
     const account = accounts.get(organisation.name);
     if (account !== undefined) account.concurrent = Math.max(0, account.concurrent + difference);
   };
 
   return {
-    take: (context, now) => {
+    admit: (context, now) => {
       const { organisation } = context;
       const account = accountOf(organisation, now);
       const rate = (organisation.limits.requestsPerSecond * share(organisation.name)) / 1_000;
-      fill(account, rate, now);
-      const isFull = account.concurrent >= mostConcurrent(organisation);
+      refill(account, rate, now);
+      const isFull = account.concurrent >= concurrencyLimit(organisation);
       if (isFull && !isBatch(context)) return concurrentRetryAfter;
       if (account.allowance < 1) return (1 - account.allowance) / rate;
       account.allowance -= 1;
-      if (!isBatch(context)) count(context, 1);
+      if (!isBatch(context)) adjustConcurrent(context, 1);
       return undefined;
     },
-    retake: (context, now) => {
+    readmit: (context, now) => {
       accountOf(context.organisation, now);
-      if (!isBatch(context)) count(context, 1);
+      if (!isBatch(context)) adjustConcurrent(context, 1);
     },
     mayStart: (context) => {
       if (!isBatch(context)) return true;
-      const most = mostConcurrent(context.organisation);
+      const limit = concurrencyLimit(context.organisation);
       const running = accounts.get(context.organisation.name)?.concurrent ?? 0;
-      return running < Math.max(Math.min(1, most), Math.floor(most * batchConcurrency));
+      return running < Math.max(Math.min(1, limit), Math.floor(limit * batchConcurrencyShare));
     },
     start: (context) => {
-      if (isBatch(context)) count(context, 1);
+      if (isBatch(context)) adjustConcurrent(context, 1);
     },
-    giveUp: (context) => {
-      if (!isBatch(context)) count(context, -1);
+    cancel: (context) => {
+      if (!isBatch(context)) adjustConcurrent(context, -1);
     },
-    end: (context) => count(context, -1),
+    end: (context) => adjustConcurrent(context, -1),
     dump: () => Object.fromEntries([...accounts].map(([name, { concurrent }]) => [name, concurrent])),
   };
 };
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,4 +1,4 @@
-/** Chooses an engine for a piece of work by the first token's predicted time and the prompt's recomputation. */
+/** Chooses an engine for a request by the predicted time to first token and the prompt tokens to be recomputed. */
 import type { ObjectiveConfiguration } from "../../protocol/configuration/schema.ts";
 import type { CachePicture, EngineStamp } from "../../state/cachePicture.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
@@ -6,97 +6,96 @@
 import type { Affinity, AffinityLearner } from "./affinity.ts";
 import { createCandidateLister, isEligible } from "./candidates.ts";
 import { createCacheForecast } from "./cacheForecast.ts";
-import type { Belief } from "./cacheForecast.ts";
+import type { ExpectedLevel } from "./cacheForecast.ts";
 import {
-  batchShare,
-  crowdedFrom,
-  crowdedLeast,
-  freeSlotsTaken,
-  heldFrom,
-  highestPressure,
+  batchSlotShare,
+  congestionThreshold,
+  minimumFreeShare,
+  interactiveFreeSlotShares,
+  warmPrefixThreshold,
+  maximumPressure,
   latePenalty,
   latePriority,
-  longPrefill,
+  longPrefillThreshold,
   lowestPriority,
-  overSharePriority,
-  lateShare,
-  pressureWait,
+  overBudgetPriority,
+  lateFirstTokenShare,
+  pressureReferenceWait,
   roundTripBetweenDataCentres,
   spillFactor,
 } from "./constants.ts";
-import type { ComputingShares } from "./prefillBudgets.ts";
+import type { PrefillBudgets } from "./prefillBudgets.ts";
 import type { EngineEstimate } from "./engineEstimate.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
 import type { HomeConfidence } from "./homeConfidence.ts";
-import type { HoldingTimes } from "./slotHoldingTimes.ts";
+import type { SlotHoldingTimes } from "./slotHoldingTimes.ts";
 import type { PriorityMix } from "./priorityMix.ts";
 import type { Work } from "./Scheduler.ts";
 import type { Shard, ShuffleShards } from "./shuffleShards.ts";
 
-/** What a choice is made from. */
-export interface PlacementParts {
+export interface PlacementDependencies {
   readonly directory: EngineDirectory;
   readonly configuration: () => ConfigurationIndex | undefined;
   readonly dataCentre: string;
   readonly liveRouters: () => number;
-  readonly picture: CachePicture;
+  readonly cacheModel: CachePicture;
   readonly estimates: EngineEstimates;
-  readonly affinity: AffinityLearner;
+  readonly affinityLearner: AffinityLearner;
   readonly shards: ShuffleShards;
-  readonly holdingTimes: HoldingTimes;
+  readonly slotHoldingTimes: SlotHoldingTimes;
   readonly priorityMix: PriorityMix;
   readonly homeConfidence: HomeConfidence;
-  readonly computingShares: ComputingShares;
+  readonly prefillBudgets: PrefillBudgets;
 }
 
-/** An engine with what is predicted for one piece of work there. Times are milliseconds. */
+/** What is predicted for a request at one engine. Times are milliseconds. */
 export interface Prediction {
   readonly engine: EngineReplica;
   readonly stamp: EngineStamp | undefined;
   readonly estimate: EngineEstimate;
   readonly cachedTokens: number;
-  /** The deepest level that the engine is believed to hold from this router's own work, if any. */
-  readonly believed: Belief | undefined;
-  /** The level that decided where it belongs. */
+  /** The deepest level expected in the engine's cache, judging by this router's own work, if any. */
+  readonly expectedLevel: ExpectedLevel | undefined;
+  /** The level by which the prompt is placed. */
   readonly affinity: Affinity;
-  /** A home of that level to which this router has not sent it. */
-  readonly homeUntested: boolean;
-  /** Spent waiting for this router's own work. */
+  /** True for a home of that level to which this router has not recently sent the level. */
+  readonly isUnobservedHome: boolean;
+  /** Wait for this router's own prompts. */
   readonly ownWait: number;
-  /** Until the engine begins to compute the prompt. */
+  /** Time until the engine begins to compute the prompt. */
   readonly wait: number;
   readonly prefill: number;
-  /** From the deadline to the first token; negative if it comes in time. */
+  /** Time from the deadline to the first token; negative if the token arrives in time. */
   readonly lateBy: number;
-  /** For the engine. */
+  /** Priority that the engine is given. */
   readonly priority: number;
   readonly isHome: boolean;
-  /** For each piece of work that goes before this one, if there is no room. */
-  readonly queueTurn: number;
+  /** Delay for each queued item that goes before this one, if there is no room. */
+  readonly delayPerQueuedItem: number;
   readonly hasRoom: boolean;
-  /** What is spent on the work by itself; the smaller the better. */
-  readonly spent: number;
+  /** Cost by the objective, without lateness and pressure; lower is better. */
+  readonly baseCost: number;
 }
 
-/** Compares engines for a piece of work. */
+/** Compares engines for a request. */
 export interface Placement {
-  /** @returns The best engine, whether or not it has room now; undefined where no live engine may answer. */
+  /** @returns The best engine, whether or not it has room now; `undefined` if no engine is eligible. */
   readonly choose: (work: Work, now: number) => Prediction | undefined;
 }
 
 const defaultObjective: ObjectiveConfiguration = { timeToFirstToken: 1, recomputation: 1 };
 
-/** The cheapest of the engines; those that are late cost more than any that is not. */
+/** The prediction with the lowest cost; lateness is penalised. */
 const cheapest = (predictions: readonly Prediction[]): Prediction | undefined => {
   let waits = 0;
   for (const { wait } of predictions) waits += wait;
-  // Where work waits already, each prompt that is computed again makes all the others wait.
-  const pressure = Math.min(highestPressure, waits / predictions.length / pressureWait);
+  // Where work is already waiting, each recomputed prompt delays all the others.
+  const pressure = Math.min(maximumPressure, waits / predictions.length / pressureReferenceWait);
   let best: Prediction | undefined;
   let least = Number.POSITIVE_INFINITY;
   for (const prediction of predictions) {
-    const { spent, prefill, lateBy } = prediction;
-    const cost = spent + pressure * prefill + latePenalty * Math.max(0, lateBy);
+    const { baseCost, prefill, lateBy } = prediction;
+    const cost = baseCost + pressure * prefill + latePenalty * Math.max(0, lateBy);
     if (cost >= least) continue;
     least = cost;
     best = prediction;
@@ -104,108 +103,115 @@
   return best;
 };
 
-const isHeldBy = ({ cachedTokens, affinity }: Prediction): boolean =>
-  cachedTokens >= affinity.level.tokens * heldFrom;
+const isWarm = ({ cachedTokens, affinity }: Prediction): boolean =>
+  cachedTokens >= affinity.level.tokens * warmPrefixThreshold;
 
-/** Makes a placement. */
-export const createPlacement = (parts: PlacementParts): Placement => {
-  const { directory, estimates, picture, affinity, holdingTimes } = parts;
-  const listCandidates = createCandidateLister(parts);
+export const createPlacement = (dependencies: PlacementDependencies): Placement => {
+  const { directory, estimates, cacheModel, affinityLearner, slotHoldingTimes } = dependencies;
+  const listCandidates = createCandidateLister(dependencies);
 
   const objectiveOf = (work: Work): ObjectiveConfiguration => {
     const { requestClass } = work.context;
     if (requestClass.objective !== undefined) return requestClass.objective;
-    const deployments = parts.configuration()?.configuration.deployments ?? [];
+    const deployments = dependencies.configuration()?.configuration.deployments ?? [];
     return deployments.find(({ name }) => name === requestClass.deployment)?.objective ?? defaultObjective;
   };
 
   /**
-   * Each router has its part of an engine's slots for certain, and may take some of those that the last report
-   * shows free; as others may too, not all of them.
+   * Each router may always use its share of an engine's slots, and some of the slots that were free in the last
+   * report; not all of those, since other routers may use them too.
    */
   const hasRoom = (work: Work, estimate: EngineEstimate, now: number): boolean => {
     const isBatch = work.context.requestClass.kind === "batch";
-    const limit = Math.max(1, estimate.limit() * (isBatch ? batchShare : 1));
-    const routers = Math.max(1, parts.liveRouters());
+    const limit = Math.max(1, estimate.slotLimit() * (isBatch ? batchSlotShare : 1));
+    const routers = Math.max(1, dependencies.liveRouters());
     const own = estimate.ownRunning();
-    const reported = estimate.ownReported();
+    const reported = estimate.ownRunningAtReport();
     const free = Math.round(limit) - reported - Math.round(estimate.othersRunning(now));
-    const budget = reported + free * Math.min(1, (isBatch ? 1 : freeSlotsTaken) / routers);
-    const ownPart = routers > 1 ? Math.max(1, Math.floor(limit / routers)) : 0;
-    return own + 1 <= Math.max(ownPart, budget);
+    const budget = reported + free * Math.min(1, (isBatch ? 1 : interactiveFreeSlotShares) / routers);
+    const ownShare = routers > 1 ? Math.max(1, Math.floor(limit / routers)) : 0;
+    return own + 1 <= Math.max(ownShare, budget);
   };
 
-  /** How long until one of an engine's slots is free, if all are taken. */
+  /** Expected time until a slot of the engine becomes free, if all are taken. */
   const slotWait = (work: Work, estimate: EngineEstimate): number =>
-    holdingTimes.of(work) / Math.max(1, estimate.limit());
+    slotHoldingTimes.of(work) / Math.max(1, estimate.slotLimit());
 
-  /** What it costs others that an engine comes near to being full: rises before its slots are all taken. */
-  const crowding = (work: Work, estimate: EngineEstimate, now: number): number => {
-    const limit = Math.max(1, estimate.limit());
+  /** Cost to other requests of filling up an engine; it rises before all slots are taken. */
+  const congestionCost = (work: Work, estimate: EngineEstimate, now: number): number => {
+    const limit = Math.max(1, estimate.slotLimit());
     const taken = (estimate.ownRunning() + estimate.othersRunning(now) + 1) / limit;
-    if (taken <= crowdedFrom) return 0;
-    return ((holdingTimes.of(work) / limit) * (taken - crowdedFrom)) / Math.max(crowdedLeast, 1 - taken);
+    if (taken <= congestionThreshold) return 0;
+    return (
+      ((slotHoldingTimes.of(work) / limit) * (taken - congestionThreshold)) /
+      Math.max(minimumFreeShare, 1 - taken)
+    );
   };
 
   const priorityOf = ({ context }: Work, shard: Shard, now: number): number => {
     const { priority } = context.requestClass;
-    const isOver = parts.computingShares.isOver(context.organisation.name, shard, now);
-    return isOver ? Math.max(overSharePriority, priority) : priority;
+    const isOverBudget = dependencies.prefillBudgets.isOverBudget(context.organisation.name, shard, now);
+    return isOverBudget ? Math.max(overBudgetPriority, priority) : priority;
   };
 
   const choose = (work: Work, now: number): Prediction | undefined => {
-    const shard = parts.shards.shardOf(work.context.organisation, work.pools);
-    const chosen = affinity.choose(work, estimates.retention(), now);
-    if (chosen === undefined) return undefined;
+    const shard = dependencies.shards.shardOf(work.context.organisation, work.pools);
+    const affinity = affinityLearner.choose(work, estimates.retention(), now);
+    if (affinity === undefined) return undefined;
     const objective = objectiveOf(work);
     const priority = priorityOf(work, shard, now);
-    const { homes, holders, listOthers } = listCandidates(work, shard, chosen, now);
-    const forecast = createCacheForecast(picture, work.levels, chosen.level.key);
-    /** Requests that will use what a home computes now. */
-    const users = Math.max(1, (chosen.rate * estimates.retention()) / Math.max(1, homes.size));
+    const { homes, holders, listOthers } = listCandidates(work, shard, affinity, now);
+    const forecast = createCacheForecast(cacheModel, work.levels, affinity.level.key);
+    /** Requests expected to reuse the prefix that a home computes now. */
+    const expectedReuses = Math.max(1, (affinity.rate * estimates.retention()) / Math.max(1, homes.size));
     const remaining = work.context.firstTokenDeadline - now;
 
     const predict = (engine: EngineReplica): Prediction => {
       const estimate = estimates.of(engine, now);
-      const stamp = picture.stampOf(engine);
+      const stamp = cacheModel.stampOf(engine);
       const isHome = homes.has(engine.id);
       const prior = isHome
-        ? parts.homeConfidence.of(work.context.organisation.name, chosen.rate, estimate.knownFor(now))
+        ? dependencies.homeConfidence.of(
+            work.context.organisation.name,
+            affinity.rate,
+            estimate.identityAge(now),
+          )
         : 0;
       const cachedTokens = forecast.cachedTokens(stamp, estimate.retention(), prior, now);
       const tokenCost = estimate.millisecondsPerToken();
       const prefill = (work.promptTokens - cachedTokens) * tokenCost;
-      const room = hasRoom(work, estimate, now);
-      const turn = room ? 0 : slotWait(work, estimate);
-      // Work that may turn out long goes after the class's others, whatever other routers are hoped to have done.
-      const known = forecast.cachedTokens(stamp, estimate.retention(), 0, now);
-      const isLong = (work.promptTokens - known) * tokenCost > longPrefill;
-      const ownPriority = isLong ? Math.min(lowestPriority, priority + 1) : priority;
-      const aheadShare = parts.priorityMix.aheadShare(priority);
+      const hasRoomNow = hasRoom(work, estimate, now);
+      const slotDelay = hasRoomNow ? 0 : slotWait(work, estimate);
+      // Work with a possibly long prefill runs after the others of its class. Only this router's own work counts for
+      // this, since that other routers filled the cache is not certain.
+      const observedTokens = forecast.cachedTokens(stamp, estimate.retention(), 0, now);
+      const isLong = (work.promptTokens - observedTokens) * tokenCost > longPrefillThreshold;
+      const enginePriority = isLong ? Math.min(lowestPriority, priority + 1) : priority;
+      const aheadShare = dependencies.priorityMix.aheadShare(priority);
       const ownWait = estimate.ownWait(priority, now);
-      const distance = engine.dataCentre === parts.dataCentre ? 0 : roundTripBetweenDataCentres;
-      const wait = ownWait + estimate.othersWait(priority, aheadShare, now) + turn + distance;
-      const recomputation = isHome ? prefill / users : prefill;
-      const spent =
-        objective.timeToFirstToken * (wait + prefill + crowding(work, estimate, now)) +
+      const networkDelay = engine.dataCentre === dependencies.dataCentre ? 0 : roundTripBetweenDataCentres;
+      const wait = ownWait + estimate.othersWait(priority, aheadShare, now) + slotDelay + networkDelay;
+      const recomputation = isHome ? prefill / expectedReuses : prefill;
+      const baseCost =
+        objective.timeToFirstToken * (wait + prefill + congestionCost(work, estimate, now)) +
         objective.recomputation * recomputation;
       return {
         engine,
         stamp,
         estimate,
         cachedTokens,
-        affinity: chosen,
-        homeUntested: isHome && forecast.isUnknown(stamp, estimate.retention(), now),
-        believed: forecast.believed(stamp, estimate.retention(), now),
+        affinity,
+        isUnobservedHome: isHome && forecast.isUnknown(stamp, estimate.retention(), now),
+        expectedLevel: forecast.expectedLevel(stamp, estimate.retention(), now),
         ownWait,
         wait,
         lateBy: wait + prefill - remaining,
-        priority: ownPriority,
+        priority: enginePriority,
         isHome,
         prefill,
-        queueTurn: turn / Math.max(1, shard.members.length),
-        hasRoom: room,
-        spent,
+        delayPerQueuedItem: slotDelay / Math.max(1, shard.members.length),
+        hasRoom: hasRoomNow,
+        baseCost,
       };
     };
 
@@ -218,30 +224,30 @@
       return predictions;
     };
 
-    // Other engines are no choice while a holder will do: each copy takes cache from other prefixes.
-    const first = predictAll(holders);
-    const preferred = cheapest(first);
+    // Other engines are considered only if no holder will do: each copy takes cache space from other prefixes.
+    const holderPredictions = predictAll(holders);
+    const preferred = cheapest(holderPredictions);
     if (preferred?.hasRoom === true) {
-      const recomputed = chosen.level.tokens * preferred.estimate.millisecondsPerToken();
-      if (preferred.lateBy <= 0 && preferred.wait <= recomputed * spillFactor) return preferred;
-      if (!first.some(isHeldBy) && preferred.lateBy <= preferred.prefill) {
-        return computeLate(work, preferred, now);
+      const recomputeTime = affinity.level.tokens * preferred.estimate.millisecondsPerToken();
+      if (preferred.lateBy <= 0 && preferred.wait <= recomputeTime * spillFactor) return preferred;
+      if (!holderPredictions.some(isWarm) && preferred.lateBy <= preferred.prefill) {
+        return deferLatePrefill(work, preferred, now);
       }
     }
-    return cheapest([...first, ...predictAll(listOthers())]);
+    return cheapest([...holderPredictions, ...predictAll(listOthers())]);
   };
 
   /**
-   * A prefix that no engine holds, and that can't be computed in time: its first request computes it at home all
-   * the same, or it would be late for ever, but goes after what is in time.
+   * Accepts a request that is late only because no engine has its prefix cached, at a low priority, so that it runs
+   * after work in time. If all such requests were refused, the prefix would never be computed.
    */
-  const computeLate = (work: Work, home: Prediction, now: number): Prediction => {
+  const deferLatePrefill = (work: Work, home: Prediction, now: number): Prediction => {
     const { estimate, prefill } = home;
     const priority = Math.max(latePriority, home.priority);
-    const aheadShare = parts.priorityMix.aheadShare(priority);
+    const aheadShare = dependencies.priorityMix.aheadShare(priority);
     const ownWait = estimate.ownWait(priority, now);
     const wait = ownWait + estimate.othersWait(priority, aheadShare, now);
-    const remaining = (work.context.completionDeadline - now) * lateShare;
+    const remaining = (work.context.completionDeadline - now) * lateFirstTokenShare;
     return { ...home, priority, ownWait, wait, lateBy: wait + prefill - remaining };
   };
 
--- a/src/coordination/scheduling/prefillBudgets.ts
+++ b/src/coordination/scheduling/prefillBudgets.ts
@@ -1,15 +1,15 @@
 /**
- * How much prompt computing each organisation has used beside its share of the engines. Who is over its share
- * may use what the others leave, at a lower engine priority.
+ * Token buckets of prompt computation, one for each organisation and sized by its share of the engines. An
+ * organisation that is over its budget may use the capacity that others leave, at a lower engine priority.
  */
-import { computingBurst, computingShare, smallestComputingBurst } from "./constants.ts";
+import { prefillBurst, prefillBudgetFactor, minimumPrefillBurst } from "./constants.ts";
 import type { Shard } from "./shuffleShards.ts";
 
-/** This router's accounts of prompt tokens. */
-export interface ComputingShares {
-  /** True if an organisation has used up what its standing gives it. */
-  readonly isOver: (organisation: string, shard: Shard, now: number) => boolean;
-  /** @param tokens - Prompt tokens computed for it; negative to give back. */
+/** This router's budgets of computed prompt tokens. */
+export interface PrefillBudgets {
+  /** @returns True if an organisation has used up the budget that its standing gives it. */
+  readonly isOverBudget: (organisation: string, shard: Shard, now: number) => boolean;
+  /** @param tokens - Prompt tokens computed for the organisation; negative values are refunds. */
   readonly charge: (organisation: string, tokens: number) => void;
 }
 
@@ -19,21 +19,21 @@
 }
 
 /**
- * Makes full accounts.
+ * Creates budgets that start out full.
  *
- * @param liveRouters - Routers among which an organisation's requests are spread evenly.
+ * @param liveRouters - Number of routers, over which an organisation's requests are assumed to be spread evenly.
  */
-export const createComputingShares = (liveRouters: () => number): ComputingShares => {
+export const createPrefillBudgets = (liveRouters: () => number): PrefillBudgets => {
   const accounts = new Map<string, Account>();
 
   return {
-    isOver: (organisation, shard, now) => {
-      const tokensPerSecond = shard.standingShare * shard.tokensPerSecond * computingShare;
+    isOverBudget: (organisation, shard, now) => {
+      const tokensPerSecond = shard.standingShare * shard.tokensPerSecond * prefillBudgetFactor;
       const rate = tokensPerSecond / 1_000 / Math.max(1, liveRouters());
-      const most = Math.max(smallestComputingBurst, rate * computingBurst);
-      const account = accounts.get(organisation) ?? { tokens: most, filledAt: now };
+      const capacity = Math.max(minimumPrefillBurst, rate * prefillBurst);
+      const account = accounts.get(organisation) ?? { tokens: capacity, filledAt: now };
       accounts.set(organisation, account);
-      account.tokens = Math.min(most, account.tokens + rate * (now - account.filledAt));
+      account.tokens = Math.min(capacity, account.tokens + rate * (now - account.filledAt));
       account.filledAt = now;
       return account.tokens < 0;
     },
--- a/src/coordination/scheduling/priorityMix.ts
+++ b/src/coordination/scheduling/priorityMix.ts
@@ -1,21 +1,21 @@
-/** Which part of the work that engines have not computed yet goes before work of a priority. */
+/** Estimates which share of the prompt tokens that engines have not computed yet goes before a given priority. */
 
-/** Learned from this router's own work, which is taken to be like the others'. */
+/** Distribution of uncomputed tokens over priorities; this router's work is assumed to be like that of the others. */
 export interface PriorityMix {
-  readonly note: (priority: number, uncachedTokens: number) => void;
-  /** @returns 0 to 1. */
+  readonly record: (priority: number, uncachedTokens: number) => void;
+  /** @returns Share of the tokens with this priority or a higher one, 0 to 1. */
   readonly aheadShare: (priority: number) => number;
 }
 
-/** Part of what is known that one more piece of work leaves in force. */
-const memory = 0.995;
+/** Factor by which each new request reduces the weight of the earlier ones. */
+const decayFactor = 0.995;
 
-/** Makes a mix that knows nothing: until told otherwise, all goes before. */
+/** Creates an empty mix; until work is recorded, all tokens count as going before. */
 export const createPriorityMix = (): PriorityMix => {
   const tokens = new Map<number, number>();
   return {
-    note: (priority, uncachedTokens) => {
-      for (const [known, sum] of tokens) tokens.set(known, sum * memory);
+    record: (priority, uncachedTokens) => {
+      for (const [known, sum] of tokens) tokens.set(known, sum * decayFactor);
       tokens.set(priority, (tokens.get(priority) ?? 0) + uncachedTokens);
     },
     aheadShare: (priority) => {
--- a/src/coordination/scheduling/shuffleShards.ts
+++ b/src/coordination/scheduling/shuffleShards.ts
@@ -1,50 +1,50 @@
 /**
- * Where prefixes belong, computed from the membership alone: every router that knows the same engines comes
- * to the same order without a message.
+ * Shuffle sharding of engines among organisations. Shards and rendezvous orders are computed from the engines and
+ * the configuration alone, so routers that know the same ones agree without exchanging messages.
  *
- * An organisation's work is confined to a shard of the engines, sized by its standing and picked by rendezvous
- * hashing, so that what it does to caches reaches few of its rivals wholly. Within the shard, a prefix has a
- * rendezvous order of its own.
+ * An organisation's work is confined to a shard of the engines, sized by its standing and chosen by rendezvous
+ * hashing, so that it can evict all cached prefixes of only a few other organisations. Within the shard, each prefix
+ * has its own rendezvous order.
  */
 import type { OrganisationConfiguration } from "../../protocol/configuration/schema.ts";
 import { hash64 } from "../../protocol/prefixLevels.ts";
 import type { EngineDirectory } from "../../state/engineDirectory.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
-import { shardFactor, shardImbalance, smallestShard, unknownPool } from "./constants.ts";
+import { shardFactor, maximumShardImbalance, minimumShardSize, defaultPoolCapacity } from "./constants.ts";
 
-/** An engine as a member of rendezvous orders. */
+/** An engine in a rendezvous order. */
 export interface Member {
   readonly id: string;
   readonly hashHigh: number;
   readonly hashLow: number;
-  /** Relative to the pool's other members. */
+  /** Capacity relative to the largest of the compared pools, 0 to 1. */
   readonly weight: number;
 }
 
-/** The engines that serve some pools, and the shard of one organisation among them. */
+/** The shard of one organisation among the engines of some pools. */
 export interface Shard {
   readonly members: readonly Member[];
   /** Engines of the same pools outside the shard. */
   readonly others: readonly Member[];
   readonly equalWeights: boolean;
-  /** The organisation's part of the standing of all that share the engines, 0 to 1. */
+  /** The organisation's share of the total standing of all organisations that use the engines, 0 to 1. */
   readonly standingShare: number;
-  /** Prompt tokens that all engines of the pools compute. */
+  /** Prompt tokens per second that all engines of the pools compute together. */
   readonly tokensPerSecond: number;
 }
 
-/** Computes shards, and keeps them until membership or configuration change. */
+/** Computes shards, and caches them until the engines or the configuration change. */
 export interface ShuffleShards extends Disposable {
   readonly shardOf: (organisation: OrganisationConfiguration, pools: readonly string[]) => Shard;
 }
 
-const halves = (hash: bigint): readonly [high: number, low: number] => [
+const splitHash = (hash: bigint): readonly [high: number, low: number] => [
   Number(hash >> 32n),
   Number(hash & 0xffffffffn),
 ];
 
-/** Mixes a key's and an engine's hash into 32 bits. */
-const mix = (high: number, low: number, member: Member): number => {
+/** Combines the hashes of a key and an engine into 32 bits. */
+const mixHashes = (high: number, low: number, member: Member): number => {
   let hash = Math.imul(high ^ member.hashHigh, 0x85ebca6b);
   hash ^= hash >>> 15;
   hash = Math.imul(hash ^ low ^ member.hashLow, 0xc2b2ae35);
@@ -53,16 +53,19 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 };
 
-const weigh = (hash: number, weight: number): number => -weight / Math.log((hash + 0.5) / 0x1_0000_0000);
+/** Score for weighted rendezvous hashing. */
+const weightedScore = (hash: number, weight: number): number =>
+  -weight / Math.log((hash + 0.5) / 0x1_0000_0000);
 
 /**
- * The first members of a key's weighted rendezvous order.
+ * Ranks members for a key by weighted rendezvous hashing.
  *
  * @param key - 16 hexadecimal digits.
- * @param weightOf - Relative weights; left out where all are alike.
- * @param count - How many are wanted.
+ * @param weightOf - Relative weights; `undefined` if all are equal.
+ * @param count - Maximum number of members returned.
+ * @returns The highest-ranked members, best first.
  */
-export const firstInOrder = (
+export const highestRanked = (
   members: readonly Member[],
   weightOf: ((member: Member) => number) | undefined,
   key: string,
@@ -73,13 +76,13 @@
   const best: Member[] = [];
   const scores: number[] = [];
   for (const member of members) {
-    const hash = mix(high, low, member);
-    const score = weightOf === undefined ? hash : weigh(hash, weightOf(member));
+    const hash = mixHashes(high, low, member);
+    const score = weightOf === undefined ? hash : weightedScore(hash, weightOf(member));
     if (best.length === count && score <= (scores[count - 1] ?? 0)) continue;
-    let place = best.length;
-    while (place > 0 && (scores[place - 1] ?? 0) < score) place -= 1;
-    best.splice(place, 0, member);
-    scores.splice(place, 0, score);
+    let position = best.length;
+    while (position > 0 && (scores[position - 1] ?? 0) < score) position -= 1;
+    best.splice(position, 0, member);
+    scores.splice(position, 0, score);
     if (best.length <= count) continue;
     best.pop();
     scores.pop();
@@ -97,15 +100,15 @@
   tokensPerSecond: 0,
 };
 
-const hexOf = (text: string): string => hash64(text).toString(16).padStart(16, "0");
+const hexHash = (text: string): string => hash64(text).toString(16).padStart(16, "0");
 
-/** Makes shards over a directory. */
+/** Creates shards that follow a directory until they are disposed. */
 export const createShuffleShards = (
   directory: EngineDirectory,
   configuration: () => ConfigurationIndex | undefined,
 ): ShuffleShards => {
   const memberLists = new Map<string, readonly Member[]>();
-  /** By pools, then by organisation. */
+  /** By pools, then by name of the organisation. */
   const shards = new Map<string, ReadonlyMap<string, Shard>>();
   let version: number | undefined;
 
@@ -118,7 +121,8 @@
   });
 
   const capacityOf = (pool: string): number => {
-    const { maximumRunning, prefillTokensPerSecond } = configuration()?.pools.get(pool) ?? unknownPool;
+    const { maximumRunning, prefillTokensPerSecond } =
+      configuration()?.pools.get(pool) ?? defaultPoolCapacity;
     return maximumRunning * prefillTokensPerSecond;
   };
 
@@ -127,20 +131,20 @@
     return pools.flatMap((pool) => {
       const weight = capacityOf(pool) / largest;
       return directory.inPool(pool).map(({ id }) => {
-        const [hashHigh, hashLow] = halves(hash64(id));
+        const [hashHigh, hashLow] = splitHash(hash64(id));
         return { id, hashHigh, hashLow, weight };
       });
     });
   };
 
   const membersOf = (pools: readonly string[]): readonly Member[] => {
-    const name = pools.join(" ");
-    const known = memberLists.get(name) ?? listMembers(pools);
-    memberLists.set(name, known);
+    const poolsKey = pools.join(" ");
+    const known = memberLists.get(poolsKey) ?? listMembers(pools);
+    memberLists.set(poolsKey, known);
     return known;
   };
 
-  /** Those that share the pools' engines, in an order that all routers have. */
+  /** The organisations that share the pools' engines, in an order that is the same at all routers. */
   const sharersOf = (
     organisation: OrganisationConfiguration,
     pools: readonly string[],
@@ -159,8 +163,8 @@
   };
 
   /**
-   * Each organisation takes the first engines of its own order that have not yet been given more than their part
-   * of the standing, so that no engine is in the shards of many and another in none.
+   * Each organisation gets the first engines of its rendezvous order that have not yet been assigned more than their
+   * share of the standing, so that no engine is in many shards while another is in none.
    */
   const computeShards = (
     organisation: OrganisationConfiguration,
@@ -172,26 +176,27 @@
     const totalStanding = sharers.reduce((sum, { standing }) => sum + standing, 0);
     const totalWeight = all.reduce((sum, { weight }) => sum + weight, 0);
     const tokensPerSecond = pools.reduce((sum, pool) => {
-      const { prefillTokensPerSecond } = configuration()?.pools.get(pool) ?? unknownPool;
+      const { prefillTokensPerSecond } = configuration()?.pools.get(pool) ?? defaultPoolCapacity;
       return sum + directory.inPool(pool).length * prefillTokensPerSecond;
     }, 0);
-    const given = new Map<Member, number>();
+    const assignedStanding = new Map<Member, number>();
 
     const computeShard = ({ name, standing }: OrganisationConfiguration): Shard => {
       const share = standing / totalStanding;
       const wanted = Math.ceil(all.length * share * shardFactor);
-      const least = Math.min(smallestShard, Math.ceil(all.length / 2));
+      const least = Math.min(minimumShardSize, Math.ceil(all.length / 2));
       const size = Math.min(all.length, Math.max(least, wanted));
-      const key = hexOf(`shard\u0000${name}\u0000${pools.join(" ")}`);
-      const ordered = firstInOrder(all, equalWeights ? undefined : ownWeight, key, all.length);
+      const key = hexHash(`shard\u0000${name}\u0000${pools.join(" ")}`);
+      const ordered = highestRanked(all, equalWeights ? undefined : ownWeight, key, all.length);
       const loadWith = (member: Member): number =>
-        ((given.get(member) ?? 0) + share / size) / (member.weight / totalWeight);
-      const fitting = ordered.filter((member) => loadWith(member) <= shardImbalance);
+        ((assignedStanding.get(member) ?? 0) + share / size) / (member.weight / totalWeight);
+      const withinLimit = ordered.filter((member) => loadWith(member) <= maximumShardImbalance);
       const rest = ordered
-        .filter((member) => loadWith(member) > shardImbalance)
+        .filter((member) => loadWith(member) > maximumShardImbalance)
         .sort((left, right) => loadWith(left) - loadWith(right));
-      const members = [...fitting, ...rest].slice(0, size);
-      for (const member of members) given.set(member, (given.get(member) ?? 0) + share / size);
+      const members = [...withinLimit, ...rest].slice(0, size);
+      for (const member of members)
+        assignedStanding.set(member, (assignedStanding.get(member) ?? 0) + share / size);
       const inside = new Set(members);
       const others = all.filter((member) => !inside.has(member));
       return { members, others, equalWeights, standingShare: share, tokensPerSecond };
@@ -202,14 +207,14 @@
 
   return {
     shardOf: (organisation, pools) => {
-      const inForce = configuration()?.version;
-      if (inForce !== version) clear();
-      version = inForce;
-      const name = pools.join(" ");
-      const known = shards.get(name)?.get(organisation.name);
+      const currentVersion = configuration()?.version;
+      if (currentVersion !== version) clear();
+      version = currentVersion;
+      const poolsKey = pools.join(" ");
+      const known = shards.get(poolsKey)?.get(organisation.name);
       if (known !== undefined) return known;
       const computed = computeShards(organisation, pools);
-      shards.set(name, computed);
+      shards.set(poolsKey, computed);
       return computed.get(organisation.name) ?? emptyShard;
     },
     [Symbol.dispose]: unsubscribe,
--- a/src/coordination/scheduling/slotHoldingTimes.ts
+++ b/src/coordination/scheduling/slotHoldingTimes.ts
@@ -1,24 +1,23 @@
-/** How long requests of a class hold an engine's slot, learned from those that ended. */
-import { firstHoldingTime, holdingGain } from "./constants.ts";
+/** Learns from finished requests how long those of each class hold an engine slot. */
+import { initialSlotHoldingTime, slotHoldingGain } from "./constants.ts";
 import type { Work } from "./Scheduler.ts";
 
-/** Holding times by class. */
-export interface HoldingTimes {
-  /** @returns Milliseconds that a piece of work is expected to hold its slot. */
+/** Slot holding times by request class. */
+export interface SlotHoldingTimes {
+  /** @returns How long the work is expected to hold its slot, milliseconds. */
   readonly of: (work: Work) => number;
-  /** @param milliseconds - From dispatch to the end. */
+  /** @param milliseconds - Time from dispatch to the end of the request. */
   readonly learn: (work: Work, milliseconds: number) => void;
 }
 
-/** Makes holding times that have learned nothing yet. */
-export const createHoldingTimes = (): HoldingTimes => {
+export const createSlotHoldingTimes = (): SlotHoldingTimes => {
   const times = new Map<string, number>();
-  const of = (work: Work): number => times.get(work.context.requestClass.name) ?? firstHoldingTime;
+  const of = (work: Work): number => times.get(work.context.requestClass.name) ?? initialSlotHoldingTime;
   return {
     of,
     learn: (work, milliseconds) => {
       const before = of(work);
-      times.set(work.context.requestClass.name, before + (milliseconds - before) * holdingGain);
+      times.set(work.context.requestClass.name, before + (milliseconds - before) * slotHoldingGain);
     },
   };
 };
