--- a/src/coordination/scheduling/PredictiveScheduler.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.ts
@@ -80,7 +80,10 @@
 const reusedKeys = (work: Work, { affinity }: Prediction): readonly string[] =>
   work.levels.slice(0, affinity.index + 1).map(({ key }) => key);
 
-/** Predicts from what earlier answers and load reports have shown; its tables are bounded. */
+/**
+ * Predicts from what earlier answers and load reports have shown. The tables of prefixes are bounded; other state is
+ * kept for each engine, organisation, request class and priority.
+ */
 export class PredictiveScheduler extends Scheduler implements Disposable {
   private readonly directory: EngineDirectory;
   private readonly clock: Clock;
