--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -15,7 +15,7 @@
 import { unavailableStatuses } from "./constants.ts";
 
 export interface ReportObserverDependencies {
-  readonly limits: Pick<ReplicaLimits, "hear" | "hearUnnamed">;
+  readonly limits: Pick<ReplicaLimits, "observeLimit" | "observeNoLimit">;
   readonly replicas: Pick<ReplicaTable, "get" | "markDraining" | "subscribe">;
   /** An answer reported draining, which this router didn't know. */
   readonly onDraining: (id: string) => void;
@@ -83,11 +83,11 @@
       return;
     }
     if (limit === undefined || limit >= bindingRate) {
-      limits.hearUnnamed(replica, span);
+      limits.observeNoLimit(replica, span);
       return;
     }
     metrics.count(metricNames.limitsNamed);
-    limits.hear(replica, { perSecond: limit, ...span });
+    limits.observeLimit(replica, { perSecond: limit, ...span });
   };
 
   const observeDraining = (request: AnsweredRequest, { isDraining, status }: ReplicaReport): void => {
