--- a/src/coordination/coordinators/constants.ts
+++ b/src/coordination/coordinators/constants.ts
@@ -1,47 +1,48 @@
-/** Limits of what one router keeps for all. Durations are milliseconds. */
+/** Constants for the coordination of keys. Durations are milliseconds. */
 
-/** Between two looks at who keeps what. */
-export const lookInterval = 250;
+/** Interval at which each router checks which keys it coordinates. */
+export const pollInterval = 250;
 
 /**
- * A router that was not heard for so long keeps nothing any more: the next one takes over. Longer than the time after
- * which a router that hears too few others stops granting, so that two never grant at once.
+ * A router from which nothing was received for this long coordinates nothing any more: its successor takes over. It is
+ * longer than {@link dataCentreTimeout}, after which a coordinator without a majority of data centres stops granting, so
+ * that two routers never grant at once.
  */
-export const takeoverSilence = 2_500;
+export const takeoverTimeout = 2_500;
 
-/** Data centres that were not heard for so long count as cut off from this router. */
-export const quorumSilence = 1_500;
+/** A data centre from which nothing was received for this long counts as partitioned from this router. */
+export const dataCentreTimeout = 1_500;
 
 /**
- * A router that has just started need not wait so long once so many of those that come next have answered it: they have
- * heard of it, and whichever kept the count keeps it no more. With the wait alone, most requests of large organisations
- * would be refused for that time after most routers have restarted together.
+ * A router that has just started may act before {@link takeoverTimeout} has passed once this many successors have
+ * answered it: they know it by then, and whichever of them coordinated the key has stopped. With the timeout alone, most
+ * requests of large organisations would be refused for that time after most routers restart together.
  */
-export const answersBeforeActing = 5;
+export const successorsToConfirm = 5;
 
-/** Those that come after a keeper ask it for a sign of life when it was silent for so long. */
-export const probeSilence = 700;
+/** Successors ask a coordinator for a heartbeat when nothing was received from it for this long. */
+export const probeAfter = 700;
 
-/** What nobody has asked about for so long is looked after no more by those that come after its keeper. */
-export const watchMemory = 30_000;
+/** Successors stop monitoring a key that nobody has asked about for this long. */
+export const monitorRetention = 30_000;
 
 /**
- * How many of those that come first look after what one of them keeps, and how many are asked at once; further ones
- * where all of these are silent.
+ * The number of routers, from the first of a key's order on, that monitor the key, and that one request asks one after
+ * another. Later routers follow where all of these are unreachable.
  */
-export const keepersTried = 3;
+export const maxCandidates = 3;
 
-/** A process whose own timer came so late stood still: what it believed of others is old. */
-export const standstill = 1_000;
+/** A process whose own timer fires this late was paused: its view of the other routers is out of date. */
+export const processPause = 1_000;
 
-/** Longest wait for an answer: so many times what answers took of late, between two bounds. */
-export const answerPatience = { factor: 4, shortest: 15, longest: 80 } as const;
+/** Timeout of a query: a multiple of the average answer time, between two bounds. */
+export const answerTimeout = { factor: 4, shortest: 15, longest: 80 } as const;
 
-/** Until answers have shown otherwise: how long one takes. */
-export const assumedAnswerTime = 5;
+/** The expected answer time until answers have been received. */
+export const initialAnswerTime = 5;
 
-/** Part of a new observation in the average time of an answer. */
+/** Weight of a new sample in the moving average of answer times. */
 export const answerTimeGain = 0.1;
 
-/** A router that did not answer, or doesn't keep what it was asked about, is passed over for so long. */
-export const passedOver = 400;
+/** A router that did not answer, or does not coordinate the key it was asked about, is skipped for this long. */
+export const skipDuration = 400;
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -1,28 +1,31 @@
-/** Asks keepers one at a time, and tells their answers from those that come too late. */
+/** Sends queries to coordinators and matches answers to them; answers that arrive after the timeout are dropped. */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { KeeperQuestion, LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
 import { encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
 import { createAnswerTimes } from "../answerTimes.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
-import { answerPatience, answerTimeGain, assumedAnswerTime } from "./constants.ts";
+import { answerTimeGain, answerTimeout, initialAnswerTime } from "./constants.ts";
 
-/** What asking works with. */
-export interface KeeperQuestionsParts {
+export interface CoordinatorQueriesDependencies {
   readonly link: DatagramLink;
   readonly clock: Clock;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** See {@link createKeeperQuestions}. */
-export interface KeeperQuestions {
-  /** @returns The answer of the router that is asked, whatever the question's number; nothing if it doesn't come in time. */
-  readonly ask: (to: LiveRouter, question: KeeperQuestion) => Promise<LimitAnswer | undefined>;
-  /** Asks for a sign of life: any answer is one. */
+/** Queries that this router has sent and that wait for an answer. */
+export interface CoordinatorQueries {
+  /**
+   * Sends a query under a number of its own; the number in the query is ignored.
+   *
+   * @returns The answer of that router, or `undefined` if none arrives within the timeout.
+   */
+  readonly ask: (to: LiveRouter, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  /** Asks for a heartbeat: any answer counts as one. */
   readonly probe: (to: LiveRouter) => void;
-  /** An answer has come. */
-  readonly hear: (answer: LimitAnswer) => void;
+  /** Resolves the query that an answer belongs to. */
+  readonly receive: (answer: LimitAnswer) => void;
 }
 
 interface Pending {
@@ -30,10 +33,14 @@
   readonly settle: (answer: LimitAnswer | undefined) => void;
 }
 
-/** Numbers begin at random below this: an answer to the process that had this address before grants nothing. */
-const firstNumbers = 2 ** 32;
+/**
+ * Query numbers start at a random value below this, so that an answer meant for the process that had this address before
+ * is not taken as a grant.
+ */
+const firstNumberBound = 2 ** 32;
 
-const signOfLife: LimitQuestion = {
+/** A question without an organisation asks for a heartbeat only. */
+const heartbeatQuery: LimitQuestion = {
   kind: "question",
   number: 0,
   organisation: "",
@@ -42,39 +49,43 @@
   returned: 0,
 };
 
-/** Creates a way to ask. */
-export const createKeeperQuestions = ({ link, clock, random }: KeeperQuestionsParts): KeeperQuestions => {
+/** Creates the queries of one router, none of them pending. */
+export const createCoordinatorQueries = ({
+  link,
+  clock,
+  random,
+}: CoordinatorQueriesDependencies): CoordinatorQueries => {
   const pending = new Map<number, Pending>();
-  let number = Math.floor(random() * firstNumbers);
+  let lastNumber = Math.floor(random() * firstNumberBound);
   const times = createAnswerTimes({
-    assumed: assumedAnswerTime,
+    assumed: initialAnswerTime,
     gain: answerTimeGain,
-    patience: answerPatience,
+    patience: answerTimeout,
   });
 
   return {
-    ask: ({ at }, question) =>
+    ask: ({ at }, query) =>
       new Promise((resolve) => {
-        number += 1;
-        const own = number;
-        const callOff = clock.after(times.patience(), () => {
-          pending.delete(own);
+        lastNumber += 1;
+        const number = lastNumber;
+        const cancelTimeout = clock.after(times.patience(), () => {
+          pending.delete(number);
           resolve(undefined);
         });
         const settle = (answer: LimitAnswer | undefined): void => {
-          callOff();
+          cancelTimeout();
           resolve(answer);
         };
-        pending.set(own, { askedAt: clock.monotonic(), settle });
-        link.send(at, encodeLimitMessage({ ...question, number: own }));
+        pending.set(number, { askedAt: clock.monotonic(), settle });
+        link.send(at, encodeLimitMessage({ ...query, number }));
       }),
-    probe: ({ at }) => link.send(at, encodeLimitMessage(signOfLife)),
-    hear: (answer) => {
-      const asked = pending.get(answer.number);
-      if (asked === undefined) return;
+    probe: ({ at }) => link.send(at, encodeLimitMessage(heartbeatQuery)),
+    receive: (answer) => {
+      const query = pending.get(answer.number);
+      if (query === undefined) return;
       pending.delete(answer.number);
-      times.note(clock.monotonic() - asked.askedAt);
-      asked.settle(answer);
+      times.note(clock.monotonic() - query.askedAt);
+      query.settle(answer);
     },
   };
 };
--- a/src/coordination/coordinators/coordinators.ts
+++ b/src/coordination/coordinators/coordinators.ts
@@ -1,8 +1,8 @@
 /**
- * Which router keeps something for all, such as the count of an organisation's use or what a replica takes: the one that
- * comes first in an order that every router computes alike. Nobody agrees on it. One that takes over has heard nothing
- * of those before it for longer than they would go on without hearing most data centres, so that two never grant at
- * once; each begins with a bucket that is nearly empty.
+ * Determines which router coordinates a key, such as an organisation's usage or a replica's rate limit, for all routers:
+ * the first in an order that every router computes alike, without a consensus protocol. A router takes over only after
+ * it has received nothing from its predecessors for longer than they would keep granting without a majority of data
+ * centres, so that two never grant at once. Each coordinator starts with a bucket that is nearly empty.
  */
 import type { DatagramAddress } from "../../protocol/forwarding/DatagramLink.ts";
 import { hash32 } from "../../protocol/prefixLevels.ts";
@@ -10,66 +10,65 @@
 import { mixHashes } from "../forwarding/rendezvousReplica.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
 import {
-  answersBeforeActing,
-  keepersTried,
-  lookInterval,
-  probeSilence,
-  quorumSilence,
-  standstill,
-  takeoverSilence,
+  dataCentreTimeout,
+  maxCandidates,
+  pollInterval,
+  probeAfter,
+  processPause,
+  successorsToConfirm,
+  takeoverTimeout,
 } from "./constants.ts";
-import { createWatches } from "./monitors.ts";
+import { createMonitors } from "./monitors.ts";
 
-/** What keepers are found with. */
 export interface CoordinatorsDependencies {
   readonly self: LiveRouter;
-  /** @returns The other routers that may be serving, silent ones included. */
+  /** @returns The other routers that may be serving, unreachable ones included. */
   readonly others: () => readonly LiveRouter[];
-  /** @returns The data centre whose routers come first for a subject; nothing if none is nearer than others. */
-  readonly nearestDataCentre?: (subject: string) => string | undefined;
+  /** @returns The data centre whose routers come first for a key; `undefined` if none is preferred. */
+  readonly nearestDataCentre?: (key: string) => string | undefined;
   readonly clock: Clock;
 }
 
-/** See {@link createCoordinators}. */
+/** One router's view of which router coordinates each key. */
 export interface Coordinators {
-  /** @returns The routers from the first to the last that may keep a subject, this one included. */
-  readonly orderFor: (subject: string) => readonly LiveRouter[];
-  /** Whether this router is the one to grant at this moment. */
-  readonly isActing: (subject: string) => boolean;
-  /** The subject is of use now: those that come after its keeper notice its silence from here on. */
-  readonly monitor: (subject: string) => void;
-  /** Any datagram has come. */
+  /** @returns All routers in the order in which they coordinate a key, this one included. */
+  readonly orderFor: (key: string) => readonly LiveRouter[];
+  /** Whether this router coordinates the key now and may grant. */
+  readonly isActing: (key: string) => boolean;
+  /** Marks a key as active: its successors detect an unreachable coordinator from now on. */
+  readonly monitor: (key: string) => void;
+  /** Notes that a datagram of any kind was received from a router. */
   readonly noteReceived: (from: DatagramAddress) => void;
-  /** A router has answered: it has heard of this one. */
+  /** Notes that a router has answered this one, and so knows it. */
   readonly noteAnswer: (from: DatagramAddress) => void;
-  /** @returns The routers to ask for a sign of life, since a subject that is watched may wait for it. */
+  /** @returns The routers to ask for a heartbeat, since a monitored key may depend on whether they are reachable. */
   readonly routersToProbe: () => ReadonlySet<LiveRouter>;
-  /** To be called at least every {@link lookInterval}: notices that this process stood still. */
+  /** Detects that this process was paused; to be called at least every {@link pollInterval}. */
   readonly poll: () => void;
 }
 
-interface Known {
+interface KnownRouter {
   readonly router: LiveRouter;
   readonly hash: number;
-  readonly firstAt: number;
-  heardAt: number | undefined;
-  /** When it last answered a question of this router. */
+  readonly knownSince: number;
+  lastSeenAt: number | undefined;
+  /** When it last answered a query of this router. */
   answeredAt: number | undefined;
 }
 
 const addressKey = ({ address, port }: DatagramAddress): string => `${address}:${port}`;
 
-/** The same in every router: those of the nearest data centre first, else by rendezvous. */
-const inOrderFor = (
-  subject: string,
-  near: string | undefined,
-  members: readonly Pick<Known, "router" | "hash">[],
+/** Orders routers alike in every router: those of the nearest data centre first, otherwise by rendezvous hashing. */
+const sortForKey = (
+  key: string,
+  nearest: string | undefined,
+  members: readonly Pick<KnownRouter, "router" | "hash">[],
 ): readonly LiveRouter[] => {
-  const key = hash32(subject);
+  const keyHash = hash32(key);
   const scored = members.map(({ router, hash }) => ({
     router,
-    distance: near === undefined || router.dataCentre === near ? 0 : 1,
-    score: mixHashes(key, hash),
+    distance: nearest === undefined || router.dataCentre === nearest ? 0 : 1,
+    score: mixHashes(keyHash, hash),
   }));
   scored.sort(
     (left, right) =>
@@ -80,149 +79,156 @@
   return scored.map(({ router }) => router);
 };
 
-/** Creates a view of the keepers as one router has it. */
+/** Creates one router's view of the coordinators. */
 export const createCoordinators = ({
   self,
   others,
-  nearestDataCentre: nearestTo,
+  nearestDataCentre,
   clock,
 }: CoordinatorsDependencies): Coordinators => {
   const startedAt = clock.monotonic();
-  let known = new Map<string, Known>();
-  let byAddress = new Map<string, Known>();
+  let known = new Map<string, KnownRouter>();
+  let byAddress = new Map<string, KnownRouter>();
   let orders = new Map<string, readonly LiveRouter[]>();
-  const watches = createWatches(clock);
-  let readAt = Number.NEGATIVE_INFINITY;
-  let lookedAt = startedAt;
-  /** Since when what this process believes is of one piece. */
-  let awakeSince = startedAt;
+  const monitors = createMonitors(clock);
+  let refreshedAt = Number.NEGATIVE_INFINITY;
+  let polledAt = startedAt;
+  /** Since when this process has run without a pause; its view of the others is continuous from then on. */
+  let runningSince = startedAt;
 
-  const noteStandstill = (): void => {
+  const detectPause = (): void => {
     const now = clock.monotonic();
-    if (now - lookedAt > standstill) awakeSince = now;
-    lookedAt = now;
+    if (now - polledAt > processPause) runningSince = now;
+    polledAt = now;
   };
 
-  const readOthers = (): void => {
+  const refreshRouters = (): void => {
     const now = clock.monotonic();
-    if (now - readAt < lookInterval) return;
-    readAt = now;
-    const read = new Map<string, Known>();
-    const addresses = new Map<string, Known>();
+    if (now - refreshedAt < pollInterval) return;
+    refreshedAt = now;
+    const byName = new Map<string, KnownRouter>();
+    const addresses = new Map<string, KnownRouter>();
     for (const router of others()) {
       const before = known.get(router.name);
-      const { firstAt, heardAt, answeredAt } = before ?? {
-        firstAt: now,
-        heardAt: undefined,
+      const { knownSince, lastSeenAt, answeredAt } = before ?? {
+        knownSince: now,
+        lastSeenAt: undefined,
         answeredAt: undefined,
       };
-      const entry = { router, hash: before?.hash ?? hash32(router.name), firstAt, heardAt, answeredAt };
-      read.set(router.name, entry);
+      const entry = { router, hash: before?.hash ?? hash32(router.name), knownSince, lastSeenAt, answeredAt };
+      byName.set(router.name, entry);
       addresses.set(addressKey(router.at), entry);
     }
-    known = read;
+    known = byName;
     byAddress = addresses;
     orders = new Map();
   };
 
-  const orderFor = (subject: string): readonly LiveRouter[] => {
-    readOthers();
-    const before = orders.get(subject);
-    if (before !== undefined) return before;
+  const orderFor = (key: string): readonly LiveRouter[] => {
+    refreshRouters();
+    const cached = orders.get(key);
+    if (cached !== undefined) return cached;
     const members = [...known.values(), { router: self, hash: hash32(self.name) }];
-    const order = inOrderFor(subject, nearestTo?.(subject), members);
-    orders.set(subject, order);
+    const order = sortForKey(key, nearestDataCentre?.(key), members);
+    orders.set(key, order);
     return order;
   };
 
-  /** @returns Milliseconds since a router was heard; counted from when it was first known if it never was. */
-  const silenceOf = ({ name }: LiveRouter): number => {
+  /** @returns Milliseconds since a router was last seen, or since it became known if it never was. */
+  const timeSinceSeen = ({ name }: LiveRouter): number => {
     const entry = known.get(name);
     if (entry === undefined) return Number.POSITIVE_INFINITY;
-    return clock.monotonic() - (entry.heardAt ?? entry.firstAt);
+    return clock.monotonic() - (entry.lastSeenAt ?? entry.knownSince);
   };
 
-  /** Whether most data centres are heard; of two that hear only themselves, the one that comes first goes on. */
-  const hearsMost = (): boolean => {
-    const heard = new Map<string, boolean>();
+  /**
+   * Whether this router receives from a majority of data centres. Of two halves that reach only themselves, the one with
+   * the data centre whose name comes first goes on.
+   */
+  const hasQuorum = (): boolean => {
+    const reachable = new Map<string, boolean>();
     for (const { router } of known.values()) {
-      const isHeard = silenceOf(router) < quorumSilence;
-      heard.set(router.dataCentre, (heard.get(router.dataCentre) ?? false) || isHeard);
+      const isRecent = timeSinceSeen(router) < dataCentreTimeout;
+      reachable.set(router.dataCentre, (reachable.get(router.dataCentre) ?? false) || isRecent);
     }
-    if (!heard.has(self.dataCentre)) heard.set(self.dataCentre, true);
-    const centres = [...heard].sort(([left], [right]) => (left < right ? -1 : 1));
-    const count = centres.filter(([, isHeard]) => isHeard).length;
-    return count * 2 > centres.length || (count * 2 === centres.length && centres[0]?.[1] === true);
+    if (!reachable.has(self.dataCentre)) reachable.set(self.dataCentre, true);
+    const sorted = [...reachable].sort(([left], [right]) => (left < right ? -1 : 1));
+    const count = sorted.filter(([, isReachable]) => isReachable).length;
+    return count * 2 > sorted.length || (count * 2 === sorted.length && sorted[0]?.[1] === true);
   };
 
-  const isHeard = (router: LiveRouter): boolean => silenceOf(router) < takeoverSilence;
+  const isAlive = (router: LiveRouter): boolean => timeSinceSeen(router) < takeoverTimeout;
 
-  /** The order around this router. */
-  const aroundSelf = (subject: string) => {
-    const order = orderFor(subject);
+  /** The routers before this one in the order of a key, and the first few after it. */
+  const neighboursFor = (key: string) => {
+    const order = orderFor(key);
     const own = order.findIndex(({ name }) => name === self.name);
-    return { before: order.slice(0, own), next: order.slice(own + 1, own + 1 + answersBeforeActing) };
+    return {
+      predecessors: order.slice(0, own),
+      successors: order.slice(own + 1, own + 1 + successorsToConfirm),
+    };
   };
 
-  /** Whether those that may have kept the count meanwhile know that this router is back. */
-  const isKnownToNext = (subject: string): boolean =>
-    aroundSelf(subject).next.every(({ name }) => {
+  /** Whether the routers that may have coordinated the key meanwhile know that this one is running again. */
+  const isKnownToSuccessors = (key: string): boolean =>
+    neighboursFor(key).successors.every(({ name }) => {
       const answeredAt = known.get(name)?.answeredAt;
-      return answeredAt !== undefined && answeredAt >= awakeSince;
+      return answeredAt !== undefined && answeredAt >= runningSince;
     });
 
-  /** Long enough after its start, or sooner where nobody else can be the keeper. */
-  const mayBegin = (subject: string): boolean =>
-    clock.monotonic() - awakeSince >= takeoverSilence || (known.size > 0 && isKnownToNext(subject));
+  /** Whether enough time has passed since the start, or no other router can be the coordinator. */
+  const mayBegin = (key: string): boolean =>
+    clock.monotonic() - runningSince >= takeoverTimeout || (known.size > 0 && isKnownToSuccessors(key));
 
-  /** One router of each data centre that was not heard of late: a keeper that hears too few grants nothing. */
-  const silentCentres = (): readonly LiveRouter[] => {
+  /** One router of each data centre not seen recently: without a majority of them a coordinator grants nothing. */
+  const dataCentresToProbe = (): readonly LiveRouter[] => {
     const latest = new Map<string, LiveRouter>();
     for (const { router } of known.values()) {
       const before = latest.get(router.dataCentre);
-      if (before === undefined || silenceOf(router) < silenceOf(before)) {
+      if (before === undefined || timeSinceSeen(router) < timeSinceSeen(before)) {
         latest.set(router.dataCentre, router);
       }
     }
-    return [...latest.values()].filter((router) => silenceOf(router) > probeSilence);
+    return [...latest.values()].filter((router) => timeSinceSeen(router) > probeAfter);
   };
 
-  const worthProbingFor = (subject: string): readonly LiveRouter[] => {
-    const { before, next } = aroundSelf(subject);
-    if (before.length >= keepersTried && before.some(isHeard)) return [];
-    const silent = before.filter((router) => silenceOf(router) > probeSilence);
-    const isNew = clock.monotonic() - awakeSince < takeoverSilence;
-    return isNew && !isKnownToNext(subject) ? [...silent, ...next] : silent;
+  const routersToProbeFor = (key: string): readonly LiveRouter[] => {
+    const { predecessors, successors } = neighboursFor(key);
+    if (predecessors.length >= maxCandidates && predecessors.some(isAlive)) return [];
+    const stale = predecessors.filter((router) => timeSinceSeen(router) > probeAfter);
+    const isNew = clock.monotonic() - runningSince < takeoverTimeout;
+    return isNew && !isKnownToSuccessors(key) ? [...stale, ...successors] : stale;
   };
 
-  const entryAt = (from: DatagramAddress): Known | undefined => {
-    readOthers();
+  const entryAt = (from: DatagramAddress): KnownRouter | undefined => {
+    refreshRouters();
     return byAddress.get(addressKey(from));
   };
 
   return {
     orderFor,
-    isActing: (subject) => {
-      noteStandstill();
-      const { before } = aroundSelf(subject);
-      // One that comes later can't know whether those before it are silent until it has looked for as long.
-      if (before.some(isHeard) || (before.length > 0 && !watches.isLong(subject))) return false;
-      return mayBegin(subject) && hearsMost();
+    isActing: (key) => {
+      detectPause();
+      const { predecessors } = neighboursFor(key);
+      // A successor can't tell that its predecessors are unreachable before it has monitored the key for the timeout.
+      if (predecessors.some(isAlive) || (predecessors.length > 0 && !monitors.isEstablished(key)))
+        return false;
+      return mayBegin(key) && hasQuorum();
     },
-    monitor: watches.watch,
+    monitor: monitors.monitor,
     noteReceived: (from) => {
       const entry = entryAt(from);
-      if (entry !== undefined) entry.heardAt = clock.monotonic();
+      if (entry !== undefined) entry.lastSeenAt = clock.monotonic();
     },
     noteAnswer: (from) => {
       const entry = entryAt(from);
       if (entry !== undefined) entry.answeredAt = clock.monotonic();
     },
     routersToProbe: () => {
-      const subjects = watches.subjects();
-      const mayKeep = subjects.some((subject) => !aroundSelf(subject).before.some(isHeard));
-      return new Set([...subjects.flatMap(worthProbingFor), ...(mayKeep ? silentCentres() : [])]);
+      const keys = monitors.keys();
+      const mayCoordinate = keys.some((key) => !neighboursFor(key).predecessors.some(isAlive));
+      return new Set([...keys.flatMap(routersToProbeFor), ...(mayCoordinate ? dataCentresToProbe() : [])]);
     },
-    poll: noteStandstill,
+    poll: detectPause,
   };
 };
--- a/src/coordination/coordinators/keyCoordination.ts
+++ b/src/coordination/coordinators/keyCoordination.ts
@@ -1,6 +1,6 @@
 /**
- * What one router keeps for all: asks the keeper of a subject, answers as one, and looks after those that come before
- * this router. Limits of organisations and of replicas are kept so.
+ * Coordination of keys by one router: asks the coordinator of a key, answers as the coordinator, and monitors the routers
+ * that precede this one. The limits of organisations and of replicas are enforced this way.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { KeeperQuestion, LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
@@ -8,49 +8,48 @@
 import type { RouterEntry } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
-import { keepersTried, lookInterval, passedOver } from "./constants.ts";
-import { createKeeperQuestions } from "./coordinatorQueries.ts";
+import { maxCandidates, pollInterval, skipDuration } from "./constants.ts";
+import { createCoordinatorQueries } from "./coordinatorQueries.ts";
 import type { Coordinators } from "./coordinators.ts";
 import { createCoordinators } from "./coordinators.ts";
 
-/** What keeping works with. */
 export interface KeyCoordinationDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
   readonly clock: Clock;
-  /** @returns The other routers that may be serving, silent ones included. */
+  /** @returns The other routers that may be serving, unreachable ones included. */
   readonly others: () => readonly LiveRouter[];
-  /** @returns The data centre whose routers come first for a subject; nothing if none is nearer than others. */
-  readonly nearestDataCentre?: (subject: string) => string | undefined;
+  /** @returns The data centre whose routers come first for a key; `undefined` if none is preferred. */
+  readonly nearestDataCentre?: (key: string) => string | undefined;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
 
-type QuestionOf<Kind extends KeeperQuestion["kind"]> = Extract<KeeperQuestion, { readonly kind: Kind }>;
+type QueryOf<Kind extends KeeperQuestion["kind"]> = Extract<KeeperQuestion, { readonly kind: Kind }>;
 
-/** Answers questions of one kind about what this router keeps; anything else is `elsewhere`. */
+/** Answers queries of one kind about the keys that this router coordinates; about others the verdict is `elsewhere`. */
 export interface CoordinatorRole<Kind extends KeeperQuestion["kind"]> {
-  readonly answer: (question: QuestionOf<Kind>) => LimitAnswer;
-  /** Called in every turn of looking after what is kept. */
+  readonly answer: (query: QueryOf<Kind>) => LimitAnswer;
+  /** Called once every {@link pollInterval}. */
   readonly poll: () => void;
 }
 
-/** By the kind of their questions. */
+/** By the kind of their queries. */
 export type CoordinatorRoles = { readonly [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> };
 
-/** See {@link createKeyCoordination}. */
+/** The coordination of keys, from its creation until it is disposed of. */
 export interface KeyCoordination extends AsyncDisposable {
   readonly coordinators: Pick<Coordinators, "isActing" | "monitor">;
-  /** This router answers questions of these kinds from now on. */
-  readonly addRoles: (taken: CoordinatorRoles) => void;
-  /** @returns What the keeper of a subject says; nothing if there is none that answers. */
-  readonly ask: (subject: string, question: KeeperQuestion) => Promise<LimitAnswer | undefined>;
-  /** @returns How many routers there may be, this one included. */
+  /** From now on this router answers queries of these kinds. */
+  readonly addRoles: (added: CoordinatorRoles) => void;
+  /** @returns The answer of the key's coordinator; `undefined` if no router answers as such. */
+  readonly ask: (key: string, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  /** @returns The number of routers that may be serving, this one included. */
   readonly countRouters: () => number;
 }
 
-/** The answer of a router that doesn't keep what it was asked about. */
-export const elsewhere = (number: number): LimitAnswer => ({
+/** @returns The answer of a router that does not coordinate the key it was asked about. */
+export const answerElsewhere = (number: number): LimitAnswer => ({
   kind: "answer",
   number,
   verdict: "elsewhere",
@@ -58,66 +57,64 @@
   room: 0,
 });
 
-/** Starts to ask and answer, until it is disposed of. */
-export const createKeyCoordination = (parts: KeyCoordinationDependencies): KeyCoordination => {
-  const { link, clock, random, others } = parts;
-  const { name, dataCentre, address, port } = parts.self;
+/** Starts to send and answer queries, until it is disposed of. */
+export const createKeyCoordination = (dependencies: KeyCoordinationDependencies): KeyCoordination => {
+  const { link, clock, random, others } = dependencies;
+  const { name, dataCentre, address, port } = dependencies.self;
   const self: LiveRouter = { name, dataCentre, at: { address, port } };
-  const { nearestDataCentre: nearestTo = () => undefined } = parts;
-  const keepers = createCoordinators({ self, others, nearestDataCentre: nearestTo, clock });
-  const questions = createKeeperQuestions({ link, clock, random });
-  /** By name of a router: until when it is not asked. */
-  const passed = new Map<string, number>();
+  const { nearestDataCentre = () => undefined } = dependencies;
+  const coordinators = createCoordinators({ self, others, nearestDataCentre, clock });
+  const queries = createCoordinatorQueries({ link, clock, random });
+  /** By name of a router: the time until which it is not asked. */
+  const skippedUntil = new Map<string, number>();
   const roles: { [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> } = {};
 
-  const answer = (question: KeeperQuestion): LimitAnswer => {
-    const said =
-      question.kind === "question"
-        ? roles.question?.answer(question)
-        : roles.replicaQuestion?.answer(question);
-    return said ?? elsewhere(question.number);
+  const answerQuery = (query: KeeperQuestion): LimitAnswer => {
+    const answer =
+      query.kind === "question" ? roles.question?.answer(query) : roles.replicaQuestion?.answer(query);
+    return answer ?? answerElsewhere(query.number);
   };
 
-  /** The first few that did not fail to answer just now: where most routers are lost the keeper may come late. */
-  const askable = (subject: string): readonly LiveRouter[] => {
+  /** The first few routers that are not skipped: where most routers are lost the coordinator may be far down the order. */
+  const candidatesFor = (key: string): readonly LiveRouter[] => {
     const now = clock.monotonic();
-    const order = keepers.orderFor(subject);
-    return order.filter((router) => (passed.get(router.name) ?? now) <= now).slice(0, keepersTried);
+    const order = coordinators.orderFor(key);
+    return order.filter((router) => (skippedUntil.get(router.name) ?? now) <= now).slice(0, maxCandidates);
   };
 
-  const look = (): void => {
-    callOff = clock.after(lookInterval, look);
-    keepers.poll();
+  const poll = (): void => {
+    cancelPoll = clock.after(pollInterval, poll);
+    coordinators.poll();
     roles.question?.poll();
     roles.replicaQuestion?.poll();
-    keepers.routersToProbe().forEach(questions.probe);
+    coordinators.routersToProbe().forEach(queries.probe);
   };
-  let callOff = clock.after(lookInterval, look);
+  let cancelPoll = clock.after(pollInterval, poll);
 
   link.receive((datagram, from) => {
-    keepers.noteReceived(from);
+    coordinators.noteReceived(from);
     const message = decodeLimitMessage(datagram);
     if (message?.kind === "answer") {
-      keepers.noteAnswer(from);
-      questions.hear(message);
-    } else if (message !== undefined) link.send(from, encodeLimitMessage(answer(message)));
+      coordinators.noteAnswer(from);
+      queries.receive(message);
+    } else if (message !== undefined) link.send(from, encodeLimitMessage(answerQuery(message)));
   });
 
   return {
-    coordinators: keepers,
-    addRoles: (role) => Object.assign(roles, role),
-    ask: async (subject, question) => {
-      for (const router of askable(subject)) {
+    coordinators,
+    addRoles: (added) => Object.assign(roles, added),
+    ask: async (key, query) => {
+      for (const router of candidatesFor(key)) {
         const isSelf = router.name === name;
-        const said = isSelf ? answer(question) : await questions.ask(router, question);
-        if (said !== undefined && said.verdict !== "elsewhere") return said;
-        if (!isSelf) passed.set(router.name, clock.monotonic() + passedOver);
+        const answer = isSelf ? answerQuery(query) : await queries.ask(router, query);
+        if (answer !== undefined && answer.verdict !== "elsewhere") return answer;
+        if (!isSelf) skippedUntil.set(router.name, clock.monotonic() + skipDuration);
       }
       return undefined;
     },
     countRouters: () => 1 + others().length,
     [Symbol.asyncDispose]: () => {
-      callOff();
+      cancelPoll();
       return Promise.resolve();
     },
   };
--- a/src/coordination/coordinators/monitors.ts
+++ b/src/coordination/coordinators/monitors.ts
@@ -1,42 +1,41 @@
-/** Subjects that a router looks after, since it may have to keep them or has been asked about them. */
+/** The keys that a router monitors, since it may have to coordinate them or has been asked about them. */
 import type { Clock } from "../clock.ts";
-import { takeoverSilence, watchMemory } from "./constants.ts";
+import { monitorRetention, takeoverTimeout } from "./constants.ts";
 
-/** See {@link createWatches}. */
-export interface Watches {
-  /** The subject is of use now. */
-  readonly watch: (subject: string) => void;
-  /** Whether it was watched for so long that silence of others would have shown. */
-  readonly isLong: (subject: string) => boolean;
-  /** @returns Those that were of use of late. */
-  readonly subjects: () => readonly string[];
+/** Keys that are monitored from their first use until they have not been active for {@link monitorRetention}. */
+export interface Monitors {
+  /** Marks a key as active now, and starts to monitor it if need be. */
+  readonly monitor: (key: string) => void;
+  /** Whether a key has been monitored long enough for unreachable predecessors to be detected. */
+  readonly isEstablished: (key: string) => boolean;
+  /** @returns The keys that were active recently. */
+  readonly keys: () => readonly string[];
 }
 
-/** Since when a subject is watched, and when it was of use last. */
-interface Watch {
-  readonly since: number;
-  usedAt: number;
+interface MonitoredKey {
+  readonly monitoredSince: number;
+  lastActiveAt: number;
 }
 
-/** Creates watches of nothing. */
-export const createWatches = (clock: Clock): Watches => {
-  const watched = new Map<string, Watch>();
+/** Creates monitors without keys. */
+export const createMonitors = (clock: Clock): Monitors => {
+  const monitored = new Map<string, MonitoredKey>();
 
   return {
-    watch: (subject) => {
+    monitor: (key) => {
       const now = clock.monotonic();
-      const known = watched.get(subject);
-      if (known === undefined) watched.set(subject, { since: now, usedAt: now });
-      else known.usedAt = now;
+      const known = monitored.get(key);
+      if (known === undefined) monitored.set(key, { monitoredSince: now, lastActiveAt: now });
+      else known.lastActiveAt = now;
     },
-    isLong: (subject) => {
-      const since = watched.get(subject)?.since ?? Number.POSITIVE_INFINITY;
-      return clock.monotonic() - since >= takeoverSilence;
+    isEstablished: (key) => {
+      const since = monitored.get(key)?.monitoredSince ?? Number.POSITIVE_INFINITY;
+      return clock.monotonic() - since >= takeoverTimeout;
     },
-    subjects: () => {
-      const oldest = clock.monotonic() - watchMemory;
-      for (const [subject, { usedAt }] of watched) if (usedAt < oldest) watched.delete(subject);
-      return [...watched.keys()];
+    keys: () => {
+      const oldest = clock.monotonic() - monitorRetention;
+      for (const [key, { lastActiveAt }] of monitored) if (lastActiveAt < oldest) monitored.delete(key);
+      return [...monitored.keys()];
     },
   };
 };
--- a/src/coordination/coordinators/tokenBucket.ts
+++ b/src/coordination/coordinators/tokenBucket.ts
@@ -1,82 +1,82 @@
-/** The count of what a limit leaves: fills at its rate, up to what may be used at once. */
+/** A token bucket: refills at the rate of a limit, up to the amount that may be used at once. */
 import type { Clock } from "../clock.ts";
 
-/** What fills a bucket. */
-export interface BucketFilling {
+/** Rate and capacity of a bucket, in the unit of its limit. They are given with each call, since limits change. */
+export interface BucketParameters {
   readonly ratePerSecond: number;
-  /** The most that it holds. */
+  /** The highest level of the bucket. */
   readonly capacity: number;
 }
 
-/** See {@link createUsageBucket}. */
-export interface UsageBucket {
-  /** @returns Milliseconds until there is room; nothing if the amount was taken. */
-  readonly take: (amount: number, filling: BucketFilling) => number | undefined;
+/** A token bucket whose level is negative while it is in debt. */
+export interface TokenBucket {
+  /** @returns `undefined` if the amount was taken, otherwise the milliseconds until it is available. */
+  readonly take: (amount: number, parameters: BucketParameters) => number | undefined;
   /**
-   * Takes an amount whose turn comes later.
+   * Takes an amount that becomes available later.
    *
-   * @param patience - How long it may wait, milliseconds.
-   * @returns Milliseconds until its turn; nothing if it comes too late.
+   * @param maxWait - The longest acceptable wait, milliseconds.
+   * @returns Milliseconds until the amount is available; `undefined`, and nothing taken, if the wait is longer.
    */
-  readonly book: (amount: number, filling: BucketFilling, patience: number) => number | undefined;
-  /** @returns Milliseconds until there is room for an amount. */
-  readonly untilRoom: (amount: number, filling: BucketFilling) => number;
-  /** Counts what was passed on unasked, or with a negative amount what has not run. */
-  readonly charge: (amount: number, filling: BucketFilling) => void;
-  /** @returns How much of its capacity is left, in hundredths. */
-  readonly room: (filling: BucketFilling) => number;
+  readonly reserve: (amount: number, parameters: BucketParameters, maxWait: number) => number | undefined;
+  /** @returns Milliseconds until an amount is available. */
+  readonly timeUntilAvailable: (amount: number, parameters: BucketParameters) => number;
+  /** Counts usage that was not granted; a negative amount returns what was granted and has not run. */
+  readonly charge: (amount: number, parameters: BucketParameters) => void;
+  /** @returns The share of the capacity that is left, in percent. */
+  readonly remainingPercent: (parameters: BucketParameters) => number;
 }
 
 const millisecondsPerSecond = 1_000;
 
-const hundredths = 100;
+const percent = 100;
 
 /**
  * Creates a bucket.
  *
- * @param beginning - What it holds at first. Whoever kept the count before may have granted a whole burst just now, so
- * that little more than what comes in from now on may be granted.
+ * @param initialLevel - The previous coordinator may have granted a whole burst just now, so that little more than the
+ * refill from now on may be granted.
  */
-export const createUsageBucket = (clock: Clock, beginning: number): UsageBucket => {
-  let level = beginning;
-  let filledAt = clock.monotonic();
+export const createTokenBucket = (clock: Clock, initialLevel: number): TokenBucket => {
+  let level = initialLevel;
+  let refilledAt = clock.monotonic();
 
-  const fill = ({ ratePerSecond, capacity }: BucketFilling): void => {
+  const refill = ({ ratePerSecond, capacity }: BucketParameters): void => {
     const now = clock.monotonic();
-    level = Math.min(capacity, level + ((now - filledAt) / millisecondsPerSecond) * ratePerSecond);
-    filledAt = now;
+    level = Math.min(capacity, level + ((now - refilledAt) / millisecondsPerSecond) * ratePerSecond);
+    refilledAt = now;
   };
 
-  const untilRoomFor = (amount: number, { ratePerSecond }: BucketFilling): number =>
+  const waitFor = (amount: number, { ratePerSecond }: BucketParameters): number =>
     Math.max(0, (amount - level) / ratePerSecond) * millisecondsPerSecond;
 
   return {
-    book: (amount, filling, patience) => {
-      fill(filling);
-      const wait = untilRoomFor(amount, filling);
-      if (wait > patience) return undefined;
+    reserve: (amount, parameters, maxWait) => {
+      refill(parameters);
+      const wait = waitFor(amount, parameters);
+      if (wait > maxWait) return undefined;
       level -= amount;
       return wait;
     },
-    untilRoom: (amount, filling) => {
-      fill(filling);
-      return untilRoomFor(amount, filling);
+    timeUntilAvailable: (amount, parameters) => {
+      refill(parameters);
+      return waitFor(amount, parameters);
     },
-    take: (amount, filling) => {
-      fill(filling);
-      // A request larger than the whole capacity would never be let in: it leaves a debt.
-      const wanted = Math.min(amount, filling.capacity);
-      if (level < wanted) return untilRoomFor(wanted, filling);
+    take: (amount, parameters) => {
+      refill(parameters);
+      // A request larger than the whole capacity would never be granted: it needs a full bucket and leaves a debt.
+      const needed = Math.min(amount, parameters.capacity);
+      if (level < needed) return waitFor(needed, parameters);
       level -= amount;
       return undefined;
     },
-    charge: (amount, filling) => {
-      fill(filling);
-      level = Math.min(filling.capacity, Math.max(-filling.capacity, level - amount));
+    charge: (amount, parameters) => {
+      refill(parameters);
+      level = Math.min(parameters.capacity, Math.max(-parameters.capacity, level - amount));
     },
-    room: (filling) => {
-      fill(filling);
-      return Math.max(0, Math.floor((level / filling.capacity) * hundredths));
+    remainingPercent: (parameters) => {
+      refill(parameters);
+      return Math.max(0, Math.floor((level / parameters.capacity) * percent));
     },
   };
 };
--- a/src/coordination/replicaLimits/constants.ts
+++ b/src/coordination/replicaLimits/constants.ts
@@ -1,64 +1,68 @@
-/** Limits of keeping to what replicas name as theirs. Durations are milliseconds. */
+/** Constants for enforcing the rate limits that replicas report. Durations are milliseconds. */
 
-/** A limit of 0 is tried so seldom, requests a second: the end of a limit shows in an answer only. */
-export const leastRate = 0.1;
+/** Rate at which a replica with a limit of 0 is tried, requests a second: only an answer shows that a limit has ended. */
+export const minRate = 0.1;
 
-/** Limits from here on bind nothing that a replica ever gets, requests a second. */
-export const bindingRate = 10_000;
+/** Limits from here on are treated as none, requests a second: no replica ever gets as much. */
+export const unlimitedRate = 10_000;
 
-/** What may come at once after a pause, besides one request: what the limit allows in so long. */
-export const burstTime = 500;
+/** Besides one request, a burst after a pause may hold what the limit allows in this time. */
+export const burstWindow = 500;
 
-/** Answers in a row that name no limit before one that named it is doubted: a replica may name it in some only. */
-export const doubtedAfter = 1;
+/** Consecutive answers without a limit that change nothing: a replica may report its limit in some answers only. */
+export const toleratedMissingLimits = 1;
 
-/** By so much the rate rises with each further answer that names none. */
-export const doubtFactor = 2;
+/** Factor by which the granted rate rises with each further answer without a limit. */
+export const missingLimitRateFactor = 2;
 
-/** Answers in a row without a limit that end it. */
-export const endedAfter = 5;
+/** Consecutive answers without a limit after which the limit has ended. */
+export const missingLimitsToEnd = 5;
 
-/** An ended limit is remembered for so long: a router that still believes it is told, and doesn't revive it. */
-export const endMemory = 600_000;
+/**
+ * The coordinator remembers an ended limit for this long, and says so to a router that still reports it, so that the
+ * router does not revive it.
+ */
+export const endedLimitRetention = 600_000;
 
-/** A grant that was not used within so long is void: the process may have stood still in between. */
-export const grantLife = 1_000;
+/** A grant that is not used within this time is void: the process may have been paused in between. */
+export const grantLifetime = 1_000;
 
-/** The shortest time for which a replica that had no room is not asked for again. */
-export const shortestPause = 20;
+/** The shortest time for which a replica without capacity is skipped. */
+export const minSkipDuration = 20;
 
-/** Where no keeper answers, a router sends on its own so large a part of an even part of the limit. */
-export const unaskedShare = 0.5;
+/** Where no coordinator answers, a router sends this share of an even part of the limit without a grant. */
+export const localGrantShare = 0.5;
 
-/** Without an answer of a keeper a replica is passed over for so long. */
-export const unansweredPause = 400;
+/** A replica is skipped for this long when no coordinator answers and the local share is used up. */
+export const unansweredSkipDuration = 400;
 
-/** Replicas that had no room for one request before it goes on among those without a limit. */
-export const mostRefusals = 3;
+/** Refusals by limited replicas after which one request goes on among replicas without a limit. */
+export const maxRefusals = 3;
 
-/** Replicas at which a request that has no other place books a turn, one after another. */
-export const mostBookings = 2;
+/** Replicas at which a request without another candidate tries to reserve a grant, one after another. */
+export const maxReservations = 2;
 
-/** Share of the latency objective for which a request waits for a turn that surely comes. */
-export const bookingShare = 0.5;
+/** Share of the latency objective for which a request waits for a reserved grant. */
+export const reservationWaitShare = 0.5;
 
 /**
- * What a replica with a limit counts more than another one, milliseconds: the few requests that it takes are to be those
- * that gain most there. Less, the longer nothing was heard of the limit: its end shows in an answer only.
+ * Cost that placement adds to a replica with a limit, milliseconds, so that its few grants go to the requests that gain
+ * most there. It falls to 0 within the decay time after the last report, since only an answer shows that a limit has
+ * ended.
  */
 export const limitPenalty = { cost: 30, decayTime: 2_000 } as const;
 
-/** Requests turned away within so long come back spread over the time in which there is room for as many. */
-export const returnWindow = 4_000;
+/** Requests refused within this window are spread, by `Retry-After`, over the time in which there is room for them. */
+export const refusalWindow = 4_000;
 
-/** Parts of that window: the older a count, the coarser its age. */
-export const returnBuckets = 8;
+/** Number of buckets of that window: the older a count, the coarser its age. */
+export const refusalBuckets = 8;
 
-/** The longest time after which a caller is told to come back. */
-export const longestReturn = 10_000;
+/** The longest time after which a caller is asked to retry. */
+export const maxRetryAfter = 10_000;
 
-/** The shortest. */
-export const shortestReturn = 50;
+/** The shortest time after which a caller is asked to retry. */
+export const minRetryAfter = 50;
 
-/** What a router told of a limit is passed on to those that ask for so long after an answer named it. */
+/** Owners of replicas announce a limit to routers that ask for this long after an answer reported it. */
 export const announcedLimitMaxAge = 10_000;
--- a/src/coordination/replicaLimits/coordinatedLimit.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.ts
@@ -1,72 +1,83 @@
 /**
- * What is left of one replica's limit, as its keeper counts it: by the newest word of the replica, whichever router
- * heard it.
+ * What is left of one replica's limit, as the limit's coordinator counts it: by the newest limit that the replica has
+ * reported to any router.
  */
 import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
 import { supersedes } from "../../state/forwarding/limitWord.ts";
 import type { Clock } from "../clock.ts";
-import type { BucketFilling } from "../coordinators/tokenBucket.ts";
-import { createUsageBucket } from "../coordinators/tokenBucket.ts";
-import { burstTime, doubtedAfter, doubtFactor, endedAfter, leastRate } from "./constants.ts";
+import type { BucketParameters } from "../coordinators/tokenBucket.ts";
+import { createTokenBucket } from "../coordinators/tokenBucket.ts";
+import {
+  burstWindow,
+  minRate,
+  missingLimitRateFactor,
+  missingLimitsToEnd,
+  toleratedMissingLimits,
+} from "./constants.ts";
 
-/** See {@link createKeptLimit}. */
-export interface KeptLimit {
-  /** An answer named a limit. */
-  readonly hear: (word: LimitWord) => void;
-  /** An answer named none. */
-  readonly hearUnnamed: (span: AnswerSpan) => void;
-  /** When so many answers in a row had named no limit that it is over; nothing if it isn't. */
+/** A replica's limit, in force until enough consecutive answers report none. */
+export interface CoordinatedLimit {
+  /** An answer reported a limit. */
+  readonly observeLimit: (reported: LimitWord) => void;
+  /** An answer reported no limit. */
+  readonly observeNoLimit: (span: AnswerSpan) => void;
+  /** @returns When the limit ended, by consecutive answers without one; `undefined` while it is in force. */
   readonly endedAt: () => number | undefined;
-  /** Requests a second that are granted now. */
+  /** @returns Requests a second that are granted now. */
   readonly rate: () => number;
-  /** @returns Milliseconds until the request's turn, and whether it has one: no longer than its patience, then. */
-  readonly take: (patience: number) => { readonly isGranted: boolean; readonly wait: number };
+  /**
+   * Grants a request, now or within its wait.
+   *
+   * @param maxWait - The longest time for which the request may wait, milliseconds.
+   * @returns Milliseconds until the grant is valid; if there is none, until there is room.
+   */
+  readonly acquire: (maxWait: number) => { readonly isGranted: boolean; readonly wait: number };
 }
 
 const millisecondsPerSecond = 1_000;
 
-/** Creates a count that has granted nothing. Whoever kept it before may have granted all that there is just now. */
-export const createKeptLimit = (clock: Clock, first: LimitWord): KeptLimit => {
-  const bucket = createUsageBucket(clock, 0);
-  let word = first;
-  /** Answers in a row that named none, each asked for after the one before had come. */
-  let unnamed = 0;
-  let unnamedSpan: AnswerSpan | undefined;
+/** Creates a limit with an empty bucket: the previous coordinator may have granted all that there is just now. */
+export const createCoordinatedLimit = (clock: Clock, first: LimitWord): CoordinatedLimit => {
+  const bucket = createTokenBucket(clock, 0);
+  let newest = first;
+  /** Consecutive answers without a limit, each requested after the one before had arrived. */
+  let missing = 0;
+  let missingSpan: AnswerSpan | undefined;
 
-  /** Where a replica is silent about its limit more may be tried with each answer, so that its end shows soon. */
+  /** Rises with each answer without a limit, so that the end of the limit shows soon. */
   const rate = (): number => {
-    const named = Math.max(leastRate, word.perSecond);
-    return named * doubtFactor ** Math.max(0, unnamed - doubtedAfter);
+    const reportedRate = Math.max(minRate, newest.perSecond);
+    return reportedRate * missingLimitRateFactor ** Math.max(0, missing - toleratedMissingLimits);
   };
 
-  const filling = (): BucketFilling => {
+  const parameters = (): BucketParameters => {
     const ratePerSecond = rate();
-    return { ratePerSecond, capacity: 1 + (ratePerSecond * burstTime) / millisecondsPerSecond };
+    return { ratePerSecond, capacity: 1 + (ratePerSecond * burstWindow) / millisecondsPerSecond };
   };
 
   return {
-    hear: (heard) => {
-      const isNew = heard.heardAt > word.heardAt;
-      const isAfterUnnamed = unnamedSpan === undefined || heard.heardAt > unnamedSpan.askedAt;
-      if (isNew && isAfterUnnamed) {
-        unnamed = 0;
-        unnamedSpan = undefined;
+    observeLimit: (reported) => {
+      const isNew = reported.heardAt > newest.heardAt;
+      const isAfterMissing = missingSpan === undefined || reported.heardAt > missingSpan.askedAt;
+      if (isNew && isAfterMissing) {
+        missing = 0;
+        missingSpan = undefined;
       }
-      if (supersedes(heard, word)) word = heard;
+      if (supersedes(reported, newest)) newest = reported;
     },
-    hearUnnamed: (span) => {
-      const last = unnamedSpan?.heardAt ?? word.heardAt;
-      // One that was under way together with the last word may be older; one told twice counts once.
+    observeNoLimit: (span) => {
+      const last = missingSpan?.heardAt ?? newest.heardAt;
+      // An answer that was in flight together with the last one may be older; one that is reported twice counts once.
       if (span.askedAt < last) return;
-      unnamed += 1;
-      unnamedSpan = span;
+      missing += 1;
+      missingSpan = span;
     },
-    endedAt: () => (unnamed >= endedAfter ? unnamedSpan?.heardAt : undefined),
+    endedAt: () => (missing >= missingLimitsToEnd ? missingSpan?.heardAt : undefined),
     rate,
-    take: (patience) => {
-      const turn = bucket.book(1, filling(), patience);
-      if (turn !== undefined) return { isGranted: true, wait: turn };
-      return { isGranted: false, wait: bucket.untilRoom(1, filling()) };
+    acquire: (maxWait) => {
+      const grantedWait = bucket.reserve(1, parameters(), maxWait);
+      if (grantedWait !== undefined) return { isGranted: true, wait: grantedWait };
+      return { isGranted: false, wait: bucket.timeUntilAvailable(1, parameters()) };
     },
   };
 };
--- a/src/coordination/replicaLimits/grantSearch.ts
+++ b/src/coordination/replicaLimits/grantSearch.ts
@@ -1,50 +1,59 @@
-/** One request's search for a replica that has room for it, where replicas name limits. */
+/** One request's search for a replica that can take it, where replicas report limits. */
 import type { LimitedChoice, PlacementFailure } from "../forwarding/placementTypes.ts";
-import { bookingShare, mostBookings, mostRefusals } from "./constants.ts";
+import { maxRefusals, maxReservations, reservationWaitShare } from "./constants.ts";
 
-/** See {@link createGrantSearch}. */
+/**
+ * Decides after each refusal which replicas a request may still go to. It starts among all replicas, goes on among those
+ * without a limit after several refusals, and reserves a grant where there is no other candidate.
+ */
 export interface GrantSearch {
-  /** Which of the replicas with a limit come into question now. */
+  /** @returns Which of the replicas with a limit are candidates now. */
   readonly limitedChoice: () => LimitedChoice;
-  /** @returns Replicas that are left out: those that it was sent to, and those that had no turn for it. */
+  /** @returns Replicas to exclude: those that the request was sent to, and those that had no grant for it. */
   readonly excluded: (sentTo: ReadonlySet<string>) => ReadonlySet<string>;
-  /** How long it may wait for a turn, milliseconds: not at all while there may be room elsewhere. */
+  /**
+   * @param left - Time left to the request, milliseconds.
+   * @param objective - The latency objective, milliseconds.
+   * @returns How long the request may wait for a grant, milliseconds: 0 while there may be room elsewhere.
+   */
   readonly maxWait: (left: number, objective: number) => number;
-  /** A replica had no turn for it. */
+  /** A replica had no grant for the request. */
   readonly noteRefused: (id: string) => void;
-  /** Whether it has asked for as many turns as are worth asking for. */
+  /** Whether the request has tried as many reservations as it may. */
   readonly isExhausted: () => boolean;
-  /** There is no candidate. @returns Whether to look again, among more. */
+  /** Notes that there is no candidate. @returns Whether to search again, among more replicas. */
   readonly widen: (failure: PlacementFailure) => boolean;
-  /** Whether it found none because of limits. */
+  /** Whether the search failed because of limits. */
   readonly wasLimited: () => boolean;
 }
 
-/** Creates a search that has looked nowhere. */
+/** Creates the search of a request that was not refused yet. */
 export const createGrantSearch = (): GrantSearch => {
-  const withoutTurn = new Set<string>();
-  let limited: LimitedChoice = "open";
+  const withoutReservation = new Set<string>();
+  let limitedChoice: LimitedChoice = "open";
   let refusals = 0;
   let wasLimited = false;
 
   return {
-    limitedChoice: () => limited,
-    excluded: (sentTo) => (withoutTurn.size === 0 ? sentTo : new Set([...sentTo, ...withoutTurn])),
-    maxWait: (left, objective) => (limited === "all" ? Math.min(left, objective) * bookingShare : 0),
+    limitedChoice: () => limitedChoice,
+    excluded: (sentTo) =>
+      withoutReservation.size === 0 ? sentTo : new Set([...sentTo, ...withoutReservation]),
+    maxWait: (left, objective) =>
+      limitedChoice === "all" ? Math.min(left, objective) * reservationWaitShare : 0,
     noteRefused: (id) => {
-      if (limited === "all") {
-        withoutTurn.add(id);
+      if (limitedChoice === "all") {
+        withoutReservation.add(id);
         wasLimited = true;
         return;
       }
       refusals += 1;
-      if (refusals >= mostRefusals) limited = "none";
+      if (refusals >= maxRefusals) limitedChoice = "none";
     },
-    isExhausted: () => withoutTurn.size >= mostBookings,
+    isExhausted: () => withoutReservation.size >= maxReservations,
     widen: (failure) => {
-      wasLimited = failure === "limited" || withoutTurn.size > 0;
-      if (failure === "no_replica" || limited === "all") return false;
-      limited = "all";
+      wasLimited = failure === "limited" || withoutReservation.size > 0;
+      if (failure === "no_replica" || limitedChoice === "all") return false;
+      limitedChoice = "all";
       return true;
     },
     wasLimited: () => wasLimited,
--- a/src/coordination/replicaLimits/limitCoordinator.ts
+++ b/src/coordination/replicaLimits/limitCoordinator.ts
@@ -1,4 +1,4 @@
-/** The limits of replicas that this router keeps for all: it grants the requests that they take. */
+/** The replica limits that this router coordinates: it grants requests to the replicas for all routers. */
 import type { LimitAnswer, LimitVerdict, ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { takeSpan, takeWord } from "../../state/forwarding/limitWord.ts";
@@ -6,55 +6,55 @@
 import type { Clock } from "../clock.ts";
 import type { Coordinators } from "../coordinators/coordinators.ts";
 import type { CoordinatorRole } from "../coordinators/keyCoordination.ts";
-import { elsewhere } from "../coordinators/keyCoordination.ts";
-import { endMemory } from "./constants.ts";
-import type { KeptLimit } from "./coordinatedLimit.ts";
-import { createKeptLimit } from "./coordinatedLimit.ts";
+import { answerElsewhere } from "../coordinators/keyCoordination.ts";
+import { endedLimitRetention } from "./constants.ts";
+import type { CoordinatedLimit } from "./coordinatedLimit.ts";
+import { createCoordinatedLimit } from "./coordinatedLimit.ts";
 
-/** What keeping works with. */
-export interface LimitKeeperParts {
-  readonly keepers: Pick<Coordinators, "isActing" | "monitor">;
+export interface LimitCoordinatorDependencies {
+  readonly coordinators: Pick<Coordinators, "isActing" | "monitor">;
   readonly replicas: Pick<ReplicaTable, "get">;
   readonly clock: Clock;
 }
 
 const writeLog = createLogger("replicaLimits");
 
-/** Creates a keeper of no limits. */
-export const createLimitKeeper = ({
-  keepers,
+/** Creates a coordinator without limits. It takes on a limit with the first query, which carries the reported limit. */
+export const createLimitCoordinator = ({
+  coordinators,
   replicas,
   clock,
-}: LimitKeeperParts): CoordinatorRole<"replicaQuestion"> => {
-  const kept = new Map<string, KeptLimit>();
+}: LimitCoordinatorDependencies): CoordinatorRole<"replicaQuestion"> => {
+  /** By id of a replica. */
+  const limits = new Map<string, CoordinatedLimit>();
 
-  const letGo = (id: string): void => {
-    if (kept.delete(id)) writeLog("limit_kept_no_more", { replica: id });
+  const drop = (id: string): void => {
+    if (limits.delete(id)) writeLog("limit_kept_no_more", { replica: id });
   };
 
-  const keptFor = ({ replica: id, word }: ReplicaQuestion): KeptLimit | undefined => {
+  const limitFor = ({ replica: id, word }: ReplicaQuestion): CoordinatedLimit | undefined => {
     if (replicas.get(id) === undefined) return undefined;
-    keepers.monitor(id);
-    if (!keepers.isActing(id)) {
-      letGo(id);
+    coordinators.monitor(id);
+    if (!coordinators.isActing(id)) {
+      drop(id);
       return undefined;
     }
-    const known = kept.get(id);
+    const known = limits.get(id);
     if (known !== undefined) return known;
-    const first = takeWord(word, clock.monotonic());
-    const made = createKeptLimit(clock, first);
-    kept.set(id, made);
-    writeLog("limit_kept", { replica: id, perSecond: first.perSecond });
-    return made;
+    const reported = takeWord(word, clock.monotonic());
+    const created = createCoordinatedLimit(clock, reported);
+    limits.set(id, created);
+    writeLog("limit_kept", { replica: id, perSecond: reported.perSecond });
+    return created;
   };
 
-  const listen = (limit: KeptLimit, { word, unnamed }: ReplicaQuestion): void => {
+  const observe = (limit: CoordinatedLimit, { word, unnamed }: ReplicaQuestion): void => {
     const now = clock.monotonic();
-    limit.hear(takeWord(word, now));
-    if (unnamed !== undefined) limit.hearUnnamed(takeSpan(unnamed, now));
+    limit.observeLimit(takeWord(word, now));
+    if (unnamed !== undefined) limit.observeNoLimit(takeSpan(unnamed, now));
   };
 
-  const say = (number: number, verdict: LimitVerdict, wait = 0): LimitAnswer => ({
+  const createAnswer = (number: number, verdict: LimitVerdict, wait = 0): LimitAnswer => ({
     kind: "answer",
     number,
     verdict,
@@ -63,21 +63,21 @@
   });
 
   return {
-    answer: (question) => {
-      const { number } = question;
-      const limit = keptFor(question);
-      if (limit === undefined) return elsewhere(number);
-      listen(limit, question);
-      if (limit.endedAt() !== undefined) return say(number, "unlimited");
-      if (!question.isAsked) return say(number, "granted");
-      const { isGranted, wait } = limit.take(question.patience);
-      return say(number, isGranted ? "granted" : "refused", wait);
+    answer: (query) => {
+      const { number } = query;
+      const limit = limitFor(query);
+      if (limit === undefined) return answerElsewhere(number);
+      observe(limit, query);
+      if (limit.endedAt() !== undefined) return createAnswer(number, "unlimited");
+      if (!query.isAsked) return createAnswer(number, "granted");
+      const { isGranted, wait } = limit.acquire(query.patience);
+      return createAnswer(number, isGranted ? "granted" : "refused", wait);
     },
     poll: () => {
       const now = clock.monotonic();
-      for (const [id, limit] of kept) {
-        const isOld = now - (limit.endedAt() ?? now) > endMemory;
-        if (isOld || replicas.get(id) === undefined || !keepers.isActing(id)) letGo(id);
+      for (const [id, limit] of limits) {
+        const isExpired = now - (limit.endedAt() ?? now) > endedLimitRetention;
+        if (isExpired || replicas.get(id) === undefined || !coordinators.isActing(id)) drop(id);
       }
     },
   };
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -1,11 +1,11 @@
 /**
- * Limits that replicas name in their answers, over all routers: what a replica takes is granted by one router that keeps
- * it for all, and asked for before each request that is to go there, whatever kind of request it is and however often
- * it was tried before.
+ * Enforces, over all routers, the rate limits that replicas report in their answers. One router coordinates the limit of
+ * a replica. It is asked for a grant before each request to that replica, whatever kind of request it is and however
+ * often it was tried before.
  *
- * A limit is one number over all routers and may be below one a second, so that no part of it can be dealt out to each;
- * routers that told one another afterwards would have sent many times as much by then. Replicas without a limit cost
- * nothing.
+ * A limit is one number for all routers together and may be below one request a second, so that it can't be divided
+ * among them. If routers only notified one another afterwards, they would have sent many times the limit by then.
+ * Replicas without a limit cost nothing.
  */
 import type { ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
 import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
@@ -15,55 +15,54 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
-import type { UsageBucket } from "../coordinators/tokenBucket.ts";
-import { createUsageBucket } from "../coordinators/tokenBucket.ts";
+import type { TokenBucket } from "../coordinators/tokenBucket.ts";
+import { createTokenBucket } from "../coordinators/tokenBucket.ts";
 import type { SlidingCount } from "../slidingCount.ts";
 import { createSlidingCount } from "../slidingCount.ts";
 import {
-  grantLife,
-  leastRate,
-  longestReturn,
-  returnBuckets,
-  returnWindow,
-  shortestPause,
-  shortestReturn,
-  unansweredPause,
-  unaskedShare,
+  grantLifetime,
+  localGrantShare,
+  maxRetryAfter,
+  minRate,
+  minRetryAfter,
+  minSkipDuration,
+  refusalBuckets,
+  refusalWindow,
+  unansweredSkipDuration,
 } from "./constants.ts";
-import { createLimitKeeper } from "./limitCoordinator.ts";
+import { createLimitCoordinator } from "./limitCoordinator.ts";
 
-/** What keeping to limits works with. */
 export interface ReplicaLimitsDependencies {
   readonly coordination: KeyCoordination;
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
-  /** Tells other routers of a limit that they may not have heard of. */
+  /** Announces a limit to other routers, which may not know it yet. */
   readonly announce: (replica: ReplicaState) => void;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** A request's turn at a replica. Milliseconds on the monotonic clock. */
+/** Permission to send one request to a replica with a limit. Milliseconds on the monotonic clock. */
 export interface Grant {
   readonly from: number;
-  /** The request must have left by then. */
+  /** The request must have been sent by then. */
   readonly until: number;
 }
 
-/** See {@link createReplicaLimits}. */
+/** The limits of replicas, as one router observes and obeys them. */
 export interface ReplicaLimits {
   /**
-   * A request is to be sent.
+   * Acquires a grant for one request.
    *
-   * @param patience - How long it may wait for its turn, milliseconds.
-   * @returns Its turn, or nothing if there is none; no promise where the replica names no limit.
+   * @param maxWait - The longest time for which the request may wait, milliseconds.
+   * @returns The grant, or `undefined` if there is none; no promise where the replica has no limit.
    */
-  readonly take: (replica: ReplicaState, patience: number) => Promise<Grant | undefined> | undefined;
-  /** An answer named a limit. */
-  readonly observeLimit: (replica: ReplicaState, word: LimitWord) => void;
-  /** An answer named none. */
+  readonly take: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
+  /** An answer reported a limit. */
+  readonly observeLimit: (replica: ReplicaState, reported: LimitWord) => void;
+  /** An answer reported no limit. */
   readonly observeNoLimit: (replica: ReplicaState, span: AnswerSpan) => void;
-  /** @returns Milliseconds after which a request that a service has no room for is to come back. */
+  /** @returns Milliseconds after which to retry a request for which the limits of a service's replicas leave no room. */
   readonly comeBackAfter: (service: string) => number;
 }
 
@@ -71,111 +70,111 @@
 
 const writeLog = createLogger("replicaLimits");
 
-/** What one router sends where no keeper answers. */
-const createUnasked = (clock: Clock): UsageBucket => createUsageBucket(clock, 0);
+/** Limits what one router sends to a replica while no coordinator answers. */
+const createLocalBucket = (clock: Clock): TokenBucket => createTokenBucket(clock, 0);
 
-/** Creates the limits of replicas as one router keeps to them. */
-export const createReplicaLimits = (parts: ReplicaLimitsDependencies): ReplicaLimits => {
-  const { coordination: keeping, replicas, clock, random } = parts;
-  keeping.addRoles({
-    replicaQuestion: createLimitKeeper({ keepers: keeping.coordinators, replicas, clock }),
+/** Creates the limits of replicas for one router, and adds its role as a coordinator of limits. */
+export const createReplicaLimits = (dependencies: ReplicaLimitsDependencies): ReplicaLimits => {
+  const { coordination, replicas, clock, random } = dependencies;
+  coordination.addRoles({
+    replicaQuestion: createLimitCoordinator({ coordinators: coordination.coordinators, replicas, clock }),
   });
   /** By id of a replica. */
-  const unasked = new Map<string, UsageBucket>();
-  /** By service: requests that were turned away. */
-  const turnedAway = new Map<string, SlidingCount>();
+  const localBuckets = new Map<string, TokenBucket>();
+  /** By service: requests that were refused. */
+  const refusedRequests = new Map<string, SlidingCount>();
 
   replicas.subscribe(({ id }, departure) => {
-    if (departure !== undefined && departure !== "draining") unasked.delete(id);
+    if (departure !== undefined && departure !== "draining") localBuckets.delete(id);
   });
 
-  const questionOf = (
+  const createQuery = (
     { entry }: ReplicaState,
-    word: LimitWord,
+    reported: LimitWord,
     fields: Pick<ReplicaQuestion, "unnamed" | "isAsked" | "patience">,
   ): ReplicaQuestion => ({
     kind: "replicaQuestion",
     number: 0,
     replica: entry.id,
-    word: tellWord(word, clock.monotonic()),
+    word: tellWord(reported, clock.monotonic()),
     ...fields,
   });
 
-  const end = (replica: ReplicaState): void => {
+  const endLimit = (replica: ReplicaState): void => {
     if (replica.limit === undefined) return;
     replica.limit = undefined;
     replica.limitEndedAt = clock.monotonic();
     replica.limitedUntil = Number.NEGATIVE_INFINITY;
-    unasked.delete(replica.entry.id);
+    localBuckets.delete(replica.entry.id);
     writeLog("limit_ends", { replica: replica.entry.id });
   };
 
-  /** Tells the keeper what was heard; it may know that the limit is over. */
-  const report = async (replica: ReplicaState, word: LimitWord, unnamed?: AnswerSpan): Promise<void> => {
-    const told = unnamed === undefined ? undefined : tellSpan(unnamed, clock.monotonic());
-    const question = questionOf(replica, word, { unnamed: told, isAsked: false, patience: 0 });
-    const answer = await keeping.ask(replica.entry.id, question);
-    if (answer?.verdict === "unlimited") end(replica);
+  /** Reports an observation to the coordinator, which may know that the limit has ended. */
+  const report = async (replica: ReplicaState, reported: LimitWord, missing?: AnswerSpan): Promise<void> => {
+    const unnamed = missing === undefined ? undefined : tellSpan(missing, clock.monotonic());
+    const query = createQuery(replica, reported, { unnamed, isAsked: false, patience: 0 });
+    const answer = await coordination.ask(replica.entry.id, query);
+    if (answer?.verdict === "unlimited") endLimit(replica);
   };
 
-  const turnIn = (wait: number): Grant => {
+  const grantAfter = (wait: number): Grant => {
     const from = clock.monotonic() + wait;
-    return { from, until: from + grantLife };
+    return { from, until: from + grantLifetime };
   };
 
-  const passOver = (replica: ReplicaState, wait: number): void => {
-    replica.limitedUntil = clock.monotonic() + Math.max(shortestPause, wait);
+  const skip = (replica: ReplicaState, wait: number): void => {
+    replica.limitedUntil = clock.monotonic() + Math.max(minSkipDuration, wait);
   };
 
-  /** Nobody grants: an even part of half the limit stays within what may be sent beyond it. */
-  const takeUnasked = (replica: ReplicaState, { perSecond }: LimitWord): Grant | undefined => {
+  /** Used while no coordinator answers: an even part of half the limit stays within the allowed overshoot. */
+  const grantLocally = (replica: ReplicaState, { perSecond }: LimitWord): Grant | undefined => {
     const { id } = replica.entry;
-    const bucket = unasked.get(id) ?? createUnasked(clock);
-    unasked.set(id, bucket);
-    const ratePerSecond = (Math.max(leastRate, perSecond) * unaskedShare) / keeping.countRouters();
+    const bucket = localBuckets.get(id) ?? createLocalBucket(clock);
+    localBuckets.set(id, bucket);
+    const ratePerSecond = (Math.max(minRate, perSecond) * localGrantShare) / coordination.countRouters();
     const wait = bucket.take(1, { ratePerSecond, capacity: 1 });
-    if (wait === undefined) return turnIn(0);
-    passOver(replica, unansweredPause);
+    if (wait === undefined) return grantAfter(0);
+    skip(replica, unansweredSkipDuration);
     return undefined;
   };
 
-  const ask = async (
+  const requestGrant = async (
     replica: ReplicaState,
-    word: LimitWord,
-    patience: number,
+    reported: LimitWord,
+    maxWait: number,
   ): Promise<Grant | undefined> => {
-    const question = questionOf(replica, word, {
+    const query = createQuery(replica, reported, {
       unnamed: undefined,
       isAsked: true,
-      patience: Math.max(0, Math.floor(patience)),
+      patience: Math.max(0, Math.floor(maxWait)),
     });
-    const answer = await keeping.ask(replica.entry.id, question);
-    if (answer === undefined) return takeUnasked(replica, word);
-    unasked.delete(replica.entry.id);
-    if (answer.verdict === "unlimited") end(replica);
-    if (answer.verdict !== "refused") return turnIn(answer.wait);
-    passOver(replica, answer.wait);
+    const answer = await coordination.ask(replica.entry.id, query);
+    if (answer === undefined) return grantLocally(replica, reported);
+    localBuckets.delete(replica.entry.id);
+    if (answer.verdict === "unlimited") endLimit(replica);
+    if (answer.verdict !== "refused") return grantAfter(answer.wait);
+    skip(replica, answer.wait);
     return undefined;
   };
 
-  const countTurnedAway = (service: string): number => {
-    const count = turnedAway.get(service) ?? createSlidingCount(clock, returnWindow, returnBuckets);
-    turnedAway.set(service, count);
+  const countRefused = (service: string): number => {
+    const count = refusedRequests.get(service) ?? createSlidingCount(clock, refusalWindow, refusalBuckets);
+    refusedRequests.set(service, count);
     count.add(1);
     return count.sum();
   };
 
   return {
-    take: (replica, patience) =>
-      replica.limit === undefined ? undefined : ask(replica, replica.limit, patience),
-    observeLimit: (replica, word) => {
+    take: (replica, maxWait) =>
+      replica.limit === undefined ? undefined : requestGrant(replica, replica.limit, maxWait),
+    observeLimit: (replica, reported) => {
       const known = replica.limit;
-      if (known === undefined || supersedes(word, known)) replica.limit = word;
+      if (known === undefined || supersedes(reported, known)) replica.limit = reported;
       if (known === undefined) {
-        writeLog("limit_named", { replica: replica.entry.id, perSecond: word.perSecond });
-        parts.announce(replica);
+        writeLog("limit_named", { replica: replica.entry.id, perSecond: reported.perSecond });
+        dependencies.announce(replica);
       }
-      void report(replica, word);
+      void report(replica, reported);
     },
     observeNoLimit: (replica, span) => {
       const known = replica.limit;
@@ -184,12 +183,12 @@
     comeBackAfter: (service) => {
       const limited = replicas.serving(service).filter(({ limit }) => limit !== undefined);
       const soonest = Math.min(...limited.map(({ limitedUntil }) => limitedUntil)) - clock.monotonic();
-      const pace = limited.reduce((sum, { limit }) => sum + Math.max(leastRate, limit?.perSecond ?? 0), 0);
-      const ownPace = pace / keeping.countRouters() / millisecondsPerSecond;
-      const spread = (random() * countTurnedAway(service)) / Math.max(ownPace, 1 / longestReturn);
+      const rate = limited.reduce((sum, { limit }) => sum + Math.max(minRate, limit?.perSecond ?? 0), 0);
+      const ownRate = rate / coordination.countRouters() / millisecondsPerSecond;
+      const spread = (random() * countRefused(service)) / Math.max(ownRate, 1 / maxRetryAfter);
       return Math.min(
-        longestReturn,
-        Math.max(shortestReturn, Number.isFinite(soonest) ? soonest : 0) + spread,
+        maxRetryAfter,
+        Math.max(minRetryAfter, Number.isFinite(soonest) ? soonest : 0) + spread,
       );
     },
   };
--- a/src/coordination/replicaReports/availability.ts
+++ b/src/coordination/replicaReports/availability.ts
@@ -1,9 +1,9 @@
-/** Which replicas of a service may be sent a request now, and when callers are to return where there are none. */
+/** Which replicas of a service may be sent a request now, and when callers should retry where there are none. */
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
 import { isBackingOff, reopensAt } from "./backoff.ts";
-import { drainedRetryAfter, mostSkippedLogged, returnSpread } from "./constants.ts";
+import { drainedRetryAfter, maxSkippedLogged, retryJitter } from "./constants.ts";
 
 export interface AvailabilityDependencies {
   readonly replicas: Pick<ReplicaTable, "serving" | "draining">;
@@ -12,20 +12,20 @@
   readonly random: () => number;
 }
 
-/** See {@link createAvailability}. */
+/** The replicas that neither drain nor back off. A draining replica gets no new work. */
 export interface Availability {
-  /** @returns The replicas of a service that neither drain nor ask for backoff. */
+  /** @returns The available replicas of a service. */
   readonly available: (service: string) => readonly ReplicaState[];
   /**
-   * @returns Milliseconds after which a caller is to return if no replica of the service is available; nothing if one
-   * is, or if none is registered.
+   * @returns Milliseconds after which a caller should retry if no replica of the service is available; `undefined` if
+   * one is, or if none is registered.
    */
   readonly retryAfter: (service: string) => number | undefined;
-  /** @returns The replicas that are not available, with the reasons, for the log; nothing if all are. */
+  /** @returns The replicas that are not available, with the reasons, for the log; `undefined` if all are. */
   readonly describeSkipped: (service: string) => string | undefined;
 }
 
-/** Creates the availability of a table's replicas. */
+/** Creates the view of which replicas in a table are available. */
 export const createAvailability = ({ replicas, clock, random }: AvailabilityDependencies): Availability => {
   const available = (service: string): readonly ReplicaState[] => {
     const now = clock.monotonic();
@@ -44,17 +44,17 @@
       ...backingOff.map((replica) => `${replica.entry.id}:backoff:${Math.ceil(reopensAt(replica) - now)}`),
       ...draining.map(({ entry }) => `${entry.id}:draining`),
     ];
-    return reasons.slice(0, mostSkippedLogged).join(" ");
+    return reasons.slice(0, maxSkippedLogged).join(" ");
   };
 
-  /** Callers return in proportion to the replicas that do, each to the time at which one reopens. */
+  /** Each caller gets the time at which a replica chosen at random reopens, so that callers spread over the replicas. */
   const retryAfter = (service: string): number | undefined => {
     if (available(service).length > 0) return undefined;
     const serving = replicas.serving(service);
     const chosen = serving[Math.floor(random() * serving.length)];
     if (chosen !== undefined) {
       const delay = Math.max(0, reopensAt(chosen) - clock.monotonic());
-      return delay + random() * Math.max(returnSpread.least, delay * returnSpread.share);
+      return delay + random() * Math.max(retryJitter.least, delay * retryJitter.share);
     }
     if (replicas.draining(service).length === 0) return undefined;
     const { shortest, longest } = drainedRetryAfter;
--- a/src/coordination/replicaReports/backoff.test.ts
+++ b/src/coordination/replicaReports/backoff.test.ts
@@ -8,13 +8,13 @@
 import {
   isAvoided,
   isBackingOff,
-  mayLeave,
+  maySend,
   noteAccepted,
   noteRefusal,
   noteSent,
   startBackoff,
 } from "./backoff.ts";
-import { reopening } from "./constants.ts";
+import { reopeningJitter } from "./constants.ts";
 
 const start = (ids: readonly string[] = ["engine"]) => {
   const replicas = createReplicaTable();
@@ -27,7 +27,7 @@
   return { replicas, stateOf };
 };
 
-/** @returns The requests that are admitted when one is waiting at every millisecond, each answered after a while. */
+/** @returns When requests are admitted if one is waiting at each millisecond; each is answered after `answerTime`. */
 const admittedAt = (replica: ReplicaState, from: number, until: number, answerTime: number): number[] => {
   const admitted: number[] = [];
   for (let now = from; now < until; now += 1) {
@@ -40,7 +40,7 @@
 };
 
 describe("backoff", () => {
-  it("lasts until the latest end of overlapping periods, in whatever order they come", () => {
+  it("lasts until the latest end of overlapping periods, whichever comes first", () => {
     for (const [first, second] of [
       [4_000, 1_000],
       [1_000, 4_000],
@@ -53,32 +53,32 @@
     }
   });
 
-  it("ends at different times at routers that were turned away together", () => {
+  it("ends at different times at routers that were refused together", () => {
     const [early, late] = [start().stateOf(), start().stateOf()];
     startBackoff(early, 4_000, 0, 0);
     startBackoff(late, 4_000, 0, 1);
-    expect([early, late].map((each) => isBackingOff(each, 4_000 + reopening.spread / 2))).toEqual([
+    expect([early, late].map((each) => isBackingOff(each, 4_000 + reopeningJitter.spread / 2))).toEqual([
       false,
       true,
     ]);
   });
 
-  it("withholds a request that was queued before it, also after its end", () => {
+  it("withholds a request that was queued before it, even after its end", () => {
     const replica = start().stateOf();
     startBackoff(replica, 1_000, 100, 0);
-    expect(mayLeave(replica, 50, 500)).toEqual(false);
-    expect(mayLeave(replica, 50, 2_000)).toEqual(false);
-    expect(mayLeave(replica, 2_000, 2_000)).toEqual(true);
+    expect(maySend(replica, 50, 500)).toEqual(false);
+    expect(maySend(replica, 50, 2_000)).toEqual(false);
+    expect(maySend(replica, 2_000, 2_000)).toEqual(true);
   });
 
-  it("is not ended by answers to requests that were sent before it", () => {
+  it("is not ended by answers to requests that were sent before it began", () => {
     const replica = start().stateOf();
     startBackoff(replica, 1_000, 100, 0);
     expect(noteAccepted(replica, 50, 2_000)).toEqual(false);
     expect(replica.backoff === undefined).toEqual(false);
   });
 
-  it("is followed by a trickle that becomes the usual pace within a second", () => {
+  it("is followed by single requests that become the usual rate within a second", () => {
     const replica = start().stateOf();
     startBackoff(replica, 1_000, 0, 0);
     const admitted = admittedAt(replica, 0, 2_000, 30);
@@ -88,7 +88,7 @@
     expect(replica.backoff).toEqual(undefined);
   });
 
-  it("begins again with one request where the replica refuses the first one", () => {
+  it("begins again after one request where the replica refuses the first one", () => {
     const replica = start().stateOf();
     startBackoff(replica, 1_000, 0, 0);
     noteSent(replica, 1_000);
@@ -97,7 +97,7 @@
     expect(isBackingOff(replica, 2_010)).toEqual(false);
   });
 
-  it("is unlimited in length", () => {
+  it("has no longest duration", () => {
     const replica = start().stateOf();
     startBackoff(replica, 31_536_000_000, 0, 0);
     expect(isBackingOff(replica, 31_535_999_999)).toEqual(true);
@@ -105,7 +105,7 @@
 });
 
 describe("a refusal without a usable Retry-After", () => {
-  it("makes others preferred, longer each time, until the replica accepts a request", () => {
+  it("makes other replicas preferred, longer each time, until the replica accepts a request", () => {
     const replica = start().stateOf();
     noteRefusal(replica, 0, 1);
     expect([isAvoided(replica, 49), isAvoided(replica, 50), isBackingOff(replica, 0)]).toEqual([
@@ -132,7 +132,7 @@
     return { ...system, clock, availability, setRandom: (value: number) => (random = value) };
   };
 
-  it("is of the others while one replica asks for backoff", () => {
+  it("excludes a replica that asks for backoff", () => {
     const { availability, stateOf } = setUp();
     startBackoff(stateOf("a"), 2_500, 0, 0);
     expect(availability.available("engines").map(({ entry }) => entry.id)).toEqual(["b"]);
@@ -140,7 +140,7 @@
     expect(availability.describeSkipped("engines")).toEqual("a:backoff:2500");
   });
 
-  it("tells callers to return after the backoff, spread out, where there are no others", () => {
+  it("spreads callers' retries after the backoff where all replicas back off", () => {
     const { availability, stateOf, setRandom } = setUp();
     startBackoff(stateOf("a"), 2_500, 0, 0);
     startBackoff(stateOf("b"), 5_000, 0, 0);
@@ -152,7 +152,7 @@
     expect(new Set(times).size).toEqual(4);
   });
 
-  it("tells callers to return where all replicas drain, and nothing where none is registered", () => {
+  it("gives callers a retry time where all replicas drain, and none where no replica is registered", () => {
     const { availability, replicas } = setUp();
     replicas.markDraining("a");
     replicas.markDraining("b");
@@ -162,7 +162,7 @@
     expect(availability.retryAfter("unknown")).toEqual(undefined);
   });
 
-  it("survives a registry that drops the replica and lists it again, and not a new incarnation", () => {
+  it("keeps a backoff when the registry drops the replica and lists it again, but not for a new incarnation", () => {
     const { availability, replicas, stateOf } = setUp();
     startBackoff(stateOf("a"), 2_500, 0, 0);
     replicas.remove("a");
--- a/src/coordination/replicaReports/backoff.ts
+++ b/src/coordination/replicaReports/backoff.ts
@@ -1,21 +1,24 @@
 /**
- * Backoff of one replica as this router keeps to it. `Retry-After` stops all requests of the router that got the answer;
+ * Backoff of one replica as this router obeys it. `Retry-After` stops all requests of the router that got the answer;
  * after its end they are admitted one by one, faster with each answer. A refusal without a usable `Retry-After` only
- * makes other replicas preferred, for a time that doubles with each.
+ * makes other replicas preferred, for a time that doubles with each refusal.
  */
 import type { ReplicaBackoff, ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { avoidance, recoveryIntervals, reopening } from "./constants.ts";
+import { avoidance, recoveryIntervals, reopeningJitter } from "./constants.ts";
 
 /** @returns Whether nothing may be sent to the replica now. */
 export const isBackingOff = ({ backoff }: ReplicaState, now: number): boolean =>
   backoff !== undefined && now < Math.max(backoff.until, backoff.nextAt);
 
-/** @returns Whether other replicas are to be preferred. */
+/** @returns Whether other replicas should be preferred. */
 export const isAvoided = ({ backoff }: ReplicaState, now: number): boolean =>
   backoff !== undefined && now < backoff.avoidedUntil;
 
-/** @returns Whether a request that was handed over at a moment may still leave for the replica. */
-export const mayLeave = ({ backoff }: ReplicaState, askedAt: number, now: number): boolean =>
+/**
+ * @param askedAt - When the request was handed to the client.
+ * @returns Whether the request may still be sent to the replica.
+ */
+export const maySend = ({ backoff }: ReplicaState, askedAt: number, now: number): boolean =>
   backoff === undefined || (now >= backoff.until && askedAt >= backoff.startedAt);
 
 /** @returns When the replica may be sent a request again, milliseconds on the monotonic clock. */
@@ -33,13 +36,14 @@
   refusals: 0,
 });
 
-const open = (replica: ReplicaState): ReplicaBackoff => (replica.backoff ??= createBackoff());
+const ensureBackoff = (replica: ReplicaState): ReplicaBackoff => (replica.backoff ??= createBackoff());
 
 /**
- * The replica asked for backoff; of overlapping periods the latest end counts.
+ * Applies a backoff that the replica asked for; of overlapping periods the latest end counts.
  *
- * @param random - From 0 to 1: routers that were turned away together don't return together.
- * @returns Whether it begins one, rather than extends it.
+ * @param duration - Milliseconds.
+ * @param random - From 0 to 1, so that routers that were refused together don't return together.
+ * @returns Whether this starts a backoff, rather than extends one.
  */
 export const startBackoff = (
   replica: ReplicaState,
@@ -47,9 +51,9 @@
   now: number,
   random: number,
 ): boolean => {
-  const backoff = open(replica);
+  const backoff = ensureBackoff(replica);
   const isNew = now >= backoff.until;
-  const spread = Math.min(reopening.spread, duration * reopening.share) * random;
+  const spread = Math.min(reopeningJitter.spread, duration * reopeningJitter.share) * random;
   backoff.startedAt = now;
   backoff.until = Math.max(backoff.until, now + duration + spread);
   backoff.interval = recoveryIntervals.first;
@@ -57,26 +61,26 @@
   return isNew;
 };
 
-/** The replica turned a request away without a usable period. @param random - From 0 to 1. */
+/** Notes that the replica refused a request without a usable `Retry-After`. @param random - From 0 to 1. */
 export const noteRefusal = (replica: ReplicaState, now: number, random: number): void => {
-  const backoff = open(replica);
+  const backoff = ensureBackoff(replica);
   const longest = Math.min(avoidance.longest, avoidance.first * 2 ** backoff.refusals);
   backoff.refusals += 1;
   backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + (longest / 2) * (1 + random));
   if (backoff.interval > 0) backoff.interval = recoveryIntervals.first;
 };
 
-/** The replica asked another router for backoff: a preference, since it may have room for this one. */
+/** Prefers other replicas after this one asked another router for backoff; it may have room for this router. */
 export const avoidReplica = (replica: ReplicaState, now: number): void => {
-  const backoff = open(replica);
+  const backoff = ensureBackoff(replica);
   backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + avoidance.longest);
 };
 
-/** @returns When other routers may stop preferring other replicas, milliseconds on the monotonic clock. */
+/** @returns Until when other routers should prefer other replicas, milliseconds on the monotonic clock. */
 export const avoidReplicaUntil = ({ ejectedUntil, backoff }: ReplicaState): number =>
   Math.max(ejectedUntil, backoff?.avoidedUntil ?? ejectedUntil);
 
-/** A request is sent to the replica. */
+/** Notes that a request is sent to the replica. */
 export const noteSent = ({ backoff }: ReplicaState, now: number): void => {
   if (backoff === undefined || now < backoff.until) return;
   backoff.sentAt = now;
@@ -85,10 +89,10 @@
 };
 
 /**
- * The replica accepted a request.
+ * Notes that the replica accepted a request.
  *
  * @param askedAt - When the request was sent.
- * @returns Whether this ends its backoff; answers to what was sent before don't.
+ * @returns Whether this ends the backoff; answers to requests that were sent before it began don't.
  */
 export const noteAccepted = (replica: ReplicaState, askedAt: number, now: number): boolean => {
   const { backoff } = replica;
--- a/src/coordination/replicaReports/backoffExchange.ts
+++ b/src/coordination/replicaReports/backoffExchange.ts
@@ -1,4 +1,4 @@
-/** Notifies peers of replicas that ask for backoff, so that they prefer others for a moment. */
+/** Notifies peers of replicas that ask for backoff, so that they prefer other replicas for a short time. */
 import { decodeBackoffMessage, encodeBackoffMessage } from "../../protocol/forwarding/backoffMessage.ts";
 import type { DatagramAddress, DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
@@ -15,7 +15,7 @@
   readonly recipients: () => readonly { readonly at: DatagramAddress }[];
 }
 
-/** Starts to apply notifications of peers. @returns A function that notifies them of a replica. */
+/** Starts to apply notifications from peers. @returns A function that notifies them of a replica. */
 export const createBackoffExchange = ({
   link,
   replicas,
--- a/src/coordination/replicaReports/replicaGate.ts
+++ b/src/coordination/replicaReports/replicaGate.ts
@@ -1,4 +1,4 @@
-/** The last check before anything leaves for a replica, by what the replica has reported. */
+/** The last check before anything is sent to a replica, by what the replica has reported. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { ReplicaGate } from "../../protocol/forwarding/ReplicaGate.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -6,7 +6,7 @@
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import { mayLeave, noteSent } from "./backoff.ts";
+import { maySend, noteSent } from "./backoff.ts";
 import type { ReportObserver } from "./reportObserver.ts";
 
 export interface ReplicaGateDependencies {
@@ -16,7 +16,10 @@
   readonly clock: Clock;
 }
 
-/** @param askedAt - When the request was handed to the client. */
+/**
+ * @param askedAt - When the request was handed to the client, milliseconds on the monotonic clock.
+ * @returns Why nothing may be sent to the replica; `undefined` if the request may.
+ */
 const reasonToWithhold = (
   replica: ReplicaState | undefined,
   askedAt: number,
@@ -24,10 +27,10 @@
 ): string | undefined => {
   if (replica === undefined) return "is gone";
   if (replica.entry.isDraining) return "drains";
-  return mayLeave(replica, askedAt, now) ? undefined : "asked for backoff";
+  return maySend(replica, askedAt, now) ? undefined : "asked for backoff";
 };
 
-/** Creates a gate before the replicas of a table. */
+/** Creates a gate for the replicas of a table. */
 export const createReplicaGate = ({
   replicas,
   observe,
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -1,6 +1,6 @@
 /**
- * Applies what a replica reports in the head of an answer to what this router knows of it. Reports of another process
- * that answers at its address are ignored, and a field that can't be decoded changes nothing.
+ * Applies what a replica reports in the head of an answer to this router's state of the replica. Reports of another
+ * process that answers at its address are ignored, and a field that can't be decoded changes nothing.
  */
 import type { ReplicaEntry, ReplicaReport } from "../../protocol/forwarding/types.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -9,7 +9,7 @@
 import { createLogger } from "../../state/log.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import { bindingRate } from "../replicaLimits/constants.ts";
+import { unlimitedRate } from "../replicaLimits/constants.ts";
 import type { ReplicaLimits } from "../replicaLimits/replicaLimits.ts";
 import { noteAccepted, noteRefusal, startBackoff } from "./backoff.ts";
 import { unavailableStatuses } from "./constants.ts";
@@ -17,9 +17,9 @@
 export interface ReportObserverDependencies {
   readonly limits: Pick<ReplicaLimits, "observeLimit" | "observeNoLimit">;
   readonly replicas: Pick<ReplicaTable, "get" | "markDraining" | "subscribe">;
-  /** An answer reported draining, which this router didn't know. */
+  /** An answer reported that a replica drains, which this router didn't know. */
   readonly onDraining: (id: string) => void;
-  /** A replica began to ask this router for backoff. */
+  /** A backoff of a replica has begun. */
   readonly onBackoff: (replica: ReplicaState) => void;
   readonly metrics: Metrics;
   readonly clock: Clock;
@@ -27,35 +27,38 @@
   readonly random: () => number;
 }
 
-/** What was answered. */
+/** The request that an answer belongs to. */
 export interface AnsweredRequest {
   readonly replica: ReplicaEntry;
-  /** The caller's request; nothing for status reads and orders, which another process at the address rejects. */
+  /**
+   * Id of the caller's request; `undefined` for status reads and orders, which another process at the address rejects.
+   */
   readonly id: string | undefined;
-  /** When it was handed to the client, milliseconds on the monotonic clock. */
+  /** When the request was handed to the client, milliseconds on the monotonic clock. */
   readonly askedAt: number;
 }
 
-/** Observes the head of an answer. */
+/** Called with the head of each answer. */
 export type ReportObserver = (request: AnsweredRequest, report: ReplicaReport) => void;
 
 const writeLog = createLogger("replicas");
 
-const isOfAnother = ({ replica, id }: AnsweredRequest, report: ReplicaReport): boolean => {
+/** Whether the answer comes from another process at the address, or belongs to another request. */
+const isFromOther = ({ replica, id }: AnsweredRequest, report: ReplicaReport): boolean => {
   const { echoedId, replicaId } = report;
   if (id !== undefined && echoedId !== undefined && echoedId !== id) return true;
   return replicaId !== undefined && replicaId !== replica.registeredAs;
 };
 
-/** Only a replica can mark an answer; a refusal needs no mark to be taken seriously. */
-const isMarked = ({ isSealed, isNotRun }: ReplicaReport): boolean => isSealed || isNotRun;
+/** Only a replica can mark an answer so; a refusal counts as backoff without a mark. */
+const isMarkedByReplica = ({ isSealed, isNotRun }: ReplicaReport): boolean => isSealed || isNotRun;
 
-/** Creates an observer. */
+/** Creates an observer that updates a table of replicas and their limits. */
 export const createReportObserver = (dependencies: ReportObserverDependencies): ReportObserver => {
   const { limits, replicas, metrics, clock, random } = dependencies;
-  /** Ids of replicas with an unreadable limit: logged once for each. */
+  /** Ids of replicas whose unreadable limit was logged, which happens once for each. */
   const unreadableLimits = new Set<string>();
-  /** The same for other fields. */
+  /** The same for all other fields. */
   const unreadableReports = new Set<string>();
   replicas.subscribe(({ id }, departure) => {
     if (departure === undefined || departure === "draining") return;
@@ -82,7 +85,7 @@
       noteUnreadableLimit(replica.entry.id);
       return;
     }
-    if (limit === undefined || limit >= bindingRate) {
+    if (limit === undefined || limit >= unlimitedRate) {
       limits.observeNoLimit(replica, span);
       return;
     }
@@ -124,10 +127,10 @@
   };
 
   return (request, report) => {
-    if (isOfAnother(request, report)) return;
+    if (isFromOther(request, report)) return;
     const state = replicas.get(request.replica.id);
     if (state !== undefined) observeBackoff(request, state, report);
-    if (request.id !== undefined && !isMarked(report)) return;
+    if (request.id !== undefined && !isMarkedByReplica(report)) return;
     observeDraining(request, report);
     if (request.id !== undefined && state !== undefined) observeLimit(state, report, request.askedAt);
   };
--- a/src/coordination/usageLimits/usageAccount.ts
+++ b/src/coordination/usageLimits/usageAccount.ts
@@ -1,4 +1,4 @@
-/** What a router knows of one organisation's use, and what it may pass on without asking. */
+/** What a router knows of one organisation's usage, and what it may forward without a grant. */
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
@@ -6,75 +6,81 @@
 import { createSlidingCount } from "../slidingCount.ts";
 import {
   bucketsPerWindow,
-  continuation,
+  fallbackDuration,
+  nearLimitShare,
+  optimisticDuration,
+  optimisticThreshold,
   overshootShares,
-  pressedShare,
-  roomMemory,
-  roomyBurst,
 } from "./constants.ts";
 import { overshootOf } from "./overshoot.ts";
 
-/** See the module. */
+/** One organisation's usage at one router. Amounts are in the unit of the organisation's limit. */
 export interface UsageAccount {
-  /** Passed on here. */
+  /** Forwarded by this router. */
   readonly used: SlidingCount;
-  /** Passed on here without having been asked for. */
-  readonly unasked: SlidingCount;
-  /** To be told with the next question. */
+  /** Forwarded by this router without a grant. */
+  readonly ungranted: SlidingCount;
+  /** Forwarded without a grant, to be reported to the coordinator with the next query. */
   spent: number;
+  /** Granted and not run, to be reported with the next query. */
   returned: number;
-  /** Passed on while the question is under way. */
-  underWay: number;
-  /** Until when the organisation is believed to be far from its limit, milliseconds on the monotonic clock. */
-  roomyUntil: number;
-  /** How much this router may count on that it had passed on in a window when it last heard from the keeper. */
-  usualUse: number;
-  /** No keeper answered the last question. */
-  isAlone: boolean;
-  /** The least that it counts on: after a start little has been passed on yet. */
-  readonly leastUse: number;
+  /** Forwarded while the coordinator is being asked. */
+  inFlight: number;
+  /** Until when the organisation counts as far from its limit, milliseconds on the monotonic clock. */
+  optimisticUntil: number;
+  /** Usage in a window that this router may go on with, as of the coordinator's last answer. */
+  expectedUse: number;
+  /** Whether no coordinator answered the last query. */
+  isWithoutCoordinator: boolean;
+  /** The lower bound of the expected use: after a start little has been forwarded yet. */
+  readonly minExpectedUse: number;
 }
 
 /**
- * Creates an account of no use.
+ * Creates an account without usage.
  *
- * @param evenPart - What it would use in a window if all routers used as much: nothing else is known at first.
+ * @param evenShare - What this router would use in a window if all routers used the same; the only estimate at first.
  */
 export const createUsageAccount = (
   clock: Clock,
   { limitWindow }: ForwardingBounds,
-  evenPart: number,
+  evenShare: number,
 ): UsageAccount => ({
   used: createSlidingCount(clock, limitWindow, bucketsPerWindow),
-  unasked: createSlidingCount(clock, limitWindow, bucketsPerWindow),
+  ungranted: createSlidingCount(clock, limitWindow, bucketsPerWindow),
   spent: 0,
   returned: 0,
-  underWay: 0,
-  roomyUntil: Number.NEGATIVE_INFINITY,
-  usualUse: evenPart * pressedShare,
-  leastUse: evenPart * pressedShare,
-  isAlone: false,
+  inFlight: 0,
+  optimisticUntil: Number.NEGATIVE_INFINITY,
+  expectedUse: evenShare * nearLimitShare,
+  minExpectedUse: evenShare * nearLimitShare,
+  isWithoutCoordinator: false,
 });
 
-/** @returns What one of several routers may pass on unasked in a window. */
-export const unaskedPart = (
-  { usualUse }: UsageAccount,
+/** @returns What one of several routers may forward in a window without a grant. */
+export const ungrantedAllowance = (
+  { expectedUse }: UsageAccount,
   limit: OrganisationLimit,
   bounds: ForwardingBounds,
   routers: number,
 ): number =>
-  (overshootOf(limit, bounds) * overshootShares.unasked) / routers +
-  (usualUse * continuation) / bounds.limitWindow;
+  (overshootOf(limit, bounds) * overshootShares.ungranted) / routers +
+  (expectedUse * fallbackDuration) / bounds.limitWindow;
 
-/** Passes on what no keeper has granted. */
-export const spendUnasked = (account: UsageAccount, amount: number): void => {
-  account.unasked.add(amount);
+/** Counts usage that no coordinator has granted. */
+export const spendUngranted = (account: UsageAccount, amount: number): void => {
+  account.ungranted.add(amount);
   account.spent += amount;
 };
 
-/** Takes what an answer says of how far the organisation is from its limit. @param room - In hundredths. */
-export const noteRoom = (account: UsageAccount, room: number, clock: Clock): void => {
-  const isRoomy = room >= roomyBurst;
-  account.roomyUntil = isRoomy ? clock.monotonic() + roomMemory : Number.NEGATIVE_INFINITY;
-  account.usualUse = Math.max(account.leastUse, account.used.sum() * (isRoomy ? 1 : pressedShare));
+/** Applies the share of the burst that is left, by an answer of the coordinator. @param percent - From 0 to 100. */
+export const noteRemaining = (account: UsageAccount, percent: number, clock: Clock): void => {
+  const isFarFromLimit = percent >= optimisticThreshold;
+  account.optimisticUntil = isFarFromLimit
+    ? clock.monotonic() + optimisticDuration
+    : Number.NEGATIVE_INFINITY;
+  account.expectedUse = Math.max(
+    account.minExpectedUse,
+    account.used.sum() * (isFarFromLimit ? 1 : nearLimitShare),
+  );
 };
--- a/src/coordination/usageLimits/usageLimits.test.ts
+++ b/src/coordination/usageLimits/usageLimits.test.ts
@@ -5,7 +5,7 @@
 import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createManualClock } from "../manualClock.ts";
-import { lookInterval, takeoverSilence } from "../coordinators/constants.ts";
+import { pollInterval, takeoverTimeout } from "../coordinators/constants.ts";
 import { createCoordinators } from "../coordinators/coordinators.ts";
 import { createKeyCoordination } from "../coordinators/keyCoordination.ts";
 import { createUsageLimits } from "./usageLimits.ts";
@@ -22,21 +22,22 @@
 
 const limitBounds = { ...bounds, limitWindow: 8_000, limitOvershoot: 0.1, limitReserve: 140_000 };
 
-/** Without a reserve a second burst is too much: what two keepers at once would grant. */
+/** Without a reserve a second burst, which two coordinators at once would grant, exceeds the bound. */
 const strictBounds = { ...limitBounds, limitReserve: 0 };
 
 const step = 5;
 
-interface Passed {
+/** A request that was forwarded. */
+interface Forwarded {
   readonly at: number;
   readonly amount: number;
 }
 
-/** Routers in several data centres that share one network, and everything that they pass on. */
+/** Creates routers in several data centres on one network, and records what they forward. */
 const createRouters = (
   count: number,
   firstLimit: OrganisationLimit = smallLimit,
-  kept: typeof limitBounds = limitBounds,
+  usedBounds: typeof limitBounds = limitBounds,
 ) => {
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
@@ -48,7 +49,7 @@
     address: "10.0.0.1",
     port: index + 1,
   }));
-  const passed: Passed[] = [];
+  const forwarded: Forwarded[] = [];
   const refusals: { readonly wait: number; readonly amount: number }[] = [];
   const start = (self: (typeof entries)[number]) => {
     const link = network.open(self.port);
@@ -58,34 +59,34 @@
     const limits = createUsageLimits({
       coordination: createKeyCoordination({ self, link, clock, others: () => others, random: () => 0.5 }),
       clock,
-      bounds: kept,
+      bounds: usedBounds,
       limitOf: () => limit,
       limitedOrganisations: () => (limit === undefined ? [] : [organisation]),
       random: () => 0.5,
     });
-    // Routers hear of one another all the time, by messages that don't matter here.
-    const beat = (): void => {
+    // Routers always receive heartbeats from one another; their content does not matter here.
+    const sendHeartbeats = (): void => {
       for (const { at } of others) link.send(at, Buffer.from([0]));
-      clock.after(400, beat);
+      clock.after(400, sendHeartbeats);
     };
-    beat();
+    sendHeartbeats();
     return { self, limits };
   };
   const routers = entries.map(start);
 
-  /** Lets promises settle after every step of the clock. */
+  /** Advances the clock in steps, and lets promises settle after each. */
   const advance = async (milliseconds: number): Promise<void> => {
     const until = clock.monotonic() + milliseconds;
     while (clock.monotonic() < until) {
       clock.advanceTo(Math.min(until, clock.monotonic() + step));
-      for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
+      for (let round = 0; round < 4; round += 1) await Promise.resolve();
     }
   };
 
   const send = (router: number, amount: number): void => {
-    const wanted = Promise.resolve(routers[router]?.limits.acquire(organisation, amount));
-    void wanted.then((wait) => {
-      if (wait === undefined) passed.push({ at: clock.monotonic(), amount });
+    const acquired = Promise.resolve(routers[router]?.limits.acquire(organisation, amount));
+    void acquired.then((wait) => {
+      if (wait === undefined) forwarded.push({ at: clock.monotonic(), amount });
       else refusals.push({ wait, amount });
     });
   };
@@ -94,7 +95,7 @@
     clock,
     network,
     routers,
-    passed,
+    forwarded,
     refusals,
     send,
     advance,
@@ -102,8 +103,8 @@
       const entry = entries[index];
       if (entry !== undefined) routers[index] = start(entry);
     },
-    /** @returns The routers in the order in which they keep the organisation's count. */
-    keepers: (): readonly number[] => {
+    /** @returns The routers in the order in which they coordinate the organisation's usage. */
+    coordinators: (): readonly number[] => {
       const all = entries.map(({ name, dataCentre, address, port }) => ({
         name,
         dataCentre,
@@ -111,12 +112,12 @@
       }));
       const [self, ...others] = all;
       if (self === undefined) throw new Error("There are no routers.");
-      const keepers = createCoordinators({ self, others: () => others, clock });
-      const order = keepers.orderFor(organisation);
+      const coordinators = createCoordinators({ self, others: () => others, clock });
+      const order = coordinators.orderFor(organisation);
       return order.map((router) => entries.findIndex(({ name }) => name === router.name));
     },
-    keeper(): number {
-      return this.keepers()[0] ?? 0;
+    coordinator(): number {
+      return this.coordinators()[0] ?? 0;
     },
     changeLimit: (changed: OrganisationLimit | undefined) => {
       limit = changed;
@@ -124,9 +125,9 @@
   };
 };
 
-/** The most that was passed on in any window. */
-const mostInWindow = (passed: readonly Passed[]): number => {
-  const sorted = [...passed].sort((left, right) => left.at - right.at);
+/** @returns The most that was forwarded in any window. */
+const mostInWindow = (forwarded: readonly Forwarded[]): number => {
+  const sorted = [...forwarded].sort((left, right) => left.at - right.at);
   let sum = 0;
   let most = 0;
   let first = 0;
@@ -142,10 +143,10 @@
   return most;
 };
 
-const allowed = ({ ratePerSecond, burst }: OrganisationLimit, kept = limitBounds): number =>
-  (ratePerSecond * 8 + burst) * (1 + kept.limitOvershoot) + kept.limitReserve;
+const allowed = ({ ratePerSecond, burst }: OrganisationLimit, usedBounds = limitBounds): number =>
+  (ratePerSecond * 8 + burst) * (1 + usedBounds.limitOvershoot) + usedBounds.limitReserve;
 
-/** Sends at a pace from all routers in turn. @param perSecond - Requests of all routers. */
+/** Sends requests through all routers in turn, at a steady rate. @param perSecond - Requests of all routers together. */
 const flood = async (
   system: ReturnType<typeof createRouters>,
   perSecond: number,
@@ -159,44 +160,44 @@
   }
 };
 
-/** The bound holds through a flood, and some time after a loss most of the rate is granted again. */
+/** Checks that the bound holds through a flood, and that most of the rate is granted `seconds` after a failure. */
 const expectTakeover = async (system: ReturnType<typeof createRouters>, seconds: number): Promise<void> => {
   await flood(system, 60, 2_400, seconds);
-  const before = system.passed.length;
+  const before = system.forwarded.length;
   await flood(system, 60, 2_400, 4);
   await system.advance(200);
-  const sum = (system.passed.length - before) * 2_400;
-  expect(mostInWindow(system.passed) <= allowed(smallLimit)).toEqual(true);
+  const sum = (system.forwarded.length - before) * 2_400;
+  expect(mostInWindow(system.forwarded) <= allowed(smallLimit)).toEqual(true);
   expect(sum >= 0.8 * smallLimit.ratePerSecond * 4).toEqual(true);
 };
 
 describe("limits of organisations over all routers", () => {
-  it("let a small organisation's long prompts pass at all of 58 routers", async () => {
+  it("admit long prompts of a small organisation at each of 58 routers", async () => {
     const system = createRouters(58);
     await system.advance(6_000);
     await flood(system, 2, 12_000, 8);
     await system.advance(200);
     expect(system.refusals).toEqual([]);
-    expect(system.passed.length).toEqual(16);
+    expect(system.forwarded.length).toEqual(16);
   });
 
-  it("hold in a flood of seven times the rate, and leave what the rate gives", async () => {
+  it("hold in a flood of seven times the rate, and still grant the whole rate", async () => {
     const system = createRouters(16);
     await system.advance(6_000);
     await flood(system, 100, 2_400, 12);
     await system.advance(200);
-    const sum = system.passed.reduce((total, { amount }) => total + amount, 0);
-    expect(mostInWindow(system.passed) <= allowed(smallLimit)).toEqual(true);
+    const sum = system.forwarded.reduce((total, { amount }) => total + amount, 0);
+    expect(mostInWindow(system.forwarded) <= allowed(smallLimit)).toEqual(true);
     expect(sum >= 0.95 * smallLimit.ratePerSecond * 12).toEqual(true);
   });
 
-  it("say when there is room again", async () => {
+  it("give refused requests the time at which there is room again", async () => {
     const system = createRouters(9);
     await system.advance(8_000);
     await flood(system, 100, 12_000, 1);
     await system.advance(200);
-    // The burst of 36,000 tokens, 0.4 of what is allowed beyond the limit (69,000) and those of a second.
-    expect(system.passed.length <= 12).toEqual(true);
+    // The burst of 36,000 tokens, 0.4 of what is allowed beyond the limit (69,000), and the refill of a second.
+    expect(system.forwarded.length <= 12).toEqual(true);
     expect(system.refusals.every(({ wait }) => wait > 0 && wait < 500)).toEqual(true);
   });
 
@@ -205,49 +206,49 @@
     await system.advance(8_000);
     system.send(0, 54_600);
     await system.advance(100);
-    expect(system.passed.length).toEqual(1);
+    expect(system.forwarded.length).toEqual(1);
   });
 
-  it("hold while the keeper is lost and another takes over, which then grants the rate", async () => {
+  it("hold while the coordinator is lost, and its successor then grants the rate", async () => {
     const system = createRouters(16);
     await system.advance(6_000);
     await flood(system, 60, 2_400, 4);
-    system.network.freeze(system.keeper() + 1);
+    system.network.freeze(system.coordinator() + 1);
     await expectTakeover(system, 5);
   });
 
-  it("are granted by the fourth where the first three are lost together", async () => {
+  it("are granted by the fourth router where the first three are lost together", async () => {
     const system = createRouters(16);
     await system.advance(6_000);
     await flood(system, 60, 2_400, 2);
-    for (const lost of system.keepers().slice(0, 3)) system.network.freeze(lost + 1);
+    for (const lost of system.coordinators().slice(0, 3)) system.network.freeze(lost + 1);
     await expectTakeover(system, 6);
   });
 
-  it("hold when a keeper that stood still wakes up", async () => {
+  it("hold when a coordinator resumes after a pause", async () => {
     const system = createRouters(16);
     await system.advance(6_000);
-    const keeper = system.keeper() + 1;
+    const coordinatorPort = system.coordinator() + 1;
     await flood(system, 60, 2_400, 2);
-    system.network.freeze(keeper);
+    system.network.freeze(coordinatorPort);
     await flood(system, 60, 2_400, 5);
-    system.network.thaw(keeper);
+    system.network.thaw(coordinatorPort);
     await flood(system, 60, 2_400, 6);
-    expect(mostInWindow(system.passed) <= allowed(smallLimit)).toEqual(true);
+    expect(mostInWindow(system.forwarded) <= allowed(smallLimit)).toEqual(true);
   });
 
-  it("hold where nobody hears anybody, and still let some pass", async () => {
+  it("hold where no router reaches another, and still admit some requests", async () => {
     const system = createRouters(16);
     await system.advance(6_000);
     await flood(system, 60, 2_400, 4);
-    const before = system.passed.length;
+    const before = system.forwarded.length;
     system.network.isDown = true;
     await flood(system, 60, 2_400, 6);
-    expect(mostInWindow(system.passed) <= allowed(smallLimit)).toEqual(true);
-    expect(system.passed.length > before).toEqual(true);
+    expect(mostInWindow(system.forwarded) <= allowed(smallLimit)).toEqual(true);
+    expect(system.forwarded.length > before).toEqual(true);
   });
 
-  it("go on at the usual pace for a moment where the network is lost far from the limit", async () => {
+  it("admit the usual rate for a short time where the network is lost far from the limit", async () => {
     const large = { ...smallLimit, ratePerSecond: 1_000_000, burst: 1_000_000 };
     const system = createRouters(16, large);
     await system.advance(6_000);
@@ -259,7 +260,7 @@
     expect(system.refusals.length - before).toEqual(0);
   });
 
-  it("hold a window after the limit was lowered, and end with the limit", async () => {
+  it("hold in windows after the limit is lowered, and end when it is removed", async () => {
     const system = createRouters(16, { ...smallLimit, ratePerSecond: 300_000, burst: 300_000 });
     await system.advance(6_000);
     await flood(system, 100, 2_400, 4);
@@ -267,13 +268,13 @@
     await flood(system, 100, 2_400, 1);
     const loweredAt = system.clock.monotonic();
     await flood(system, 100, 2_400, 9);
-    const after = system.passed.filter(({ at }) => at >= loweredAt);
+    const after = system.forwarded.filter(({ at }) => at >= loweredAt);
     expect(mostInWindow(after) <= allowed(smallLimit)).toEqual(true);
     system.changeLimit(undefined);
     expect(system.routers[0]?.limits.acquire(organisation, 1_000_000)).toEqual(undefined);
   });
 
-  it("count again what has not run", async () => {
+  it("refund requests that have not run", async () => {
     const system = createRouters(9);
     await system.advance(8_000);
     for (let index = 0; index < 30; index += 1) {
@@ -284,7 +285,7 @@
     expect(system.refusals).toEqual([]);
   });
 
-  it("pass most of the usual soon after most routers have started again together", async () => {
+  it("admit most of the usual load soon after most routers restart together", async () => {
     const large = { ...smallLimit, ratePerSecond: 1_000_000, burst: 1_000_000 };
     const system = createRouters(16, large);
     await system.advance(6_000);
@@ -299,10 +300,10 @@
     await flood(system, 200, 2_400, 2);
     await system.advance(300);
     expect(system.refusals.length - before <= 400 * 0.1).toEqual(true);
-    expect(mostInWindow(system.passed) <= allowed(large)).toEqual(true);
+    expect(mostInWindow(system.forwarded) <= allowed(large)).toEqual(true);
   });
 
-  it("cost no wait far from the limit", async () => {
+  it("add no latency far from the limit", async () => {
     const large = { ...smallLimit, ratePerSecond: 1_000_000, burst: 1_000_000 };
     const system = createRouters(9, large);
     await system.advance(8_000);
@@ -311,37 +312,37 @@
     expect(system.routers[3]?.limits.acquire(organisation, 2_400)).toEqual(undefined);
   });
 
-  it("are kept whatever is lost, frozen, restarted or changed", async () => {
-    const disturbance = fc.record({
+  it("hold under random losses, pauses and restarts", async () => {
+    const failure = fc.record({
       kind: fc.constantFrom("freeze", "restart", "down", "loss", "calm"),
       router: fc.nat({ max: 11 }),
       perSecond: fc.constantFrom(30, 90, 150),
     });
     await fc.assert(
-      fc.asyncProperty(fc.array(disturbance, { minLength: 2, maxLength: 5 }), async (disturbances) => {
+      fc.asyncProperty(fc.array(failure, { minLength: 2, maxLength: 5 }), async (failures) => {
         const system = createRouters(12, smallLimit, strictBounds);
         await system.advance(5_000);
-        for (const { kind, router, perSecond } of disturbances) {
-          // The first routers in the order matter most.
-          const struck = router % 2 === 0 ? system.keeper() : router;
-          if (kind === "freeze") system.network.freeze(struck + 1);
-          if (kind === "restart") system.restart(struck);
+        for (const { kind, router, perSecond } of failures) {
+          // Failures of the coordinator matter most.
+          const affected = router % 2 === 0 ? system.coordinator() : router;
+          if (kind === "freeze") system.network.freeze(affected + 1);
+          if (kind === "restart") system.restart(affected);
           if (kind === "down") system.network.isDown = true;
           if (kind === "loss") system.network.lostOfEach = 5;
           await flood(system, perSecond, 1_200, 3);
-          system.network.thaw(struck + 1);
+          system.network.thaw(affected + 1);
           system.network.isDown = false;
           system.network.lostOfEach = 0;
         }
-        expect(mostInWindow(system.passed) <= allowed(smallLimit, strictBounds)).toEqual(true);
+        expect(mostInWindow(system.forwarded) <= allowed(smallLimit, strictBounds)).toEqual(true);
       }),
       { numRuns: 25, seed: 20261203 },
     );
   });
 });
 
-describe("the keeper of a count", () => {
-  it("is one at most, from a start on", () => {
+describe("the coordinator of a key", () => {
+  it("is one router at most, from the start on", () => {
     const clock = createManualClock(0);
     const routers = Array.from({ length: 8 }, (_, index) => ({
       name: `router-${index}`,
@@ -351,17 +352,17 @@
     const all = routers.map((self) =>
       createCoordinators({ self, others: () => routers.filter((each) => each !== self), clock }),
     );
-    for (let time = 0; time < 3 * takeoverSilence; time += lookInterval) {
+    for (let time = 0; time < 3 * takeoverTimeout; time += pollInterval) {
       clock.advanceTo(time);
-      for (const keepers of all) {
-        routers.forEach(({ at }) => keepers.noteReceived(at));
-        keepers.poll();
+      for (const coordinators of all) {
+        routers.forEach(({ at }) => coordinators.noteReceived(at));
+        coordinators.poll();
       }
-      if (time === takeoverSilence / 2) {
-        for (const keepers of all) routers.forEach(({ at }) => keepers.noteAnswer(at));
+      if (time === takeoverTimeout / 2) {
+        for (const coordinators of all) routers.forEach(({ at }) => coordinators.noteAnswer(at));
       }
-      const acting = all.filter((keepers) => keepers.isActing(organisation)).length;
-      expect(acting).toEqual(time < takeoverSilence / 2 ? 0 : 1);
+      const acting = all.filter((coordinators) => coordinators.isActing(organisation)).length;
+      expect(acting).toEqual(time < takeoverTimeout / 2 ? 0 : 1);
     }
   });
 });
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -1,12 +1,12 @@
 /**
- * Limits of organisations over all routers, in tokens or requests: the keeper of an organisation's count is asked
- * before a request is passed on.
+ * Enforces organisations' limits, in tokens or requests, over all routers: the coordinator of an organisation's usage is
+ * asked before a request is forwarded.
  *
- * The load pattern that it answers: an organisation sends several times what it may, over all routers at once. An even
- * part of the limit for each router would refuse a small organisation's long prompts (36,000 tokens a second over 58
- * routers are 620, one prompt is 12,000); routers that tell one another afterwards would learn of a flood when it is
- * over. One keeper knows the whole; asking costs a wait only near the limit. A router that can't ask stays within a
- * part of what may be passed on beyond the limit, so that the sum holds whoever is cut off.
+ * The load that this is built for: an organisation sends several times its limit, to all routers at once. An even part of
+ * the limit for each router would refuse a small organisation's long prompts (36,000 tokens a second over 58 routers are
+ * 620, one prompt is 12,000). If routers only notified one another afterwards, they would learn of the flood when it is
+ * over. One coordinator knows the total, and asking it adds latency only near the limit. A router that can't reach it
+ * stays within a part of what may be forwarded beyond the limit, so that the total holds during any partition.
  */
 import type { LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
@@ -14,12 +14,11 @@
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
 import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
-import { bucketsPerWindow, returnSpread, shortestReturn } from "./constants.ts";
+import { bucketsPerWindow, minRetryAfter, retryJitter } from "./constants.ts";
 import type { UsageAccount } from "./usageAccount.ts";
-import { createUsageAccount, noteRoom, spendUnasked, unaskedPart } from "./usageAccount.ts";
-import { createUsageKeeper } from "./usageCoordinator.ts";
+import { createUsageAccount, noteRemaining, spendUngranted, ungrantedAllowance } from "./usageAccount.ts";
+import { createUsageCoordinator } from "./usageCoordinator.ts";
 
-/** What limits are kept with. */
 export interface UsageLimitsDependencies {
   readonly coordination: KeyCoordination;
   readonly clock: Clock;
@@ -31,17 +30,17 @@
   readonly random: () => number;
 }
 
-/** What decisions about requests ask of limits. */
+/** The limits of organisations, as one router enforces them. Amounts are in the unit of the organisation's limit. */
 export interface UsageLimits {
   /**
-   * A request is to be passed on.
+   * Acquires a grant for one request.
    *
-   * @returns Milliseconds after which it is worth another try; nothing if it may be passed on.
+   * @returns `undefined` if the request may be forwarded, otherwise the milliseconds after which to retry it.
    */
   readonly acquire: (organisation: string, amount: number) => Promise<number | undefined> | undefined;
-  /** A request runs once more. */
+  /** Counts another run of a request. */
   readonly charge: (organisation: string, amount: number) => void;
-  /** A request that may be passed on was not, or has not run. */
+  /** Returns the amount of a request that was granted, and was not forwarded or has not run. */
   readonly refund: (organisation: string, amount: number) => void;
 }
 
@@ -49,28 +48,28 @@
 
 const writeLog = createLogger("limits");
 
-/** Where no organisation has a limit. */
+/** For deployments in which no organisation has a limit. */
 export const noUsageLimits: UsageLimits = {
   acquire: () => undefined,
   charge: () => undefined,
   refund: () => undefined,
 };
 
-/** Creates the limits of organisations, as one router asks for them and keeps them. */
-export const createUsageLimits = (parts: UsageLimitsDependencies): UsageLimits => {
-  const { coordination: keeping, clock, bounds, limitOf, random } = parts;
-  const { coordinators: keepers, countRouters } = keeping;
-  const keeper = createUsageKeeper({ keepers, limitOf, bounds, clock });
+/** Creates the limits of organisations for one router, and adds its role as a coordinator of usage. */
+export const createUsageLimits = (dependencies: UsageLimitsDependencies): UsageLimits => {
+  const { coordination, clock, bounds, limitOf, random } = dependencies;
+  const { coordinators, countRouters } = coordination;
+  const coordinator = createUsageCoordinator({ coordinators, limitOf, bounds, clock });
   const accounts = new Map<string, UsageAccount>();
-  const look = (): void => {
-    const limited = [...parts.limitedOrganisations()];
-    limited.forEach(keepers.monitor);
-    keeper.look(limited);
+  const poll = (): void => {
+    const limited = [...dependencies.limitedOrganisations()];
+    limited.forEach(coordinators.monitor);
+    coordinator.poll(limited);
   };
-  keeping.addRoles({ question: { answer: keeper.answer, poll: look } });
+  coordination.addRoles({ question: { answer: coordinator.answer, poll } });
 
-  /** An even part of what an organisation may use in a window. */
-  const evenPart = (organisation: string): number => {
+  /** @returns An even share, for each router, of what an organisation may use in a window. */
+  const evenShareOf = (organisation: string): number => {
     const rate = limitOf(organisation)?.ratePerSecond ?? 0;
     return (rate * bounds.limitWindow) / millisecondsPerSecond / countRouters();
   };
@@ -78,69 +77,70 @@
   const accountOf = (organisation: string): UsageAccount => {
     const known = accounts.get(organisation);
     if (known !== undefined) return known;
-    const made = createUsageAccount(clock, bounds, evenPart(organisation));
-    accounts.set(organisation, made);
-    return made;
+    const created = createUsageAccount(clock, bounds, evenShareOf(organisation));
+    accounts.set(organisation, created);
+    return created;
   };
 
-  /** @returns What the keeper of the count says; nothing if there is none that answers. */
-  const askKeeper = async (organisation: string, amount: number): Promise<LimitAnswer | undefined> => {
+  /** @returns The answer of the organisation's coordinator; `undefined` if no router answers as such. */
+  const askCoordinator = async (organisation: string, amount: number): Promise<LimitAnswer | undefined> => {
     const account = accountOf(organisation);
     const { spent, returned } = account;
     account.spent = 0;
     account.returned = 0;
-    const question = { kind: "question", number: 0, organisation, amount, spent, returned } as const;
-    const answer = await keeping.ask(organisation, question);
+    const query = { kind: "question", number: 0, organisation, amount, spent, returned } as const;
+    const answer = await coordination.ask(organisation, query);
     if (answer !== undefined) return answer;
     account.spent += spent;
     account.returned += returned;
     return undefined;
   };
 
-  /** One line for each change, whatever comes while it lasts. */
+  /** Writes one log line when the coordinator becomes unreachable, and one when it answers again. */
   const noteAnswer = (organisation: string, answer: LimitAnswer | undefined): void => {
     const account = accountOf(organisation);
-    if (answer !== undefined) noteRoom(account, answer.room, clock);
-    const isAlone = answer === undefined;
-    if (isAlone !== account.isAlone) writeLog(isAlone ? "unasked" : "asked", { organisation });
-    account.isAlone = isAlone;
+    if (answer !== undefined) noteRemaining(account, answer.room, clock);
+    const isWithoutCoordinator = answer === undefined;
+    if (isWithoutCoordinator !== account.isWithoutCoordinator)
+      writeLog(isWithoutCoordinator ? "unasked" : "asked", { organisation });
+    account.isWithoutCoordinator = isWithoutCoordinator;
   };
 
-  const isWithinPart = (account: UsageAccount, amount: number, limit: OrganisationLimit): boolean => {
-    const unasked = account.underWay + account.unasked.sum();
-    return unasked + amount <= unaskedPart(account, limit, bounds, countRouters());
+  const isWithinAllowance = (account: UsageAccount, amount: number, limit: OrganisationLimit): boolean => {
+    const ungranted = account.inFlight + account.ungranted.sum();
+    return ungranted + amount <= ungrantedAllowance(account, limit, bounds, countRouters());
   };
 
-  const spread = (wait: number): number => Math.max(shortestReturn, wait) * (1 + random() * returnSpread);
+  const addJitter = (wait: number): number => Math.max(minRetryAfter, wait) * (1 + random() * retryJitter);
 
-  const takeAsked = async (
+  const acquireGrant = async (
     organisation: string,
     amount: number,
     limit: OrganisationLimit,
   ): Promise<number | undefined> => {
     const account = accountOf(organisation);
-    const answer = await askKeeper(organisation, amount);
+    const answer = await askCoordinator(organisation, amount);
     noteAnswer(organisation, answer);
-    if (answer?.verdict === "refused") return spread(answer.wait);
+    if (answer?.verdict === "refused") return addJitter(answer.wait);
     if (answer === undefined) {
-      if (!isWithinPart(account, amount, limit)) return spread(bounds.limitWindow / bucketsPerWindow);
-      spendUnasked(account, amount);
+      if (!isWithinAllowance(account, amount, limit)) return addJitter(bounds.limitWindow / bucketsPerWindow);
+      spendUngranted(account, amount);
     }
     account.used.add(amount);
     return undefined;
   };
 
-  /** Asks for what is passed on already, since the organisation is far from its limit. */
-  const askAfterwards = async (organisation: string, amount: number): Promise<void> => {
+  /** Acquires a grant for a request that is forwarded already, since the organisation is far from its limit. */
+  const acquireInBackground = async (organisation: string, amount: number): Promise<void> => {
     const account = accountOf(organisation);
-    account.underWay += amount;
+    account.inFlight += amount;
     account.used.add(amount);
-    const answer = await askKeeper(organisation, amount);
-    account.underWay -= amount;
+    const answer = await askCoordinator(organisation, amount);
+    account.inFlight -= amount;
     noteAnswer(organisation, answer);
     if (answer?.verdict === "granted") return;
-    account.roomyUntil = Number.NEGATIVE_INFINITY;
-    spendUnasked(account, amount);
+    account.optimisticUntil = Number.NEGATIVE_INFINITY;
+    spendUngranted(account, amount);
   };
 
   return {
@@ -148,9 +148,10 @@
       const limit = limitOf(organisation);
       if (limit === undefined) return undefined;
       const account = accountOf(organisation);
-      const isRoomy = clock.monotonic() < account.roomyUntil && isWithinPart(account, amount, limit);
-      if (!isRoomy) return takeAsked(organisation, amount, limit);
-      void askAfterwards(organisation, amount);
+      const isFarFromLimit =
+        clock.monotonic() < account.optimisticUntil && isWithinAllowance(account, amount, limit);
+      if (!isFarFromLimit) return acquireGrant(organisation, amount, limit);
+      void acquireInBackground(organisation, amount);
       return undefined;
     },
     charge: (organisation, amount) => {
