--- a/src/coordination/forwarding/failures.ts
+++ b/src/coordination/forwarding/failures.ts
@@ -31,7 +31,7 @@
       retryAfterSeconds: comeBackAfterMilliseconds / 1_000,
     }),
   /** What it asks has crashed the replicas that ran it. @param milliseconds - Until that may be seen otherwise. */
-  heldBack: (milliseconds: number): RequestError => refusals.heldBack(milliseconds / 1_000),
+  heldBack: (milliseconds: number): RequestError => refusals.quarantined(milliseconds / 1_000),
   /** Replicas' limits leave no room for it. @param milliseconds - Until there is. */
   limited: (milliseconds: number): RequestError =>
     requestError("The replicas' limits leave no room for the request; it has not run.", {
