--- a/src/coordination/requests/attempt.ts
+++ b/src/coordination/requests/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at an engine: from the choice of the engine to the answer's last piece. */
+/** One attempt to run a request on an engine: from the choice of the engine to the last piece of the answer. */
 import { randomBytes } from "node:crypto";
 import { UpstreamError, upstreamError } from "../../protocol/errors.ts";
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
@@ -22,57 +22,60 @@
 import { createStopper, untilStopped } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 
-/** What attempts work with. */
 export interface AttemptDependencies {
   readonly directory: EngineDirectory;
   readonly scheduler: Scheduler;
   readonly metrics: Metrics;
   readonly clock: Clock;
-  /** The connection to an engine. */
+  /** @returns The connection to an engine. */
   readonly connect: (engine: EngineReplica) => ModelEngine;
   readonly canceller: AttemptCanceller;
   readonly crashes: EngineCrashWatch;
 }
 
-/** Where pieces come from. */
+/** Identifies the attempt that generated a piece of an answer. */
 export interface AttemptOrigin {
   readonly attempt: string;
   readonly engineId: string;
   readonly incarnation: string;
-  /** Tokens of the whole answer that came before this attempt. */
+  /** Tokens of the whole answer that were generated before this attempt. */
   readonly attemptOffset: number;
 }
 
-/** What an attempt is to do. */
+/** The request to send, and the limits of the attempt. */
 export interface AttemptPlan {
   readonly fingerprint: Fingerprint;
   readonly context: RequestContext;
   readonly request: CompletionRequest;
   readonly work: Work;
-  /** Text that the caller has already. */
+  /** Text that has already been delivered to the caller; the engine continues after it. */
   readonly delivered: { readonly text: string; readonly tokens: number };
-  /** Longest wait for the first piece from dispatch on, milliseconds. */
+  /** Timeout from dispatch to the first piece, milliseconds. */
   readonly firstPieceTimeout: number;
-  /** Called right before anything is sent; what it throws keeps the attempt from being sent. */
+  /** Called right before the request is sent. If it throws, nothing is sent. */
   readonly beforeDispatch: (stopper: Stopper) => Promise<void>;
-  /** Called once the engine may have run the attempt. */
+  /** Called after a dispatch that the engine may have run. */
   readonly onMayHaveRun: () => void;
 }
 
-/** How an attempt ended; `left` means that its caller has gone and may come back for the rest. */
+/** How an attempt ended. `left`: the caller disconnected and may reconnect to resume the stream. */
 export type AttemptEnd = "finished" | "failed" | "cancelled" | "left";
 
-/** An attempt whose first pieces have come; ends with a call of `close`. */
+/** An attempt whose first pieces have arrived. Its user must call `close` once it is done. */
 export interface OpenAttempt {
   readonly origin: AttemptOrigin;
-  /** @returns The next pieces, undefined at the end; throws `UpstreamError`. */
+  /** @returns The next pieces, or `undefined` at the end of the answer; throws `UpstreamError`. */
   readonly next: () => Promise<readonly AnswerFrame[] | undefined>;
   readonly close: (end: AttemptEnd) => void;
 }
 
-/** Notes what a failure says about the engine itself, whoever asked. */
-export const noteEngineFailure = (parts: AttemptDependencies, engineId: string, error: unknown): void => {
-  const { directory, metrics, clock } = parts;
+/** Counts an engine's failure, and marks the engine as leaving or failed where the failure is its own. */
+export const noteEngineFailure = (
+  dependencies: AttemptDependencies,
+  engineId: string,
+  error: unknown,
+): void => {
+  const { directory, metrics, clock } = dependencies;
   if (!(error instanceof UpstreamError) || error.fault === "cancelled") return;
   metrics.count(metricNames.engineFailures, 1, { fault: error.fault });
   if (error.fault === "crossed") metrics.count(metricNames.crossedAnswers);
@@ -81,7 +84,7 @@
     directory.markFailed(engineId, clock.monotonic());
 };
 
-/** An attempt's id names its request, too, for those who read logs. */
+/** Prefixes an attempt's id with the id of its request, so that logs show which request it belongs to. */
 const createAttemptId = (requestId: string): string => `${requestId}.${randomBytes(4).toString("hex")}`;
 
 /** @returns The id of the request that an attempt was made for. */
@@ -93,18 +96,18 @@
   usage: undefined,
 };
 
-/** A stop for lack of a first piece is the engine's failure, not a cancellation. */
-const typeFailure = (error: unknown, stopper: Stopper): unknown =>
+/** Turns a cancellation for lack of a first piece into a failure of the engine (`stalled`). */
+const classifyFailure = (error: unknown, stopper: Stopper): unknown =>
   stopper.reason() === "silent" && error instanceof UpstreamError && error.fault === "cancelled"
-    ? upstreamError("no first piece came in time", "stalled", error.progress, error)
+    ? upstreamError("the engine sent no first piece before the timeout", "stalled", error.progress, error)
     : error;
 
-const endOfFailure = (error: unknown): AttemptEnd =>
+const attemptEndOf = (error: unknown): AttemptEnd =>
   error instanceof UpstreamError && error.fault !== "cancelled" ? "failed" : "cancelled";
 
 const assignEngine = (scheduler: Scheduler, work: Work, stopper: Stopper): Promise<Assignment> =>
-  untilStopped(scheduler.assign(work, stopper.signal), stopper, (late) =>
-    late.release({ ended: "cancelled", ...unstartedReport }),
+  untilStopped(scheduler.assign(work, stopper.signal), stopper, (lateAssignment) =>
+    lateAssignment.release({ ended: "cancelled", ...unstartedReport }),
   );
 
 const createCall = (
@@ -122,21 +125,21 @@
   stallTimeout: context.requestClass.stallTimeout,
 });
 
-/** What an attempt has come to; changed by its own task only. */
+/** The progress of an attempt. Only the attempt's own task changes it. */
 interface AttemptState {
   report: Omit<AttemptReport, "ended">;
   mayHaveRun: boolean;
   frames: AsyncIterator<readonly AnswerFrame[]> | undefined;
 }
 
-/** The steps of one attempt at an engine that has been chosen. */
+/** The steps of one attempt on the engine that was assigned. */
 const createAttempt = (
-  parts: AttemptDependencies,
+  dependencies: AttemptDependencies,
   plan: AttemptPlan,
   assignment: Assignment,
   stopper: Stopper,
 ) => {
-  const { metrics, clock } = parts;
+  const { metrics, clock } = dependencies;
   const { engine } = assignment;
   const attempt = createAttemptId(plan.context.requestId);
   const incarnationBefore = engine.load?.incarnation;
@@ -146,16 +149,17 @@
     stopper.detach();
     if (end !== "finished") stopper.stop("superseded");
     void state.frames?.return?.();
-    if (state.mayHaveRun && end !== "finished") parts.canceller.cancel(engine, attempt, end === "left");
+    if (state.mayHaveRun && end !== "finished")
+      dependencies.canceller.cancel(engine, attempt, end === "left");
     assignment.release({ ...state.report, ended: end === "left" ? "cancelled" : end });
   };
 
-  /** The engine may have crashed: the failure is told once that is known. */
-  const watchCrash = async (error: unknown): Promise<void> => {
+  /** Reports a connection that closed early, and waits until it is known whether the engine crashed. */
+  const reportBrokenConnection = async (error: unknown): Promise<void> => {
     if (!(error instanceof UpstreamError) || error.fault !== "closed_early") return;
     const incarnation = state.report.incarnation ?? incarnationBefore;
     const hasBegun = state.report.firstTokenAfter !== undefined;
-    await parts.crashes.noteBroken(engine, incarnation, { fingerprint: plan.fingerprint, hasBegun });
+    await dependencies.crashes.noteBroken(engine, incarnation, { fingerprint: plan.fingerprint, hasBegun });
   };
 
   const dispatch = async (): Promise<EngineAnswer> => {
@@ -163,7 +167,7 @@
     metrics.count(metricNames.attempts);
     try {
       state.mayHaveRun = true;
-      return await parts.connect(engine).complete(call, stopper.signal);
+      return await dependencies.connect(engine).complete(call, stopper.signal);
     } catch (error) {
       state.mayHaveRun = !provesNotRun(error);
       throw error;
@@ -180,42 +184,46 @@
     return next.value;
   };
 
-  /** Reads on; a failure is noted here, since nothing else knows the engine. */
+  /** Reads the next pieces. Records failures here, since the callers do not know the engine. */
   const next = async (): Promise<readonly AnswerFrame[] | undefined> => {
     try {
       return await read();
     } catch (error) {
-      noteEngineFailure(parts, engine.id, error);
-      await watchCrash(error);
+      noteEngineFailure(dependencies, engine.id, error);
+      await reportBrokenConnection(error);
       throw error;
     }
   };
 
-  /** Sends the request and waits for the first pieces. */
+  /** Sends the request and waits for the first pieces. Closes the attempt if that fails. */
   const open = async (): Promise<readonly AnswerFrame[] | undefined> => {
-    let callOff: (() => void) | undefined;
+    let cancelTimer: (() => void) | undefined;
     try {
       await plan.beforeDispatch(stopper);
       const dispatchedAt = clock.monotonic();
-      callOff = clock.after(plan.firstPieceTimeout, () => stopper.stop("silent"));
+      cancelTimer = clock.after(plan.firstPieceTimeout, () => stopper.stop("silent"));
       const answer = await dispatch();
       state.report = { ...state.report, incarnation: answer.incarnation };
       state.frames = answer.frames[Symbol.asyncIterator]();
       if (answer.weightsVersion !== assignment.weightsVersion) {
-        throw upstreamError("the engine answers with other weights", "wrong_weights", "sent");
+        throw upstreamError(
+          "the engine answers with weights other than those it was assigned for",
+          "wrong_weights",
+          "sent",
+        );
       }
       const first = await read();
       state.report = { ...state.report, firstTokenAfter: clock.monotonic() - dispatchedAt };
       assignment.markFirstToken();
       return first;
     } catch (error) {
-      const failure = typeFailure(error, stopper);
-      noteEngineFailure(parts, engine.id, failure);
-      close(endOfFailure(failure));
-      await watchCrash(failure);
+      const failure = classifyFailure(error, stopper);
+      noteEngineFailure(dependencies, engine.id, failure);
+      close(attemptEndOf(failure));
+      await reportBrokenConnection(failure);
       throw failure;
     } finally {
-      callOff?.();
+      cancelTimer?.();
     }
   };
 
@@ -230,31 +238,33 @@
 };
 
 /**
- * Makes an attempt.
+ * Assigns an engine, sends the request to it and waits for the first pieces.
  *
- * @param parent - Stops the attempt.
- * @param onAssigned - Told which engine is asked.
- * @returns The attempt with its first pieces; throws `UpstreamError`, and `RequestError` where no engine takes
- * the work or `beforeDispatch` refuses. An attempt that failed has been closed.
+ * @param parent - Stops the attempt when it is stopped itself.
+ * @param onAssigned - Called with the id of the engine that was chosen.
+ * @returns The attempt with its first pieces. Throws `UpstreamError` if the engine fails, and `RequestError` if no
+ * engine can take the work or `beforeDispatch` refuses. An attempt that failed is already closed.
  */
 export const openAttempt = async (
-  parts: AttemptDependencies,
+  dependencies: AttemptDependencies,
   plan: AttemptPlan,
   parent: Stopper,
   onAssigned: (engineId: string) => void,
 ): Promise<OpenAttempt> => {
   const stopper = createStopper(parent);
-  const assignment = await assignEngine(parts.scheduler, plan.work, stopper).catch((error: unknown) => {
-    stopper.detach();
-    throw error;
-  });
+  const assignment = await assignEngine(dependencies.scheduler, plan.work, stopper).catch(
+    (error: unknown) => {
+      stopper.detach();
+      throw error;
+    },
+  );
   onAssigned(assignment.engine.id);
-  const { open, next, close, origin } = createAttempt(parts, plan, assignment, stopper);
+  const { open, next, close, origin } = createAttempt(dependencies, plan, assignment, stopper);
   let first = await open();
-  const takeFirst = (): readonly AnswerFrame[] | undefined => {
+  const takeFirstPieces = (): readonly AnswerFrame[] | undefined => {
     const taken = first;
     first = undefined;
     return taken;
   };
-  return { origin: origin(), next: async () => takeFirst() ?? (await next()), close };
+  return { origin: origin(), next: async () => takeFirstPieces() ?? (await next()), close };
 };
--- a/src/coordination/requests/attemptCanceller.ts
+++ b/src/coordination/requests/attemptCanceller.ts
@@ -1,63 +1,64 @@
-/** Tells engines to stop attempts that nobody reads any more; some of them only after a while. */
+/** Cancels attempts that nobody reads any more, some of them only after a grace period. */
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
 import type { EngineReplica } from "../../state/engineDirectory.ts";
 import type { Clock } from "../clock.ts";
 import { resumeGrace } from "./constants.ts";
 
-/** Cancels attempts. */
 export interface AttemptCanceller {
   /**
-   * @param mayReturn - The caller's connection has gone, which does not say whether the caller has; the engine
-   * goes on for a while, so that the caller can pick the stream up at any router.
+   * Tells the engine to stop an attempt, unless the attempt is retained.
+   *
+   * @param mayReconnect - True if only the caller's connection was lost. The engine then continues for
+   * `resumeGrace`, so that the caller can resume the stream through any router.
    */
-  readonly cancel: (engine: EngineReplica, attempt: string, mayReturn: boolean) => void;
+  readonly cancel: (engine: EngineReplica, attempt: string, mayReconnect: boolean) => void;
   /**
-   * The caller has come back: the attempt is read again, and whoever read it before does not stop it.
+   * Keeps an attempt running because its caller has reconnected and reads it again. Withdraws a pending
+   * cancellation; the reader of the lost connection can't cancel the attempt any more.
    *
-   * @returns A function that ends the new reading.
+   * @returns A function that ends the retention.
    */
   readonly retain: (attempt: string) => () => void;
 }
 
-/** Makes a canceller. */
 export const createAttemptCanceller = (
   clock: Clock,
   connect: (engine: EngineReplica) => ModelEngine,
 ): AttemptCanceller => {
-  const pending = new Map<string, () => void>();
+  const pendingCancellations = new Map<string, () => void>();
 
-  /** Attempts that were picked up again, with how many times they are being read. */
-  const kept = new Map<string, number>();
+  /** Number of readers of each attempt that was resumed. */
+  const readersByAttempt = new Map<string, number>();
 
-  const keep = (attempt: string): (() => void) => {
-    pending.get(attempt)?.();
-    pending.delete(attempt);
-    kept.set(attempt, (kept.get(attempt) ?? 0) + 1);
+  const retain = (attempt: string): (() => void) => {
+    pendingCancellations.get(attempt)?.();
+    pendingCancellations.delete(attempt);
+    readersByAttempt.set(attempt, (readersByAttempt.get(attempt) ?? 0) + 1);
     return () => {
-      const left = (kept.get(attempt) ?? 0) - 1;
-      if (left > 0) kept.set(attempt, left);
-      else kept.delete(attempt);
+      const remaining = (readersByAttempt.get(attempt) ?? 0) - 1;
+      if (remaining > 0) readersByAttempt.set(attempt, remaining);
+      else readersByAttempt.delete(attempt);
     };
   };
 
   const cancelNow = (engine: EngineReplica, attempt: string): void => {
-    pending.delete(attempt);
-    // A failure to tell the engine costs only its time.
+    pendingCancellations.delete(attempt);
+    // If this fails, the engine generates the rest for nobody; nothing else is lost.
     connect(engine)
       .cancel(attempt)
       .catch(() => undefined);
   };
 
-  const cancel = (engine: EngineReplica, attempt: string, mayReturn: boolean): void => {
-    // A caller can be back before its lost connection is noticed.
-    if (kept.has(attempt)) return;
-    if (!mayReturn) {
+  const cancel = (engine: EngineReplica, attempt: string, mayReconnect: boolean): void => {
+    // A caller can reconnect before the loss of its old connection is noticed.
+    if (readersByAttempt.has(attempt)) return;
+    if (!mayReconnect) {
       cancelNow(engine, attempt);
       return;
     }
-    const callOff = clock.after(resumeGrace, () => cancelNow(engine, attempt));
-    pending.set(attempt, callOff);
+    const cancelTimer = clock.after(resumeGrace, () => cancelNow(engine, attempt));
+    pendingCancellations.set(attempt, cancelTimer);
   };
 
-  return { cancel, retain: keep };
+  return { cancel, retain };
 };
--- a/src/coordination/requests/attemptFailures.ts
+++ b/src/coordination/requests/attemptFailures.ts
@@ -1,81 +1,81 @@
-/** What a failed attempt means for the request: try again, or which final answer. */
+/** Decides from a failed attempt whether the request may be retried, and which error it ends with otherwise. */
 import { RequestError, UpstreamError } from "../../protocol/errors.ts";
 import type { UpstreamFault } from "../../protocol/errors.ts";
 import { defaultRetryAfterSeconds } from "./constants.ts";
 import { outcomeUnknown, refusals, resumeRefusals, upstreamFailed } from "./refusals.ts";
 import type { StopReason } from "./stopper.ts";
 
-/** Faults that another engine can't mend. */
-const finalFaults: ReadonlySet<UpstreamFault> = new Set(["cancelled"]);
+/** Faults after which an attempt on another engine is pointless. */
+const nonRetryableFaults: ReadonlySet<UpstreamFault> = new Set(["cancelled"]);
 
-/** Statuses by which an upstream says that the request itself is at fault. */
-const blamingStatuses: ReadonlySet<number> = new Set([400, 413, 422]);
+/** HTTP statuses with which an upstream rejects the request itself. */
+const invalidRequestStatuses: ReadonlySet<number> = new Set([400, 413, 422]);
 
-/** How far a request has come over all its attempts. */
+/** The progress of a request over all its attempts. */
 export interface RequestProgress {
   readonly idempotent: boolean;
-  /** An attempt may have been received and run, wholly or in part. */
+  /** An upstream may have received an attempt and run it, completely or in part. */
   readonly mayHaveRun: boolean;
-  /** Part of the answer has gone to the caller. */
+  /** Part of the answer has been delivered to the caller. */
   readonly delivered: boolean;
-  /** What was delivered can be continued by another engine. */
+  /** Another engine can continue after the part that was delivered. */
   readonly continuable: boolean;
-  /** The caller has text that it would have to send for another engine to continue it. */
+  /** Another engine could continue only if the caller sent the text that it has received. */
   readonly textMissing?: boolean;
 }
 
-/** True if the failure proves that the attempt did not run. */
+/** @returns Whether the failure proves that the attempt did not run. */
 export const provesNotRun = (error: unknown): boolean =>
   error instanceof UpstreamError && (error.progress === "not_sent" || error.progress === "refused");
 
-/** True if the upstream refused the request for what it asks; any other would, too. */
+/** @returns Whether the upstream rejected the request as invalid, as any other upstream would. */
 export const isRequestInvalid = (error: unknown): error is UpstreamError =>
   error instanceof UpstreamError &&
   error.progress === "refused" &&
   error.status !== undefined &&
-  blamingStatuses.has(error.status);
+  invalidRequestStatuses.has(error.status);
 
-/** True if a retry adds no load where it failed: the engine is gone or takes nothing any more. */
+/** @returns Whether a retry adds no load to the upstream that failed, since it is gone or accepts no more work. */
 export const isExemptFromRetryBudget = (error: unknown): boolean =>
   error instanceof UpstreamError && (error.progress === "not_sent" || error.fault === "leaving");
 
-/** True if another attempt may be made without running anything twice that may not be. */
+/** @returns Whether another attempt is useful and can't run a non-idempotent request twice. */
 export const mayRetry = (error: unknown, progress: RequestProgress): boolean => {
-  if (!(error instanceof UpstreamError) || finalFaults.has(error.fault)) return false;
+  if (!(error instanceof UpstreamError) || nonRetryableFaults.has(error.fault)) return false;
   if (isRequestInvalid(error)) return false;
   if (progress.delivered && !progress.continuable) return false;
   return progress.idempotent || !progress.mayHaveRun;
 };
 
-const failureNotRun = (error: unknown, stopped: StopReason | undefined): RequestError => {
-  if (stopped === "deadline") return refusals.deadlineExceeded(error);
+const failureBeforeRun = (error: unknown, stopReason: StopReason | undefined): RequestError => {
+  if (stopReason === "deadline") return refusals.deadlineExceeded(error);
   if (error instanceof RequestError) return error;
   if (isRequestInvalid(error)) return refusals.rejectedByEngine(error.status ?? 400, error.message, error);
   return refusals.noEngine(defaultRetryAfterSeconds, error);
 };
 
 /**
- * The final answer for a request that has failed.
+ * Chooses the error with which a failed request ends.
  *
  * @param error - The last failure.
- * @param stopped - Why the request was stopped, if it was.
+ * @param stopReason - Why the request was stopped; `undefined` if it was not.
  */
 export const finalFailure = (
   error: unknown,
   progress: RequestProgress,
-  stopped?: StopReason,
+  stopReason?: StopReason,
 ): RequestError => {
-  if (!progress.mayHaveRun) return failureNotRun(error, stopped);
+  if (!progress.mayHaveRun) return failureBeforeRun(error, stopReason);
   if (error instanceof RequestError && error.failure.status < 500) return error;
   if (!progress.idempotent) {
     return outcomeUnknown("outcome_unknown", "The request was started and its outcome is not known.", error);
   }
-  if (stopped === "deadline") {
+  if (stopReason === "deadline") {
     return upstreamFailed("deadline_exceeded", "The answer could not be finished in time.", error, 504);
   }
   if (progress.textMissing === true) return resumeRefusals.textNeeded(error);
   if (progress.delivered) {
     return upstreamFailed("stream_interrupted", "The answer could not be finished.", error);
   }
-  return upstreamFailed("upstream_failed", "The engines that were asked failed.", error);
+  return upstreamFailed("upstream_failed", "All engines that were tried failed.", error);
 };
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -1,4 +1,4 @@
-/** Opens the next attempt of a request, with a second one beside it where the class hedges. */
+/** Opens the next attempt of a request, and a hedge (a second, competing attempt) if the request's class has hedging. */
 import { RequestError } from "../../protocol/errors.ts";
 import { digestRequest } from "../../protocol/requestTexts.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -14,32 +14,35 @@
 import type { Stopper } from "./stopper.ts";
 import { createWork } from "./work.ts";
 
-/** Makes the function that opens one attempt after another. */
-export const createAttemptOpener = ({ dependencies: parts, job, state, stopper, retries }: RunScope) => {
-  const { clock, metrics, claims, retryBudget } = parts;
+/** @returns A function that opens the next attempt of the request each time it is called. */
+export const createAttemptOpener = ({ dependencies, job, state, stopper, retries }: RunScope) => {
+  const { clock, metrics, claims, retryBudget } = dependencies;
   const { context, request } = job;
   const { requestClass } = context;
-  let work = createWork(job, parts.bindWeights);
-  let bindings = 1;
+  let work = createWork(job, dependencies.bindWeights);
+  let bindingCount = 1;
 
-  const claimOnce = async (attemptStopper: Stopper): Promise<void> => {
+  const ensureClaimed = async (attemptStopper: Stopper): Promise<void> => {
     if (context.idempotent || state.claim !== undefined) return;
-    const claiming = claims.claim(context, digestRequest(request));
-    state.claim = await untilStopped(claiming, attemptStopper, (late) => {
-      late.release().catch(() => undefined);
+    const pendingClaim = claims.claim(context, digestRequest(request));
+    state.claim = await untilStopped(pendingClaim, attemptStopper, (lateClaim) => {
+      lateClaim.release().catch(() => undefined);
     });
   };
 
-  const workNow = (asked: ReadonlySet<string>): Work => ({
+  const currentWork = (tried: ReadonlySet<string>): Work => ({
     ...work,
     context: { ...context, firstTokenDeadline: retries.firstTokenDeadline() },
     promptTokens: work.promptTokens + state.answer.tokens,
     maximumTokens: Math.max(1, request.maximumTokens - state.answer.tokens),
-    excluded: new Set([...state.excluded, ...asked]),
+    excluded: new Set([...state.excluded, ...tried]),
     furtherAttempt: state.wasAdmitted,
   });
 
-  /** Nothing is gained by leaving an engine early where no other one may be asked. */
+  /**
+   * A non-idempotent request waits until its completion deadline: it may not be sent to another engine, so giving up
+   * earlier gains nothing.
+   */
   const firstPieceTimeout = (): number => {
     const now = clock.monotonic();
     const latest = context.completionDeadline - now;
@@ -47,26 +50,26 @@
     return Math.min(latest, Math.max(requestClass.stallTimeout, retries.firstTokenDeadline() - now));
   };
 
-  /** @param asked - Engines that the same race has asked; the chosen one is added. */
-  const openOne = async (attemptStopper: Stopper, asked: Set<string>): Promise<OpenAttempt> => {
+  /** @param tried - Engines that the same hedged race has used; the chosen one is added. */
+  const openOne = async (attemptStopper: Stopper, tried: Set<string>): Promise<OpenAttempt> => {
     let engineId: string | undefined;
     const plan = {
-      fingerprint: parts.fingerprintOf(job),
+      fingerprint: dependencies.fingerprintOf(job),
       context,
       request,
-      work: workNow(asked),
+      work: currentWork(tried),
       delivered: { text: state.answer.text, tokens: state.answer.tokens },
       firstPieceTimeout: firstPieceTimeout(),
-      beforeDispatch: claimOnce,
+      beforeDispatch: ensureClaimed,
       onMayHaveRun: () => {
         state.mayHaveRun = true;
-        state.hasContinuedQuarantined ||= parts.quarantine.isHeld(job);
+        state.hasContinuedQuarantined ||= dependencies.quarantine.isHeld(job);
       },
     };
     try {
-      return await openAttempt(parts, plan, attemptStopper, (id) => {
+      return await openAttempt(dependencies, plan, attemptStopper, (id) => {
         engineId = id;
-        asked.add(id);
+        tried.add(id);
         state.wasAdmitted = true;
       });
     } catch (error) {
@@ -76,24 +79,24 @@
   };
 
   /**
-   * Binds the request anew where it is bound to weights that nothing runs any more.
+   * Binds the request to weights again, since no engine runs those that it is bound to.
    *
-   * @returns Whether it is bound to other weights now.
+   * @returns Whether it is bound to different weights now.
    */
   const rebind = (): boolean => {
-    if (state.mayHaveRun || hasBegun(state.answer) || bindings >= maxWeightBindings) return false;
-    bindings += 1;
-    const again = createWork(job, parts.bindWeights);
-    const isOther = again.weightsVersions.join() !== work.weightsVersions.join();
-    work = again;
-    return isOther;
+    if (state.mayHaveRun || hasBegun(state.answer) || bindingCount >= maxWeightBindings) return false;
+    bindingCount += 1;
+    const reboundWork = createWork(job, dependencies.bindWeights);
+    const hasChanged = reboundWork.weightsVersions.join() !== work.weightsVersions.join();
+    work = reboundWork;
+    return hasChanged;
   };
 
-  /** The last engine with the weights of a waiting request may be taken out, which is no reason to refuse it. */
-  const openBound = async (attemptStopper: Stopper, asked: Set<string>): Promise<OpenAttempt> => {
+  /** Rebinds a waiting request when the last engine with its weights is removed, rather than refusing it. */
+  const openWithRebinding = async (attemptStopper: Stopper, tried: Set<string>): Promise<OpenAttempt> => {
     for (;;) {
       try {
-        return await openOne(attemptStopper, asked);
+        return await openOne(attemptStopper, tried);
       } catch (error) {
         if (!(error instanceof RequestError) || error.failure.code !== refusalCodes.noEngine) throw error;
         if (!rebind()) throw error;
@@ -102,14 +105,14 @@
   };
 
   const mayHedge = (): boolean => {
-    const allowed = retryBudget.tryTake(requestClass, "hedge");
-    if (allowed) metrics.count(metricNames.hedges);
-    return allowed;
+    const isAllowed = retryBudget.tryTake(requestClass, "hedge");
+    if (isAllowed) metrics.count(metricNames.hedges);
+    return isAllowed;
   };
 
   return (): Promise<OpenAttempt> => {
-    const asked = new Set<string>();
-    const open = (attemptStopper: Stopper): Promise<OpenAttempt> => openBound(attemptStopper, asked);
+    const tried = new Set<string>();
+    const open = (attemptStopper: Stopper): Promise<OpenAttempt> => openWithRebinding(attemptStopper, tried);
     const { hedgeAfter } = requestClass;
     if (hedgeAfter === undefined || !context.idempotent || hasBegun(state.answer)) return open(stopper);
     return raceAttempts({ clock, first: open, second: open, hedgeAfter, mayHedge, parent: stopper });
--- a/src/coordination/requests/authenticate.ts
+++ b/src/coordination/requests/authenticate.ts
@@ -1,4 +1,4 @@
-/** Who is calling, from the API key. */
+/** Identifies the calling organisation by its API key. */
 import { createHash } from "node:crypto";
 import type { OrganisationConfiguration } from "../../protocol/configuration/schema.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
@@ -6,13 +6,13 @@
 
 const bearer = /^Bearer +(\S+)$/i;
 
-/** @returns The key that an `Authorization` header carries, if any. */
+/** @returns The bearer token of an `Authorization` header; `undefined` if it has none. */
 export const bearerKey = (authorization: string | undefined): string | undefined =>
   bearer.exec(authorization ?? "")?.[1];
 
 /**
- * Finds the organisation that a key belongs to. Only digests are compared, so that neither the file nor a
- * dump holds a key.
+ * Finds the organisation that an API key belongs to. Keys are compared by their digests only, so that neither the
+ * configuration file nor a state dump contains a key.
  *
  * @param authorization - The `Authorization` header.
  * @returns The organisation; throws `RequestError` (401).
--- a/src/coordination/requests/backOff.ts
+++ b/src/coordination/requests/backOff.ts
@@ -1,14 +1,14 @@
-/** How long to wait before another attempt, so that many requests that failed together do not return together. */
+/** Delays before retries, randomised so that requests that failed together are not retried together. */
 import { initialBackOff, maxBackOff } from "./constants.ts";
 
 /**
- * Picks a delay at random below a limit that doubles with each failure ("full jitter").
+ * Picks a back-off delay with full jitter: at random below a maximum that doubles with each failure.
  *
- * @param failures - Failures in a row, at least 1.
- * @param random - A number from 0 up to but not including 1.
- * @returns Milliseconds.
+ * @param failures - Consecutive failures, at least 1.
+ * @param random - Returns a number from 0 up to but not including 1.
+ * @returns The delay, milliseconds.
  */
 export const pickBackOff = (failures: number, random: () => number): number => {
-  const limit = Math.min(maxBackOff, initialBackOff * 2 ** (failures - 1));
-  return random() * limit;
+  const maxDelay = Math.min(maxBackOff, initialBackOff * 2 ** (failures - 1));
+  return random() * maxDelay;
 };
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -1,4 +1,4 @@
-/** One model request under way: attempt after attempt until its answer is whole or can't be finished. */
+/** Runs one model request: makes attempts until the answer is complete or can't be completed. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
@@ -18,23 +18,24 @@
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
 
-/** Where a run begins: at the start of the answer, or after what the caller has of it. */
+/** Where a run starts: at the beginning of the answer, or after the part that the caller already has. */
 export interface RunStart {
   readonly answer: DeliveredAnswer;
-  /** Opens the first attempt, where it is under way already. */
+  /** Opens the first attempt if it is already running on an engine; `undefined` for a new request. */
   readonly open: ((stopper: Stopper) => Promise<OpenAttempt>) | undefined;
   readonly mayHaveRun: boolean;
 }
 
 const millisecondsPerSecond = 1_000;
 
-/** A run from the beginning. */
+/** @returns The start of a new request. */
 export const freshStart = (): RunStart => ({ answer: emptyAnswer(), open: undefined, mayHaveRun: false });
 
 /**
- * Throws the switch when the caller goes, unless the request must run to its end, and at the deadline.
+ * Stops a request at its completion deadline and, if it is idempotent, when its caller disconnects.
  *
- * @returns A function that ends the watch.
+ * @param caller - Aborted when the caller disconnects.
+ * @returns A function that removes the timer and the listener.
  */
 export const stopOnDisconnectOrDeadline = (
   { context }: CompletionJob,
@@ -42,19 +43,23 @@
   stopper: Stopper,
   caller: AbortSignal,
 ): (() => void) => {
-  const leave = (): void => stopper.stop("caller_left");
-  // What may run only once runs to its end, so that its outcome can be known.
-  if (context.idempotent) caller.addEventListener("abort", leave);
-  if (context.idempotent && caller.aborted) leave();
-  const left = context.completionDeadline - clock.monotonic();
-  const callOff = clock.after(left, () => stopper.stop("deadline"));
+  const stopForCaller = (): void => stopper.stop("caller_left");
+  // A non-idempotent request runs to its end, so that its outcome is known.
+  if (context.idempotent) caller.addEventListener("abort", stopForCaller);
+  if (context.idempotent && caller.aborted) stopForCaller();
+  const remaining = context.completionDeadline - clock.monotonic();
+  const cancelTimer = clock.after(remaining, () => stopper.stop("deadline"));
   return () => {
-    caller.removeEventListener("abort", leave);
-    callOff();
+    caller.removeEventListener("abort", stopForCaller);
+    cancelTimer();
   };
 };
 
-const createScope = (parts: CompletionRunDependencies, job: CompletionJob, start: RunStart): RunScope => {
+const createScope = (
+  dependencies: CompletionRunDependencies,
+  job: CompletionJob,
+  start: RunStart,
+): RunScope => {
   const stopper = createStopper();
   const state: RunState = {
     answer: start.answer,
@@ -65,11 +70,11 @@
     hasContinuedQuarantined: false,
     finished: false,
   };
-  const retries = createRetryDecision({ ...parts, context: job.context, stopper });
-  return { dependencies: parts, job, state, stopper, retries };
+  const retries = createRetryDecision({ ...dependencies, context: job.context, stopper });
+  return { dependencies, job, state, stopper, retries };
 };
 
-const progressOf = ({ job, state }: RunScope): RequestProgress => ({
+const toProgress = ({ job, state }: RunScope): RequestProgress => ({
   idempotent: job.context.idempotent,
   mayHaveRun: state.mayHaveRun,
   delivered: hasBegun(state.answer),
@@ -77,34 +82,35 @@
   textMissing: !state.answer.textKnown,
 });
 
-const giveUp = (scope: RunScope, error: unknown): RequestError =>
-  finalFailure(error, progressOf(scope), scope.stopper.reason());
+const toFinalFailure = (scope: RunScope, error: unknown): RequestError =>
+  finalFailure(error, toProgress(scope), scope.stopper.reason());
 
-/** A request that crashes the engines that run it is turned away at once; costs a look where nothing is held back. */
-const checkQuarantine = async ({ dependencies: parts, job }: RunScope): Promise<void> => {
-  const wait = await parts.quarantine.ask(job);
-  if (wait === undefined) return;
-  parts.metrics.count(metricNames.heldBack);
-  throw refusals.quarantined(wait / millisecondsPerSecond);
+/** Refuses a request that is quarantined for crashing engines. Cheap while no request is quarantined. */
+const checkQuarantine = async ({ dependencies, job }: RunScope): Promise<void> => {
+  const retryAfter = await dependencies.quarantine.ask(job);
+  if (retryAfter === undefined) return;
+  dependencies.metrics.count(metricNames.heldBack);
+  throw refusals.quarantined(retryAfter / millisecondsPerSecond);
 };
 
 /**
- * The attempt before may have shown that the request crashes the engines that run it. An answer of which the caller has
- * a part goes on once all the same: whole, it shows that the crashes had another cause.
+ * Checks the quarantine before a retry, since the previous attempt may have shown that the request crashes engines. A
+ * quarantined request whose answer was partly delivered is still continued once: if that completes the answer, the
+ * crashes had another cause.
  */
-const mayGoOn = ({ dependencies: parts, job, state }: RunScope): boolean =>
-  !parts.quarantine.isHeld(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
+const mayContinue = ({ dependencies, job, state }: RunScope): boolean =>
+  !dependencies.quarantine.isHeld(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
 
-/** Waits before the next attempt; throws `RequestError` where there is to be none. */
-const prepareRetry = async (scope: RunScope, error: unknown): Promise<void> => {
-  const { dependencies: parts, state, stopper, retries } = scope;
-  const delay = retries.decide(error, progressOf(scope), state.excluded);
-  if (delay === undefined) throw giveUp(scope, error);
-  await pause(parts.clock, delay, stopper.signal);
-  if (stopper.signal.aborted || !mayGoOn(scope)) throw giveUp(scope, error);
+/** Waits for the back-off delay of the next attempt; throws `RequestError` if there is to be no retry. */
+const waitBeforeRetry = async (scope: RunScope, error: unknown): Promise<void> => {
+  const { dependencies, state, stopper, retries } = scope;
+  const delay = retries.decide(error, toProgress(scope), state.excluded);
+  if (delay === undefined) throw toFinalFailure(scope, error);
+  await pause(dependencies.clock, delay, stopper.signal);
+  if (stopper.signal.aborted || !mayContinue(scope)) throw toFinalFailure(scope, error);
 };
 
-/** Ends a claim the way the request ended; a lost record errs to the side of `outcome_unknown`. */
+/** Records the outcome of the request in its claim. If the record is lost, a retry is answered `outcome_unknown`. */
 const settleClaim = async ({ claim, finished, mayHaveRun }: RunState): Promise<void> => {
   if (finished) await claim?.complete("finished").catch(() => undefined);
   else if (mayHaveRun) await claim?.abandon().catch(() => undefined);
@@ -112,21 +118,21 @@
 };
 
 /**
- * Runs a request.
+ * Runs a request and yields the pieces of its answer.
  *
- * @param caller - Aborted when the caller goes away.
- * @returns The pieces; throws `RequestError` where the answer can't be finished.
+ * @param caller - Aborted when the caller disconnects.
+ * @returns The pieces, in order; throws `RequestError` if the answer can't be completed.
  */
 export const runCompletion = async function* (
-  parts: CompletionRunDependencies,
+  dependencies: CompletionRunDependencies,
   job: CompletionJob,
   start: RunStart,
   caller: AbortSignal,
 ): AsyncGenerator<AnswerBatch, void, void> {
-  const scope = createScope(parts, job, start);
+  const scope = createScope(dependencies, job, start);
   const { state } = scope;
   const openNext = createAttemptOpener(scope);
-  const unwatch = stopOnDisconnectOrDeadline(job, parts, scope.stopper, caller);
+  const detachStopper = stopOnDisconnectOrDeadline(job, dependencies, scope.stopper, caller);
   let open = start.open ?? openNext;
   try {
     if (start.open === undefined) await checkQuarantine(scope);
@@ -138,14 +144,14 @@
       } catch (error) {
         state.finished = false;
         open = openNext;
-        if (state.mayHaveRun) parts.quarantine.noteFailed(job);
-        await prepareRetry(scope, error);
+        if (state.mayHaveRun) dependencies.quarantine.noteFailed(job);
+        await waitBeforeRetry(scope, error);
       }
     }
-    parts.retryBudget.deposit(job.context.requestClass);
-    parts.quarantine.noteAnswered(job);
+    dependencies.retryBudget.deposit(job.context.requestClass);
+    dependencies.quarantine.noteAnswered(job);
   } finally {
-    unwatch();
+    detachStopper();
     await settleClaim(state);
   }
 };
--- a/src/coordination/requests/completionRunner.test.ts
+++ b/src/coordination/requests/completionRunner.test.ts
@@ -14,14 +14,14 @@
 const words = Array.from({ length: 12 }, (_, index) => ` word${index}`);
 const wholeText = words.join("");
 
-/** Words after those that have been delivered, which must be a whole number of words. */
+/** @returns The words after the delivered text, which must end at a word boundary. */
 const wordsAfter = (delivered: string): readonly string[] => {
   const count = delivered === "" ? 0 : delivered.split(" ").length - 1;
   expect(delivered).toEqual(words.slice(0, count).join(""));
   return words.slice(count);
 };
 
-const answerWell: EngineScript = async function* ({ delivered }) {
+const answerCompletely: EngineScript = async function* ({ delivered }) {
   await Promise.resolve();
   for (const word of wordsAfter(delivered.text)) yield [textPiece(word)];
   yield [lastPiece];
@@ -30,7 +30,7 @@
 const failWith = (fault: UpstreamFault) => upstreamError("scripted", fault, "streaming");
 
 describe("createCompletionRunner", () => {
-  it("gives the whole text in order, or a typed error, whatever engines do", async () => {
+  it("delivers the whole text in order, or a typed error, for any sequence of engine failures", async () => {
     const attempt = fc.record({
       pieces: fc.nat(5),
       perBatch: fc.integer({ min: 1, max: 3 }),
@@ -43,7 +43,7 @@
           const plan = attempts[next];
           next += 1;
           if (plan === undefined) {
-            yield* answerWell(call, id, signal);
+            yield* answerCompletely(call, id, signal);
             return;
           }
           await Promise.resolve();
@@ -63,7 +63,7 @@
     );
   });
 
-  it("does not continue an answer with tool calls elsewhere", async () => {
+  it("does not continue an answer with tool calls on another engine", async () => {
     const fixture = createRunnerFixture(async function* () {
       await Promise.resolve();
       yield [{ ...textPiece(""), extra: { tool_calls: [{ index: 0, id: "call" }] } }];
@@ -74,7 +74,7 @@
     expect(fixture.notes.calls.length).toEqual(1);
   });
 
-  it("stops asking when the budget is spent", async () => {
+  it("makes no more retries when the retry budget is exhausted", async () => {
     const fixture = createRunnerFixture(async function* () {
       await Promise.resolve();
       throw failWith("closed_early");
@@ -84,9 +84,9 @@
   });
 });
 
-describe("weights that a request is bound to", () => {
-  /** Binds a request to weights that no engine runs any more, and from the second time on to those that all run. */
-  const createLateBinding = () => {
+describe("binding a request to weights", () => {
+  /** Binds a request first to weights that no engine runs any more, and from then on to weights that all engines run. */
+  const createRecoveringBinding = () => {
     const notes = { bindings: 0 };
     const bind = () => {
       notes.bindings += 1;
@@ -95,16 +95,16 @@
     return { bind, notes };
   };
 
-  it("are chosen anew where the last engine that ran them was taken out before the request began", async () => {
-    const { bind } = createLateBinding();
-    const fixture = createRunnerFixture(answerWell, {}, 3, bind);
+  it("is repeated if the last engine with the weights is removed before the request has started", async () => {
+    const { bind } = createRecoveringBinding();
+    const fixture = createRunnerFixture(answerCompletely, {}, 3, bind);
     const view = await fixture.finish(fixture.read());
     expect([view.text, view.failure]).toEqual([wholeText, undefined]);
   });
 
-  it("are not chosen anew for ever", async () => {
+  it("is not repeated without limit", async () => {
     let count = 0;
-    const fixture = createRunnerFixture(answerWell, {}, 3, () => {
+    const fixture = createRunnerFixture(answerCompletely, {}, 3, () => {
       count += 1;
       return { weightsVersion: `gone-${count}`, adapter: undefined };
     });
@@ -113,15 +113,15 @@
     expect(count).toBeLessThanOrEqual(4);
   });
 
-  it("stay what they were once an engine may have run the request", async () => {
-    const { bind, notes } = createLateBinding();
+  it("is not repeated once an engine may have run the request", async () => {
+    const { bind, notes } = createRecoveringBinding();
     notes.bindings = 1;
     let attempts = 0;
     const fixture = createRunnerFixture(
       async function* (call, id, signal) {
         attempts += 1;
         if (attempts === 1) throw failWith("closed_early");
-        yield* answerWell(call, id, signal);
+        yield* answerCompletely(call, id, signal);
       },
       {},
       3,
@@ -133,17 +133,17 @@
 });
 
 describe("hedging", () => {
-  const silentFirst = (): EngineScript => {
+  const createSilentFirst = (): EngineScript => {
     let calls = 0;
     return async function* (call, id, signal) {
       calls += 1;
       if (calls === 1) await untilAborted(signal);
-      yield* answerWell(call, id, signal);
+      yield* answerCompletely(call, id, signal);
     };
   };
 
-  it("takes the faster engine's answer alone and stops the other", async () => {
-    const fixture = createRunnerFixture(silentFirst(), { hedgeAfter: 150 });
+  it("uses only the faster engine's answer and cancels the other attempt", async () => {
+    const fixture = createRunnerFixture(createSilentFirst(), { hedgeAfter: 150 });
     const view = await fixture.finish(fixture.read());
     expect([view.text, view.failure]).toEqual([wholeText, undefined]);
     expect(fixture.clock.monotonic()).toBeLessThan(600);
@@ -151,13 +151,13 @@
     expect(fixture.notes.cancelled).toEqual([fixture.notes.calls[0] ?? ""]);
   });
 
-  it("delivers no piece twice where both engines answer at the same moment", async () => {
+  it("delivers no piece twice if both engines answer at the same time", async () => {
     const fixture = createRunnerFixture(
       async function* (call, id, signal) {
         await new Promise<void>(
           (resolve) => void fixture.clock.after(150 - fixture.clock.monotonic(), resolve),
         );
-        yield* answerWell(call, id, signal);
+        yield* answerCompletely(call, id, signal);
       },
       { hedgeAfter: 149 },
     );
@@ -166,11 +166,11 @@
     expect([fixture.notes.calls.length, fixture.notes.cancelled.length]).toEqual([2, 1]);
   });
 
-  it("is bounded by a share of the successes", async () => {
+  it("is limited to a ratio of the successful requests", async () => {
     const fixture = createRunnerFixture(
       async function* (call, id, signal) {
         await new Promise<void>((resolve) => void fixture.clock.after(200, resolve));
-        yield* answerWell(call, id, signal);
+        yield* answerCompletely(call, id, signal);
       },
       { hedgeAfter: 150 },
     );
--- a/src/coordination/requests/completionRunner.ts
+++ b/src/coordination/requests/completionRunner.ts
@@ -1,4 +1,4 @@
-/** Runs model requests: from the first choice of an engine to the last piece of the answer. */
+/** Runs model requests, new and resumed ones, with retries, hedges and continuations. */
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -20,40 +20,45 @@
 import type { RetryBudget } from "./retryBudget.ts";
 import type { CompletionJob, RunningAnswer } from "./types.ts";
 
-/** What the runner works with. */
 export interface CompletionRunnerDependencies extends Omit<
   CompletionRunDependencies,
   "canceller" | "retryBudget" | "random" | "crashes" | "quarantine" | "fingerprintOf"
 > {
-  /** Without these no request is held back. */
+  /** Optional; without it, crashes of engines are not tracked. */
   readonly crashes?: EngineCrashWatch;
+  /** Optional; without it, no request is quarantined. */
   readonly quarantine?: QuarantineChecks<CompletionJob>;
-  /** Without it retries are a share of successes. */
+  /** Defaults to a {@link RatioRetryBudget}. */
   readonly retryBudget?: RetryBudget;
+  /** Returns a number from 0 up to but not including 1; defaults to `Math.random`. */
   readonly random?: () => number;
 }
 
-/** Runs model requests. */
 export interface CompletionRunner {
   /**
-   * Starts a request; resolves with its first pieces.
+   * Starts a request; resolves once its first pieces have arrived.
    *
-   * @param signal - Aborted when the caller goes away.
+   * @param signal - Aborted when the caller disconnects.
    * @returns The answer; throws `RequestError`.
    */
   readonly run: (job: CompletionJob, signal: AbortSignal) => Promise<RunningAnswer>;
 
-  /** Goes on with an answer; resolves with its next pieces, or at its end. Throws `RequestError`. */
+  /**
+   * Resumes an answer; resolves once its next pieces have arrived, or at its end.
+   *
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The rest of the answer; throws `RequestError`.
+   */
   readonly resume: (job: ResumeJob, signal: AbortSignal) => Promise<RunningAnswer>;
 
-  /** What is left of retry budgets, for a state dump. */
+  /** @returns The remaining retry budgets, for a state dump. */
   readonly dump: () => unknown;
 }
 
-const noAnswer = (): RequestError =>
+const emptyAnswerFailure = (): RequestError =>
   finalFailure(undefined, { idempotent: true, mayHaveRun: true, delivered: false, continuable: true });
 
-const withFirst = async function* (
+const prependBatch = async function* (
   first: AnswerBatch,
   rest: AsyncGenerator<AnswerBatch, void, void>,
 ): AsyncGenerator<AnswerBatch, void, void> {
@@ -61,45 +66,44 @@
     yield first;
     yield* rest;
   } finally {
-    // Also where the reader stops after the first piece: the attempt has to be released.
+    // Releases the attempt also if the reader stops after the first batch, before `rest` has been read.
     await rest.return();
   }
 };
 
 const noBatches = async function* (): AsyncGenerator<AnswerBatch, void, void> {
-  // The caller has everything but the end mark.
+  // The caller has received every piece; only the end of the stream is missing.
 };
 
-/** Makes a runner. */
-export const createCompletionRunner = (given: CompletionRunnerDependencies): CompletionRunner => {
-  const { clock, metrics } = given;
-  const parts: CompletionRunDependencies = {
-    ...given,
-    crashes: given.crashes ?? noEngineCrashWatch,
-    quarantine: given.quarantine ?? noQuarantine,
+export const createCompletionRunner = (options: CompletionRunnerDependencies): CompletionRunner => {
+  const { clock, metrics } = options;
+  const dependencies: CompletionRunDependencies = {
+    ...options,
+    crashes: options.crashes ?? noEngineCrashWatch,
+    quarantine: options.quarantine ?? noQuarantine,
     fingerprintOf: fingerprintOfJob,
-    canceller: createAttemptCanceller(clock, given.connect),
-    retryBudget: given.retryBudget ?? new RatioRetryBudget(clock),
-    random: given.random ?? Math.random,
+    canceller: createAttemptCanceller(clock, options.connect),
+    retryBudget: options.retryBudget ?? new RatioRetryBudget(clock),
+    random: options.random ?? Math.random,
   };
 
-  /** @returns Undefined if the answer is at its end. */
-  const begin = async (
+  /** @returns `undefined` if no pieces are left. */
+  const startRun = async (
     job: CompletionJob,
     start: RunStart,
     signal: AbortSignal,
   ): Promise<RunningAnswer | undefined> => {
-    const batches = runCompletion(parts, job, start, signal);
+    const batches = runCompletion(dependencies, job, start, signal);
     const first = await batches.next();
     if (first.done === true) return undefined;
-    return { upstream: first.value.engineId, batches: withFirst(first.value, batches) };
+    return { upstream: first.value.engineId, batches: prependBatch(first.value, batches) };
   };
 
   const run = async (job: CompletionJob, signal: AbortSignal): Promise<RunningAnswer> => {
     const tags = { class: job.context.requestClass.name };
     metrics.count(metricNames.requests, 1, tags);
-    const running = await begin(job, freshStart(), signal);
-    if (running === undefined) throw noAnswer();
+    const running = await startRun(job, freshStart(), signal);
+    if (running === undefined) throw emptyAnswerFailure();
     metrics.time(metricNames.firstToken, clock.monotonic() - job.context.arrivedAt, tags);
     return running;
   };
@@ -107,10 +111,10 @@
   const resume = async (job: ResumeJob, signal: AbortSignal): Promise<RunningAnswer> => {
     metrics.count(metricNames.resumes, 1, { class: job.context.requestClass.name });
     const answer = deliveredBeforeResume(job);
-    const open = (stopper: Stopper): Promise<OpenAttempt> => openResumed(parts, job, answer, stopper);
-    const running = await begin(job, { answer, open, mayHaveRun: true }, signal);
+    const open = (stopper: Stopper): Promise<OpenAttempt> => openResumed(dependencies, job, answer, stopper);
+    const running = await startRun(job, { answer, open, mayHaveRun: true }, signal);
     return running ?? { upstream: job.point.engineId, batches: noBatches() };
   };
 
-  return { run, resume, dump: () => ({ retryBudgets: parts.retryBudget.dump() }) };
+  return { run, resume, dump: () => ({ retryBudgets: dependencies.retryBudget.dump() }) };
 };
--- a/src/coordination/requests/constants.ts
+++ b/src/coordination/requests/constants.ts
@@ -1,43 +1,43 @@
-/** Limits of request handling. Durations are milliseconds. */
+/** Limits of request handling. Durations are in milliseconds unless a name says otherwise. */
 
-/** Attempts in a row that bring no new piece of the answer before a request is given up. */
+/** Consecutive attempts without a new piece of the answer after which a request fails. */
 export const maxAttemptsWithoutProgress = 3;
 
-/** After how many seconds a caller may come back where nothing better is known. */
+/** `Retry-After` of a refusal for which no better estimate is known. */
 export const defaultRetryAfterSeconds = 1;
 
-/** The longest back-off before a first retry; doubled for each further one. */
+/** Maximum back-off before the first retry; doubled for each further one. */
 export const initialBackOff = 20;
 
-/** The longest back-off of all. */
+/** Upper bound of the back-off before any retry. */
 export const maxBackOff = 500;
 
-/** Retries that a class may save up while nothing fails, and owe for streams that have begun. */
+/** Retries that a class can accumulate; also the number by which continuations of streams can overdraw the budget. */
 export const maxRetryBalance = 50;
 
-/** Retries that a class has at the start, and always gets back with time, so that rare requests have some. */
+/** Retries that a class starts with, and is refilled to over time, so that a class with few requests has some. */
 export const retryReserve = 10;
 
-/** Retries of the reserve that come back each second. */
+/** Rate at which the reserve is refilled, retries per second. */
 export const reserveRefillPerSecond = 0.2;
 
-/** Hedges allowed for each successful request of a class that hedges: a bound on the extra work. */
+/** Hedges allowed per successful request of a class that hedges; bounds the extra load. */
 export const hedgeRatio = 0.05;
 
-/** Hedges that a class may save up. */
+/** Hedges that a class can accumulate. */
 export const maxHedgeBalance = 5;
 
 /**
- * How long an engine goes on with a stream whose caller has gone, so that the caller can pick it up again:
- * long enough to reconnect, short enough to cost little for callers that meant to stop.
+ * How long an engine continues a stream after its caller has disconnected, so that the caller can resume it: long
+ * enough to reconnect, short enough to waste little work for callers that meant to stop.
  */
 export const resumeGrace = 1_000;
 
-/** How long after its request's completion deadline a resume token is accepted. */
+/** How long a resume token stays valid after the completion deadline of its request. */
 export const resumeTokenLifetime = 60_000;
 
-/** How often a request that no engine has seen is bound to weights: a roll-out changes them once or twice. */
+/** How often a request that no engine has received is bound to weights. A roll-out changes them once or twice. */
 export const maxWeightBindings = 3;
 
-/** Timers that are due within so many milliseconds of one another may fire in any order. */
+/** Timers whose due times differ by no more than this can fire in any order. */
 export const timerPrecision = 5;
--- a/src/coordination/requests/deliveredAnswer.ts
+++ b/src/coordination/requests/deliveredAnswer.ts
@@ -1,20 +1,20 @@
-/** What a caller has been given of an answer, whatever engines it came from. */
+/** The part of an answer that has been delivered to the caller, over all engines that generated it. */
 import type { AnswerFrame, Usage } from "../../protocol/types.ts";
 
-/** Changed only by the task that relays the answer. */
+/** The delivered part of an answer. Only the task that relays the answer changes it. */
 export interface DeliveredAnswer {
   text: string;
-  /** Pieces with text. */
+  /** Number of pieces with text; each counts as one token. */
   tokens: number;
-  /** Pieces without text since the last one with text. */
+  /** Number of pieces without text since the last piece with text. */
   textlessPieces: number;
-  /** False where the caller has text that this router has not seen. */
+  /** False if the caller has received text that this router does not know. */
   textKnown: boolean;
-  /** False once a piece has come that another engine could not go on after. */
+  /** False once a piece has been delivered after which no other engine can continue, such as a tool call. */
   continuable: boolean;
 }
 
-/** An answer of which nothing has come. */
+/** @returns An answer of which nothing has been delivered. */
 export const emptyAnswer = (): DeliveredAnswer => ({
   text: "",
   tokens: 0,
@@ -23,11 +23,11 @@
   continuable: true,
 });
 
-/** True once the caller has some of it. */
+/** @returns Whether any piece has been delivered. */
 export const hasBegun = ({ tokens, textlessPieces: others }: DeliveredAnswer): boolean =>
   tokens > 0 || others > 0;
 
-/** Notes a piece. */
+/** Adds a piece to the delivered part. */
 export const notePiece = (answer: DeliveredAnswer, frame: AnswerFrame): void => {
   if (frame.text === "") {
     answer.textlessPieces += 1;
@@ -40,11 +40,11 @@
 };
 
 /**
- * Counts usage as if one engine had given the whole answer: a continuation reads as part of its prompt what
- * earlier attempts had generated.
+ * Converts the usage that a continuation reports to the usage of the whole answer, as if one engine had generated it.
+ * The engine counts the text that earlier attempts generated as part of its prompt.
  *
- * @param attemptOffset - Tokens that came before the attempt.
- * @param maximumTokens - The caller's limit.
+ * @param attemptOffset - Tokens of the answer that were generated before the attempt.
+ * @param maximumTokens - The caller's limit on generated tokens.
  */
 export const combinedUsage = (usage: Usage, attemptOffset: number, maximumTokens: number): Usage => {
   const promptTokens = Math.max(0, usage.promptTokens - attemptOffset);
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -1,4 +1,4 @@
-/** The ids of a stream's events: resume tokens. */
+/** Creates the ids of a stream's SSE events. Each id is a resume token. */
 import type { AnswerBatch, AnswerPosition } from "../../protocol/FrontEnd.ts";
 import { digestRequest } from "../../protocol/requestTexts.ts";
 import { resumeTokenAt } from "../../protocol/resumeToken.ts";
@@ -10,23 +10,24 @@
 
 const shortDigestLength = 16;
 
-const secondsOf = (milliseconds: number): number => Math.ceil(milliseconds / 1_000);
+const toSeconds = (milliseconds: number): number => Math.ceil(milliseconds / 1_000);
 
-/** Enough to notice another body; the token's length counts for every event. */
+/** @returns A digest long enough to detect a different body. It is short because every event carries it. */
 export const shortDigest = (request: CompletionRequest): string =>
   digestRequest(request).slice(0, shortDigestLength);
 
 /**
- * Makes the function that names events; it signs once for each attempt.
+ * Creates the function that returns the id of an event. It signs once per attempt; only the position differs between
+ * events of one attempt.
  *
- * @param job - The request that is answered.
+ * @param job - The request that the stream answers.
  */
 export const createEventIds = (tokens: ResumeTokens, clock: Clock, { context, request }: CompletionJob) => {
   let attempt: string | undefined;
-  let signed = "";
+  let signedPart = "";
 
   const signFor = (batch: AnswerBatch): string => {
-    const left = Math.max(0, context.completionDeadline - clock.monotonic());
+    const remaining = Math.max(0, context.completionDeadline - clock.monotonic());
     return tokens.sign({
       organisation: context.organisation.name,
       digest: shortDigest(request),
@@ -35,15 +36,15 @@
       incarnation: batch.incarnation,
       attempt: batch.attempt,
       attemptOffset: batch.attemptOffset,
-      expiresAt: secondsOf(clock.wall() + left + resumeTokenLifetime),
+      expiresAt: toSeconds(clock.wall() + remaining + resumeTokenLifetime),
     });
   };
 
   return (batch: AnswerBatch, delivered: AnswerPosition): string => {
     if (batch.attempt !== attempt) {
       attempt = batch.attempt;
-      signed = signFor(batch);
+      signedPart = signFor(batch);
     }
-    return resumeTokenAt(signed, delivered);
+    return resumeTokenAt(signedPart, delivered);
   };
 };
--- a/src/coordination/requests/fingerprint.ts
+++ b/src/coordination/requests/fingerprint.ts
@@ -1,23 +1,24 @@
-/** What a model request asks, as a short text: the same again under another id asks the same. */
+/** Fingerprints of model requests, which recognise the same request when it is sent again under another id. */
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import { formatFingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import { hashTexts } from "../../protocol/prefixLevels.ts";
 import { digestRequest } from "../../protocol/requestTexts.ts";
 import type { CompletionJob } from "./types.ts";
 
-const known = new WeakMap<CompletionJob, Fingerprint>();
+const cachedFingerprints = new WeakMap<CompletionJob, Fingerprint>();
 
 /**
- * The organisation is part of it: what one asks says nothing of what a rival may have answered.
+ * Computes a request's fingerprint. It includes the organisation, so that the requests of one organisation reveal nothing
+ * about those of a rival.
  *
- * @returns The same text for the same request of the same organisation, in every process.
+ * @returns The fingerprint, equal in every process for the same request of the same organisation.
  */
 export const fingerprintOfJob = (job: CompletionJob): Fingerprint => {
-  const before = known.get(job);
-  if (before !== undefined) return before;
+  const cached = cachedFingerprints.get(job);
+  if (cached !== undefined) return cached;
   const { context, request } = job;
   const organisation = context.organisation.name;
-  const made = formatFingerprint(hashTexts([organisation], Buffer.from(digestRequest(request))));
-  known.set(job, made);
-  return made;
+  const fingerprint = formatFingerprint(hashTexts([organisation], Buffer.from(digestRequest(request))));
+  cachedFingerprints.set(job, fingerprint);
+  return fingerprint;
 };
--- a/src/coordination/requests/hedge.ts
+++ b/src/coordination/requests/hedge.ts
@@ -1,32 +1,33 @@
-/** Asks a second engine where the first is slow with its first piece, and takes whichever is faster. */
+/** Hedging: sends a request to a second engine if the first is slow to answer, and uses the faster one. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { Clock } from "../clock.ts";
 import type { OpenAttempt } from "./attempt.ts";
 import { createStopper } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 
-const asError = (error: unknown): Error =>
+const toError = (error: unknown): Error =>
   error instanceof Error ? error : upstreamError("the attempt failed", "failed", "sent", error);
 
-/** Opens an attempt. */
+/** Opens an attempt; resolves once its first pieces have arrived. */
 export type StartAttempt = (stopper: Stopper) => Promise<OpenAttempt>;
 
-/** Two attempts that compete. */
+/** Two attempts of which the faster one is used. */
 export interface HedgeRace {
   readonly clock: Clock;
   readonly first: StartAttempt;
   readonly second: StartAttempt;
-  /** Milliseconds after which the second begins. */
+  /** Delay before the second attempt starts, milliseconds. */
   readonly hedgeAfter: number;
-  /** Asked right before the second begins. */
+  /** Called right before the second attempt starts, which it can prevent by returning false. */
   readonly mayHedge: () => boolean;
   readonly parent: Stopper;
 }
 
 /**
- * Runs the race. Only the winner's pieces are ever read; the loser is cancelled.
+ * Runs both attempts. Only pieces of the faster one are passed on; the other one is cancelled.
  *
- * @returns The attempt that gave its first pieces first; throws the last failure if none did.
+ * @returns The attempt whose first pieces arrived first; throws the last failure if both attempts failed, or the
+ * first one failed before the second had started.
  */
 export const raceAttempts = (race: HedgeRace): Promise<OpenAttempt> =>
   new Promise((resolve, reject) => {
@@ -35,7 +36,7 @@
 
     const settle = (): void => {
       settled = true;
-      callOff();
+      cancelHedgeTimer();
       for (const loser of running) loser.stop("superseded");
     };
 
@@ -56,11 +57,11 @@
         stopper.detach();
         if (settled || running.size > 0) return;
         settle();
-        reject(asError(error));
+        reject(toError(error));
       }
     };
 
-    const callOff = race.clock.after(race.hedgeAfter, () => {
+    const cancelHedgeTimer = race.clock.after(race.hedgeAfter, () => {
       if (!settled && race.mayHedge()) void start(race.second);
     });
     void start(race.first);
--- a/src/coordination/requests/relay.ts
+++ b/src/coordination/requests/relay.ts
@@ -1,4 +1,4 @@
-/** Hands on the pieces of one attempt, and ends the attempt the way its reader ended. */
+/** Relays the pieces of one attempt to the caller, and closes the attempt with how the relay ended. */
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import type { AnswerFrame } from "../../protocol/types.ts";
 import { hasBegun, notePiece, combinedUsage } from "./deliveredAnswer.ts";
@@ -6,12 +6,15 @@
 import type { AttemptEnd, AttemptOrigin, OpenAttempt } from "./attempt.ts";
 import type { RunScope } from "./runScope.ts";
 
-/** Pieces beyond the caller's limit have no text for it; they come where only the end of an answer was lost. */
-const cutAtLimit = (frame: AnswerFrame, answer: DeliveredAnswer, maximumTokens: number): AnswerFrame =>
+/**
+ * Removes the text of pieces beyond the caller's token limit. They occur when only the end of an answer was lost: the
+ * continuation has to ask for at least one more token.
+ */
+const truncateAtLimit = (frame: AnswerFrame, answer: DeliveredAnswer, maximumTokens: number): AnswerFrame =>
   frame.text === "" || answer.tokens < maximumTokens ? frame : { ...frame, text: "" };
 
-/** Reads what nobody hears, so that the outcome is known. */
-const readUnheard = async (attempt: OpenAttempt): Promise<AttemptEnd> => {
+/** Reads the rest of an answer that no caller receives, so that the outcome of the request is known. */
+const readToEnd = async (attempt: OpenAttempt): Promise<AttemptEnd> => {
   try {
     while ((await attempt.next()) !== undefined);
     return "finished";
@@ -21,9 +24,9 @@
 };
 
 /**
- * Relays an attempt to its end.
+ * Relays an attempt until its answer ends.
  *
- * @returns The pieces; throws `UpstreamError` where the engine fails.
+ * @returns The pieces; throws `UpstreamError` if the engine fails.
  */
 export const relayAttempt = async function* (
   { job, state, stopper, retries }: RunScope,
@@ -32,26 +35,26 @@
   const { context, request } = job;
   const { answer } = state;
 
-  const takePiece = (received: AnswerFrame, { attemptOffset }: AttemptOrigin): AnswerFrame => {
-    const frame = cutAtLimit(received, answer, request.maximumTokens);
+  const processPiece = (received: AnswerFrame, { attemptOffset }: AttemptOrigin): AnswerFrame => {
+    const frame = truncateAtLimit(received, answer, request.maximumTokens);
     notePiece(answer, frame);
     if (frame.usage === undefined || attemptOffset === 0) return frame;
     return { ...frame, usage: combinedUsage(frame.usage, attemptOffset, request.maximumTokens) };
   };
 
-  const takePieces = (received: readonly AnswerFrame[]): AnswerBatch => {
+  const createBatch = (received: readonly AnswerFrame[]): AnswerBatch => {
     const { tokens: firstOffset, textlessPieces: firstOthers } = answer;
-    const frames = received.map((frame) => takePiece(frame, attempt.origin));
+    const frames = received.map((frame) => processPiece(frame, attempt.origin));
     retries.noteProgress();
     return { frames, firstOffset, firstOthers, ...attempt.origin };
   };
 
-  /** A caller that has part of a stream may come back for the rest. */
-  const endOfLeft = (): AttemptEnd => (request.stream && hasBegun(answer) ? "left" : "cancelled");
+  /** A caller that has received part of a stream may reconnect to resume it. */
+  const endAfterCallerLeft = (): AttemptEnd => (request.stream && hasBegun(answer) ? "left" : "cancelled");
 
   const endOfFailure = (): AttemptEnd => {
     if (stopper.reason() === undefined) return "failed";
-    return stopper.reason() === "caller_left" ? endOfLeft() : "cancelled";
+    return stopper.reason() === "caller_left" ? endAfterCallerLeft() : "cancelled";
   };
 
   let end: AttemptEnd | undefined;
@@ -59,7 +62,7 @@
     for (;;) {
       const received = await attempt.next();
       if (received === undefined) break;
-      yield takePieces(received);
+      yield createBatch(received);
     }
     end = "finished";
   } catch (error) {
@@ -67,8 +70,8 @@
     state.excluded.add(attempt.origin.engineId);
     throw error;
   } finally {
-    // Without an end the reader of these pieces has stopped reading.
-    end ??= context.idempotent ? endOfLeft() : await readUnheard(attempt);
+    // `end` is not set if the consumer of this generator stopped reading.
+    end ??= context.idempotent ? endAfterCallerLeft() : await readToEnd(attempt);
     if (end === "finished") state.finished = true;
     attempt.close(end);
   }
--- a/src/coordination/requests/requestContext.ts
+++ b/src/coordination/requests/requestContext.ts
@@ -1,4 +1,4 @@
-/** Works out organisation, class, deadlines and repeatability of a request from headers and configuration. */
+/** Derives a request's class, deadlines and idempotency from its headers and the configuration. */
 import { randomUUID } from "node:crypto";
 import type { ClassConfiguration, OrganisationConfiguration } from "../../protocol/configuration/schema.ts";
 import { headers } from "../../protocol/constants.ts";
@@ -7,52 +7,55 @@
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 import { refusals } from "./refusals.ts";
 
-/** What the route says where the caller says nothing. */
+/** The values that the configuration of the route gives for headers that the caller omits. */
 export interface RouteDefaults {
   readonly className: string;
   readonly idempotent: boolean;
 }
 
-const longestKey = 200;
+const maxIdempotencyKeyLength = 200;
 
-const chooseClass = (
+const resolveClass = (
   index: ConfigurationIndex,
   organisation: OrganisationConfiguration,
-  asked: string | undefined,
+  requestedClass: string | undefined,
   fallback: string,
 ): ClassConfiguration => {
-  const found = index.classes.get(asked ?? fallback);
-  if (found?.deployment !== organisation.deployment) throw refusals.unknownClass(asked ?? fallback);
+  const found = index.classes.get(requestedClass ?? fallback);
+  if (found?.deployment !== organisation.deployment) throw refusals.unknownClass(requestedClass ?? fallback);
   return found;
 };
 
-const readIdempotent = (header: string | undefined, fallback: boolean): boolean => {
+const parseIdempotent = (header: string | undefined, fallback: boolean): boolean => {
   if (header === undefined) return fallback;
   if (header === "false") return false;
-  // A caller can't lift the mark that the configuration puts on a route.
+  // A caller can't declare a route idempotent that the configuration marks as non-idempotent.
   if (header === "true") return fallback;
   throw refusals.invalidHeader(headers.idempotent, "true or false");
 };
 
 /**
- * Makes the context of one request.
+ * Creates the context of a request.
  *
  * @param arrivedAt - Milliseconds on the monotonic clock.
- * @returns The context; throws `RequestError` for headers that make no sense.
+ * @returns The context; throws `RequestError` for missing or invalid headers.
  */
 export const createRequestContext = (
   index: ConfigurationIndex,
   organisation: OrganisationConfiguration,
-  asked: CallerHeaders,
+  callerHeaders: CallerHeaders,
   defaults: RouteDefaults,
   arrivedAt: number,
 ): RequestContext => {
-  const requestClass = chooseClass(index, organisation, asked.requestClass, defaults.className);
-  const idempotent = readIdempotent(asked.idempotent, defaults.idempotent);
-  const { idempotencyKey } = asked;
+  const requestClass = resolveClass(index, organisation, callerHeaders.requestClass, defaults.className);
+  const idempotent = parseIdempotent(callerHeaders.idempotent, defaults.idempotent);
+  const { idempotencyKey } = callerHeaders;
   if (!idempotent && idempotencyKey === undefined) throw refusals.missingIdempotencyKey();
-  if (idempotencyKey !== undefined && (idempotencyKey === "" || idempotencyKey.length > longestKey)) {
-    throw refusals.invalidHeader(headers.idempotencyKey, `1 to ${longestKey} characters`);
+  if (
+    idempotencyKey !== undefined &&
+    (idempotencyKey === "" || idempotencyKey.length > maxIdempotencyKeyLength)
+  ) {
+    throw refusals.invalidHeader(headers.idempotencyKey, `1 to ${maxIdempotencyKeyLength} characters`);
   }
   return {
     requestId: randomUUID(),
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -1,4 +1,4 @@
-/** Picks an answer up again from the engine that generates it, for a caller that brings a resume token. */
+/** Resumes an answer from the engine that generates it, for a caller that reconnects with a resume token. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { ResumePoint, ResumeTokens } from "../../protocol/resumeToken.ts";
 import type { AnswerFrame, EngineAnswer } from "../../protocol/types.ts";
@@ -14,20 +14,21 @@
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
 
-/** Longest wait for an engine to hand an answer over, milliseconds; it has been computed before. */
+/** Timeout for an engine to start resending an answer, milliseconds. Short, since the text is already computed. */
 const resumeTimeout = 2_000;
 
-/** A request that goes on with an answer. */
+/** A request that resumes an answer. */
 export interface ResumeJob extends CompletionJob {
   readonly point: ResumePoint;
-  /** What the caller says it has, where it says so. */
+  /** The text that the caller reports to have received; `undefined` if it does not report any. */
   readonly delivered: string | undefined;
 }
 
 /**
- * Checks a token against the request that it comes with.
+ * Reads a resume token and checks it against the request that carries it.
  *
- * @returns The request under its old id; throws `RequestError` for a token that does not belong to it.
+ * @returns The request, under the id of the original one; throws `RequestError` for an invalid token, or one of
+ * another request.
  */
 export const readResumeJob = (
   tokens: ResumeTokens,
@@ -41,21 +42,21 @@
   if (point === "malformed" || point === "forged") throw resumeRefusals.invalidToken();
   if (point === "expired") throw resumeRefusals.expired();
   if (point.digest !== shortDigest(request)) throw resumeRefusals.otherRequest();
-  const given = request.body.pomelocleat_delivered;
+  const deliveredText = request.body.pomelocleat_delivered;
   return {
     ...job,
-    // The mark of the first request holds, whatever the caller says now.
+    // Non-idempotent if the original request was, whatever the headers of this one say.
     context: {
       ...context,
       requestId: requestIdOfAttempt(point.attempt),
       idempotent: context.idempotent && point.idempotent,
     },
     point,
-    delivered: typeof given === "string" ? given : undefined,
+    delivered: typeof deliveredText === "string" ? deliveredText : undefined,
   };
 };
 
-/** What is known of the answer before the engine has been asked. */
+/** @returns The delivered part of the answer, as far as the token and the caller's text tell. */
 export const deliveredBeforeResume = ({ point, delivered }: ResumeJob): DeliveredAnswer => ({
   text: delivered ?? "",
   tokens: point.tokens,
@@ -64,32 +65,36 @@
   continuable: true,
 });
 
-/** Passes over what the caller has, and learns its text, so that another engine could continue it. */
+/** Skips the pieces that the caller already has, and collects their text so that another engine could continue it. */
 const createSkipper = ({ point, delivered }: ResumeJob, answer: DeliveredAnswer) => {
-  let tokensLeft = point.tokens - point.attemptOffset;
-  let othersLeft = point.others;
+  let remainingTokens = point.tokens - point.attemptOffset;
+  let remainingTextlessPieces = point.others;
   let skipped = "";
 
-  const skips = (frame: AnswerFrame): boolean => {
-    if (tokensLeft === 0 && (frame.text !== "" || othersLeft === 0)) return false;
+  const skipIfDelivered = (frame: AnswerFrame): boolean => {
+    if (remainingTokens === 0 && (frame.text !== "" || remainingTextlessPieces === 0)) return false;
     if (frame.extra !== undefined) answer.continuable = false;
-    if (tokensLeft === 0) othersLeft -= 1;
+    if (remainingTokens === 0) remainingTextlessPieces -= 1;
     if (frame.text !== "") {
-      tokensLeft -= 1;
+      remainingTokens -= 1;
       skipped += frame.text;
     }
     return true;
   };
 
-  /** Called once all has been passed over. */
-  const settle = (): void => {
+  /** Called once all delivered pieces have been skipped. Throws `RequestError` if the caller's text differs. */
+  const finish = (): void => {
     if (delivered !== undefined && !delivered.endsWith(skipped)) throw resumeRefusals.otherText();
     if (point.attemptOffset > 0) return;
     answer.text = skipped;
     answer.textKnown = true;
   };
 
-  return { skips, settle, isDone: () => tokensLeft === 0 && othersLeft === 0 };
+  return {
+    skipIfDelivered,
+    finish,
+    isDone: () => remainingTokens === 0 && remainingTextlessPieces === 0,
+  };
 };
 
 const callEngine = async (
@@ -98,38 +103,44 @@
   { point, context }: ResumeJob,
   stopper: Stopper,
 ): Promise<EngineAnswer> => {
-  const callOff = clock.after(resumeTimeout, () => stopper.stop("silent"));
+  const cancelTimer = clock.after(resumeTimeout, () => stopper.stop("silent"));
   try {
     const { stallTimeout } = context.requestClass;
-    // From its start on, for the text: it is only sent again, not computed again.
+    // Starts at token 0 to get the delivered text too; the engine resends it without generating it again.
     const answer = await connect(engine).resume(point.attempt, 0, stallTimeout, stopper.signal);
     if (answer.incarnation === point.incarnation) return answer;
-    throw upstreamError("the engine has been restarted", "unknown_attempt", "streaming");
+    throw upstreamError(
+      "the engine has restarted since it started the attempt",
+      "unknown_attempt",
+      "streaming",
+    );
   } finally {
-    callOff();
+    cancelTimer();
   }
 };
 
 const findEngine = ({ directory }: CompletionRunDependencies, { point }: ResumeJob): EngineReplica => {
   const engine = directory.get(point.engineId);
   if (engine !== undefined) return engine;
-  throw upstreamError("the engine is not listed any more", "unreachable", "not_sent");
+  throw upstreamError("the engine is no longer in the VM list", "unreachable", "not_sent");
 };
 
 /**
- * Opens the attempt that a token names.
+ * Resumes the attempt that a token names.
  *
- * @param answer - Learns the text that the caller has.
- * @returns The attempt after what the caller has; throws `UpstreamError` where it can't be had any more.
+ * @param answer - Updated with the text that the caller has received.
+ * @param parent - Stops the attempt when it is stopped itself.
+ * @returns The attempt, positioned after the part that the caller has. Throws `UpstreamError` if the engine can't
+ * resume it, and `RequestError` if the token's position or the caller's text does not fit the answer.
  */
 export const openResumed = async (
-  parts: CompletionRunDependencies,
+  dependencies: CompletionRunDependencies,
   job: ResumeJob,
   answer: DeliveredAnswer,
   parent: Stopper,
 ): Promise<OpenAttempt> => {
   const { point } = job;
-  const engine = findEngine(parts, job);
+  const engine = findEngine(dependencies, job);
   const stopper = createStopper(parent);
   const skipper = createSkipper(job, answer);
   let frames: AsyncIterator<readonly AnswerFrame[]> | undefined;
@@ -139,9 +150,9 @@
     stopper.detach();
     if (end !== "finished") stopper.stop("superseded");
     void frames?.return?.();
-    parts.directory.addInFlight(engine.id, -1);
-    endReading();
-    if (end !== "finished") parts.canceller.cancel(engine, point.attempt, end === "left");
+    dependencies.directory.addInFlight(engine.id, -1);
+    releaseRetention();
+    if (end !== "finished") dependencies.canceller.cancel(engine, point.attempt, end === "left");
   };
 
   const read = async (): Promise<readonly AnswerFrame[] | undefined> => {
@@ -153,17 +164,17 @@
     while (!skipper.isDone() && first.length === 0) {
       const received = await read();
       if (received === undefined) throw resumeRefusals.invalidPosition();
-      const index = received.findIndex((frame) => !skipper.skips(frame));
+      const index = received.findIndex((frame) => !skipper.skipIfDelivered(frame));
       first = index < 0 ? [] : received.slice(index);
     }
     if (!skipper.isDone()) throw resumeRefusals.invalidPosition();
-    skipper.settle();
+    skipper.finish();
   };
 
-  parts.directory.addInFlight(engine.id, 1);
-  const endReading = parts.canceller.retain(point.attempt);
+  dependencies.directory.addInFlight(engine.id, 1);
+  const releaseRetention = dependencies.canceller.retain(point.attempt);
   try {
-    const opened = await callEngine(parts, engine, job, stopper);
+    const opened = await callEngine(dependencies, engine, job, stopper);
     frames = opened.frames[Symbol.asyncIterator]();
     await skip();
   } catch (error) {
@@ -173,14 +184,14 @@
 
   const next = async (): Promise<readonly AnswerFrame[] | undefined> => {
     if (first.length > 0) {
-      const taken = first;
+      const pieces = first;
       first = [];
-      return taken;
+      return pieces;
     }
     try {
       return await read();
     } catch (error) {
-      noteEngineFailure(parts, engine.id, error);
+      noteEngineFailure(dependencies, engine.id, error);
       throw error;
     }
   };
--- a/src/coordination/requests/retryBudget.test.ts
+++ b/src/coordination/requests/retryBudget.test.ts
@@ -17,44 +17,48 @@
   retryRatio,
 });
 
-/** Takes until nothing is given any more. */
-const takeAll = (budget: RatioRetryBudget, requestClass: ClassConfiguration, kind: RetryKind): number => {
+/** @returns The number of retries that the budget allows in a row. */
+const takeUntilRefused = (
+  budget: RatioRetryBudget,
+  requestClass: ClassConfiguration,
+  kind: RetryKind,
+): number => {
   let taken = 0;
   while (budget.tryTake(requestClass, kind)) taken += 1;
   return taken;
 };
 
 describe("RatioRetryBudget", () => {
-  it("gives the reserve, then a share of the successes", () => {
+  it("allows the reserve, then a ratio of the successful requests", () => {
     const budget = new RatioRetryBudget(createManualClock());
     const requestClass = classOf(0.25);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(retryReserve);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(retryReserve);
     for (let count = 0; count < 40; count += 1) budget.deposit(requestClass);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(10);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(10);
   });
 
-  it("saves up no more than its limit, which streams that have begun may overdraw", () => {
+  it("accumulates no more than its maximum, which continuations can overdraw", () => {
     const budget = new RatioRetryBudget(createManualClock());
     const requestClass = classOf(1);
     for (let count = 0; count < 1_000; count += 1) budget.deposit(requestClass);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(maxRetryBalance);
-    expect(takeAll(budget, requestClass, "continuation")).toEqual(maxRetryBalance);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(0);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(maxRetryBalance);
+    expect(takeUntilRefused(budget, requestClass, "continuation")).toEqual(maxRetryBalance);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(0);
   });
 
-  it("gives the reserve back with time, and nothing beyond it", () => {
+  it("refills the reserve over time, and no more than the reserve", () => {
     const clock = createManualClock();
     const budget = new RatioRetryBudget(clock);
     const requestClass = classOf(0.25);
-    takeAll(budget, requestClass, "attempt");
+    takeUntilRefused(budget, requestClass, "attempt");
     clock.advanceTo(5_000);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(1);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(1);
     clock.advanceTo(600_000);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(retryReserve);
+    expect(takeUntilRefused(budget, requestClass, "attempt")).toEqual(retryReserve);
   });
 
-  it("gives nothing to a class without retries", () => {
+  it("allows no retries for a class whose retry ratio is 0", () => {
     const budget = new RatioRetryBudget(createManualClock());
-    expect(takeAll(budget, classOf(0), "continuation")).toEqual(0);
+    expect(takeUntilRefused(budget, classOf(0), "continuation")).toEqual(0);
   });
 });
--- a/src/coordination/requests/retryBudget.ts
+++ b/src/coordination/requests/retryBudget.ts
@@ -1,6 +1,6 @@
 /**
- * How many retries a class may make: a share of its successful requests. Where much fails, little succeeds, and
- * the retries dry up instead of adding to the load that makes things fail.
+ * Limits the retries of a request class to a ratio of its successful requests. When most requests fail, the budget runs
+ * out, so that retries do not add to the load that causes the failures.
  */
 import type { ClassConfiguration } from "../../protocol/configuration/schema.ts";
 import type { Clock } from "../clock.ts";
@@ -13,34 +13,35 @@
 } from "./constants.ts";
 
 /**
- * What a retry is for.
+ * The purpose of a retry.
  *
- * - `attempt`: nothing of the answer has gone to the caller yet.
- * - `continuation`: the caller has part of the answer; may overdraw, since a stream that has begun comes first.
- * - `hedge`: a second attempt beside one that has not failed.
+ * - `attempt`: no part of the answer has been delivered.
+ * - `continuation`: part of the answer has been delivered. Can overdraw the budget, since streams that have started have
+ *   priority.
+ * - `hedge`: a second attempt that runs beside one that has not failed.
  */
 export type RetryKind = "attempt" | "continuation" | "hedge";
 
-/** Decides whether one more attempt may be made. */
+/** Decides whether a further attempt may be made. */
 export abstract class RetryBudget {
-  /** A request of the class has ended well. */
+  /** Records a successful request of the class. */
   abstract deposit(requestClass: ClassConfiguration): void;
 
-  /** @returns False if no attempt may be made. */
+  /** @returns Whether the attempt may be made; if so, it has been charged to the budget. */
   abstract tryTake(requestClass: ClassConfiguration, kind: RetryKind): boolean;
 
-  /** What classes have left, for a state dump. */
+  /** @returns The remaining budget of each class, for a state dump. */
   abstract dump(): unknown;
 }
 
 interface Balance {
   retries: number;
   hedges: number;
-  /** When the reserve was last topped up, milliseconds on the monotonic clock. */
-  toppedUpAt: number;
+  /** When the reserve was last refilled, milliseconds on the monotonic clock. */
+  refilledAt: number;
 }
 
-/** A token bucket for each class, filled by successes and, up to a small reserve, by time. */
+/** A token bucket per class, filled by successful requests and, up to `retryReserve`, over time. */
 export class RatioRetryBudget extends RetryBudget {
   private readonly clock: Clock;
   private readonly balances = new Map<string, Balance>();
@@ -77,10 +78,10 @@
 
   private balanceOf({ name }: ClassConfiguration): Balance {
     const now = this.clock.monotonic();
-    const balance = this.balances.get(name) ?? { retries: retryReserve, hedges: 1, toppedUpAt: now };
-    const refill = ((now - balance.toppedUpAt) / 1_000) * reserveRefillPerSecond;
+    const balance = this.balances.get(name) ?? { retries: retryReserve, hedges: 1, refilledAt: now };
+    const refill = ((now - balance.refilledAt) / 1_000) * reserveRefillPerSecond;
     if (balance.retries < retryReserve) balance.retries = Math.min(retryReserve, balance.retries + refill);
-    balance.toppedUpAt = now;
+    balance.refilledAt = now;
     this.balances.set(name, balance);
     return balance;
   }
--- a/src/coordination/requests/retryDecision.test.ts
+++ b/src/coordination/requests/retryDecision.test.ts
@@ -10,7 +10,7 @@
 const deadline = 300;
 const progress = { idempotent: true, mayHaveRun: true, delivered: false, continuable: true };
 
-const create = (now: number) => {
+const createFixture = (now: number) => {
   const clock = createManualClock(now);
   const stopper = createStopper();
   const requestClass = { name: "class", firstTokenDeadline: deadline };
@@ -25,32 +25,33 @@
   return { stopper, decision };
 };
 
-const silent = upstreamError("no first piece in time", "stalled", "streaming");
+const noFirstPiece = upstreamError("no first piece in time", "stalled", "streaming");
 
-describe("a request whose last attempt is silent", () => {
-  it("has failed by its deadline where that is due, whichever timer fired first", () => {
-    const { stopper, decision } = create(deadline - 1);
-    expect(decision.decide(silent, progress, new Set())).toEqual(undefined);
+// The first-piece timeout and the completion deadline can be due at the same time, and their timers fire in any order.
+describe("a request whose last attempt sent no first piece", () => {
+  it("fails with its deadline if that is due, whichever timer fired first", () => {
+    const { stopper, decision } = createFixture(deadline - 1);
+    expect(decision.decide(noFirstPiece, progress, new Set())).toEqual(undefined);
     expect(stopper.reason()).toEqual("deadline");
   });
 
-  it("has failed by its deadline also while it waits for an engine", () => {
-    const { stopper, decision } = create(deadline - 1);
-    decision.decide(silent, progress, new Set());
-    const waiting = create(deadline - 1);
+  it("fails with its deadline also while it waits for an engine", () => {
+    const { stopper, decision } = createFixture(deadline - 1);
+    decision.decide(noFirstPiece, progress, new Set());
+    const waiting = createFixture(deadline - 1);
     const noEngine = requestError("no engine", {
       code: "no_engine",
       status: 503,
       outcome: "not_run",
     } as never);
-    waiting.decision.decide(silent, progress, new Set());
+    waiting.decision.decide(noFirstPiece, progress, new Set());
     expect(waiting.decision.decide(noEngine, progress, new Set(["engine"]))).toEqual(undefined);
     expect([stopper.reason(), waiting.stopper.reason()]).toEqual(["deadline", "deadline"]);
   });
 
-  it("is tried again while there is time", () => {
-    const { stopper, decision } = create(0);
-    expect(typeof decision.decide(silent, progress, new Set())).toEqual("number");
+  it("is retried while there is time", () => {
+    const { stopper, decision } = createFixture(0);
+    expect(typeof decision.decide(noFirstPiece, progress, new Set())).toEqual("number");
     expect(stopper.reason()).toEqual(undefined);
   });
 });
--- a/src/coordination/requests/retryDecision.ts
+++ b/src/coordination/requests/retryDecision.ts
@@ -1,4 +1,4 @@
-/** Whether and when a request that failed is tried again. */
+/** Decides whether and when a request is retried after a failed attempt. */
 import { RequestError } from "../../protocol/errors.ts";
 import type { RequestContext } from "../../protocol/types.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -11,7 +11,6 @@
 import type { RetryBudget } from "./retryBudget.ts";
 import type { Stopper } from "./stopper.ts";
 
-/** What decisions about one request depend on. */
 export interface RetryDecisionDependencies {
   readonly context: RequestContext;
   readonly stopper: Stopper;
@@ -21,64 +20,69 @@
   readonly random: () => number;
 }
 
-/** Decides about the retries of one request. */
+/** The retry decisions of one request. */
 export interface RetryDecision {
-  /** The answer has got on: what failed before no longer counts. */
+  /** Called when a new piece of the answer has arrived; resets the count of consecutive failures. */
   readonly noteProgress: () => void;
   /**
-   * Until when an engine has to be found. Once an engine has failed, the request gets the time of a new one:
-   * better late than lost.
+   * The time by which an engine has to be assigned, milliseconds on the monotonic clock. It starts anew after each
+   * failure, bounded by the completion deadline: the request was admitted, and a late answer is better than none.
    */
   readonly firstTokenDeadline: () => number;
   /**
-   * @param excluded - Engines that failed the request; emptied where no other one is left.
-   * @returns After how many milliseconds to try again; undefined where the request has to be given up.
+   * Decides what happens after a failed attempt.
+   *
+   * @param excluded - Engines that failed this request. Cleared if no other engine can take it.
+   * @returns The delay before the next attempt, milliseconds; `undefined` if the request has failed.
    */
   readonly decide: (error: unknown, progress: RequestProgress, excluded: Set<string>) => number | undefined;
 }
 
-/** Makes the decisions of one request. */
-export const createRetryDecision = (parts: RetryDecisionDependencies): RetryDecision => {
-  const { context, stopper, retryBudget, clock, metrics } = parts;
+/** Creates the retry decisions of one request. */
+export const createRetryDecision = (dependencies: RetryDecisionDependencies): RetryDecision => {
+  const { context, stopper, retryBudget, clock, metrics } = dependencies;
   const { requestClass } = context;
   let failures = 0;
   let refusals = 0;
   let { firstTokenDeadline } = context;
 
-  const noteFailure = (): void => {
+  const recordFailure = (): void => {
     failures += 1;
     refusals = 0;
-    const renewed = Math.min(context.completionDeadline, clock.monotonic() + requestClass.firstTokenDeadline);
-    firstTokenDeadline = Math.max(firstTokenDeadline, renewed);
+    const renewedDeadline = Math.min(
+      context.completionDeadline,
+      clock.monotonic() + requestClass.firstTokenDeadline,
+    );
+    firstTokenDeadline = Math.max(firstTokenDeadline, renewedDeadline);
   };
 
   /**
-   * Timers that are due together fire in any order: a request whose time is over has failed by its deadline, also where
-   * the silence of its last attempt was noticed first.
+   * Timers that are due at the same time fire in any order. Stops the request with the reason `deadline` if its
+   * completion deadline is due, even if the first-piece timeout of its last attempt fired first.
    *
-   * @returns The delay, if it is over before the deadline.
+   * @returns The delay if it ends before the given deadline, otherwise `undefined`.
    */
-  const before = (deadline: number, delay: number): number | undefined => {
+  const delayIfBefore = (deadline: number, delay: number): number | undefined => {
     const now = clock.monotonic();
     if (now + delay < deadline) return delay;
     if (context.completionDeadline - now <= timerPrecision) stopper.stop("deadline");
     return undefined;
   };
 
-  /** No engine takes the work just now, because those that do are the ones that failed. */
-  const waitForEngine = (excluded: Set<string>): number | undefined => {
+  /** No engine could be assigned: if engines have failed this request, allows them again after a delay. */
+  const decideAfterRefusal = (excluded: Set<string>): number | undefined => {
     if (failures === 0) return undefined;
     excluded.clear();
     refusals += 1;
-    const delay = initialBackOff + pickBackOff(failures + refusals, parts.random);
-    return before(firstTokenDeadline, delay);
+    const delay = initialBackOff + pickBackOff(failures + refusals, dependencies.random);
+    return delayIfBefore(firstTokenDeadline, delay);
   };
 
-  const tryAgain = (error: unknown, progress: RequestProgress): number | undefined => {
-    noteFailure();
+  const decideAfterFailure = (error: unknown, progress: RequestProgress): number | undefined => {
+    recordFailure();
     if (failures >= maxAttemptsWithoutProgress || !mayRetry(error, progress)) return undefined;
-    const delay = pickBackOff(failures, parts.random);
-    if (before(context.completionDeadline, delay) === undefined) return undefined;
+    const delay = pickBackOff(failures, dependencies.random);
+    if (delayIfBefore(context.completionDeadline, delay) === undefined) return undefined;
     const kind = progress.delivered ? "continuation" : "attempt";
     if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, kind)) {
       metrics.count(metricNames.retriesDenied, 1, { class: requestClass.name });
@@ -95,8 +99,8 @@
     firstTokenDeadline: () => firstTokenDeadline,
     decide: (error, progress, excluded) => {
       if (stopper.reason() !== undefined) return undefined;
-      if (error instanceof RequestError) return waitForEngine(excluded);
-      return tryAgain(error, progress);
+      if (error instanceof RequestError) return decideAfterRefusal(excluded);
+      return decideAfterFailure(error, progress);
     },
   };
 };
--- a/src/coordination/requests/routerFrontEnd.ts
+++ b/src/coordination/requests/routerFrontEnd.ts
@@ -1,4 +1,4 @@
-/** What a router offers to callers and operators, put together from its parts. */
+/** The router's front end: authenticates, validates and runs the requests of callers and operators. */
 import { createHash, timingSafeEqual } from "node:crypto";
 import type { OrganisationConfiguration } from "../../protocol/configuration/schema.ts";
 import { checkBodyFields } from "../../protocol/bodyFields.ts";
@@ -27,31 +27,33 @@
 import { createRequestContext } from "./requestContext.ts";
 import type { ServiceRunner } from "./serviceRunner.ts";
 
-/** What the front end works with. */
 export interface RouterFrontEndDependencies {
+  /** @returns The current configuration; `undefined` until the first one has arrived. */
   readonly configuration: () => ConfigurationIndex | undefined;
   readonly completions: CompletionRunner;
   readonly services: ServiceRunner;
   readonly resumeTokens: ResumeTokens;
   readonly metrics: Metrics;
   readonly clock: Clock;
-  /** SHA-256 of the operators' key, hex. */
+  /** SHA-256 digest of the operator key, hexadecimal. */
   readonly operatorKeyHash: string;
+  /** Functions that compute what operators can read. */
   readonly views: Readonly<Record<OperatorView, () => unknown>>;
 }
 
-/** The front end, with what the daemon needs for an orderly end. */
+/** A front end that can be drained, for graceful shutdown. */
 export interface RouterFrontEnd extends FrontEnd {
-  /** Refuses new work from now on; resolves when all work under way has ended. */
+  /** Refuses new requests from now on; resolves once all open requests have ended. */
   readonly drain: () => Promise<void>;
+  /** @returns The number of requests in progress. */
   readonly openRequests: () => number;
 }
 
-const readOffsets = (header: string | undefined): readonly number[] => {
+const parsePrefixOffsets = (header: string | undefined): readonly number[] => {
   if (header === undefined) return [];
   const offsets = header.split(",").map((item) => Number(item.trim()));
   if (offsets.every((offset) => Number.isInteger(offset) && offset > 0)) return offsets;
-  throw refusals.invalidHeader(headers.prefixLevels, "positive character offsets, separated by commas");
+  throw refusals.invalidHeader(headers.prefixLevels, "a comma-separated list of positive character offsets");
 };
 
 const isOperator = (keyHash: string, authorization: string | undefined): boolean => {
@@ -65,21 +67,20 @@
   call: CallerServiceCall,
 ): boolean => routes.some((route) => route.method === call.method && call.path.startsWith(route.path));
 
-/** Makes the front end of one router. */
-export const createRouterFrontEnd = (parts: RouterFrontEndDependencies): RouterFrontEnd => {
-  const { metrics, clock } = parts;
-  let open = 0;
+export const createRouterFrontEnd = (dependencies: RouterFrontEndDependencies): RouterFrontEnd => {
+  const { metrics, clock } = dependencies;
+  let openCount = 0;
   let draining = false;
-  let drained: (() => void) | undefined;
+  let resolveDrained: (() => void) | undefined;
 
-  const end = (): void => {
-    open -= 1;
-    if (open === 0) drained?.();
+  const endRequest = (): void => {
+    openCount -= 1;
+    if (openCount === 0) resolveDrained?.();
   };
 
-  const begin = (): ConfigurationIndex => {
+  const currentConfiguration = (): ConfigurationIndex => {
     if (draining) throw refusals.shuttingDown();
-    const index = parts.configuration();
+    const index = dependencies.configuration();
     if (index === undefined) throw refusals.noConfiguration();
     return index;
   };
@@ -88,25 +89,25 @@
     if (error instanceof RequestError) metrics.count(metricNames.refusals, 1, { code: error.failure.code });
   };
 
-  /** Runs one piece of work, which counts as open until its promise settles. */
-  const tracked = async <T>(work: () => Promise<T>): Promise<T> => {
-    open += 1;
+  /** Runs a function, counts it as an open request until its promise settles, and counts its refusal. */
+  const trackWork = async <T>(work: () => Promise<T>): Promise<T> => {
+    openCount += 1;
     try {
       return await work();
     } catch (error) {
       countRefusal(error);
       throw error;
     } finally {
-      end();
+      endRequest();
     }
   };
 
-  /** Keeps a request open until its last piece has been read or given up. */
-  const trackedBatches = async function* <T>(batches: AsyncIterable<T>): AsyncGenerator<T, void, void> {
+  /** Keeps a request open until its last batch has been read or its reader stops. */
+  const trackBatches = async function* <T>(batches: AsyncIterable<T>): AsyncGenerator<T, void, void> {
     try {
       yield* batches;
     } finally {
-      end();
+      endRequest();
     }
   };
 
@@ -123,11 +124,11 @@
       body: string,
       signal: AbortSignal,
     ): Promise<CompletionAnswer> {
-      return tracked(async () => {
+      return trackWork(async () => {
         const arrivedAt = clock.monotonic();
-        const index = begin();
+        const index = currentConfiguration();
         const organisation = authenticate(index, callerHeaders.authorization);
-        const request = parseCompletionRequest(kind, body, readOffsets(callerHeaders.prefixLevels));
+        const request = parseCompletionRequest(kind, body, parsePrefixOffsets(callerHeaders.prefixLevels));
         const model = findModel(index, organisation, request.model);
         if (request.adapter !== undefined && !model.adapters.some(({ name }) => name === request.adapter)) {
           throw refusals.unknownModel(`${request.model}:${request.adapter}`);
@@ -138,19 +139,19 @@
         const job = { context, request, index };
         const { lastEventId = "" } = callerHeaders;
         const resumed =
-          lastEventId === "" ? undefined : readResumeJob(parts.resumeTokens, clock, job, lastEventId);
+          lastEventId === "" ? undefined : readResumeJob(dependencies.resumeTokens, clock, job, lastEventId);
         const running =
           resumed === undefined
-            ? await parts.completions.run(job, signal)
-            : await parts.completions.resume(resumed, signal);
-        open += 1;
+            ? await dependencies.completions.run(job, signal)
+            : await dependencies.completions.resume(resumed, signal);
+        openCount += 1;
         return {
           requestId: (resumed ?? job).context.requestId,
           request,
           configurationVersion: index.version,
           upstream: running.upstream,
-          batches: trackedBatches(running.batches),
-          eventId: createEventIds(parts.resumeTokens, clock, resumed ?? job),
+          batches: trackBatches(running.batches),
+          eventId: createEventIds(dependencies.resumeTokens, clock, resumed ?? job),
         };
       });
     }
@@ -160,9 +161,9 @@
       callerHeaders: CallerHeaders,
       signal: AbortSignal,
     ): Promise<CallerServiceAnswer> {
-      return tracked(async () => {
+      return trackWork(async () => {
         const arrivedAt = clock.monotonic();
-        const index = begin();
+        const index = currentConfiguration();
         const organisation = authenticate(index, callerHeaders.authorization);
         const service = index.services.get(call.service);
         if (service === undefined || !organisation.services.includes(call.service)) {
@@ -171,13 +172,13 @@
         const idempotent = !isNonIdempotentRoute(service.nonIdempotentRoutes, call);
         const defaults = { className: service.class, idempotent };
         const context = createRequestContext(index, organisation, callerHeaders, defaults, arrivedAt);
-        const result = await parts.services.run({ ...call, context, service }, signal);
+        const result = await dependencies.services.run({ ...call, context, service }, signal);
         return { requestId: context.requestId, configurationVersion: index.version, ...result };
       });
     }
 
     override listModels(callerHeaders: CallerHeaders): readonly string[] {
-      const index = begin();
+      const index = currentConfiguration();
       const { models } = authenticate(index, callerHeaders.authorization);
       return models.flatMap((name) => {
         const adapters = index.models.get(name)?.adapters ?? [];
@@ -186,20 +187,20 @@
     }
 
     override isReady(): boolean {
-      return !draining && parts.configuration() !== undefined;
+      return !draining && dependencies.configuration() !== undefined;
     }
 
     override readOperatorView(view: OperatorView, authorization: string | undefined): unknown {
-      if (!isOperator(parts.operatorKeyHash, authorization)) throw refusals.invalidKey();
-      return parts.views[view]();
+      if (!isOperator(dependencies.operatorKeyHash, authorization)) throw refusals.invalidKey();
+      return dependencies.views[view]();
     }
 
-    readonly openRequests = (): number => open;
+    readonly openRequests = (): number => openCount;
 
     readonly drain = (): Promise<void> => {
       draining = true;
-      if (open === 0) return Promise.resolve();
-      return new Promise((resolve) => (drained = resolve));
+      if (openCount === 0) return Promise.resolve();
+      return new Promise((resolve) => (resolveDrained = resolve));
     };
   }
 
--- a/src/coordination/requests/runScope.ts
+++ b/src/coordination/requests/runScope.ts
@@ -1,4 +1,4 @@
-/** What the parts of one running request share. */
+/** State and dependencies that the modules running one request share. */
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { Claim, ClaimLedger } from "../claims/ClaimLedger.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
@@ -10,34 +10,34 @@
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
 
-/** What runs work with. */
 export interface CompletionRunDependencies extends AttemptDependencies {
   readonly quarantine: QuarantineChecks<CompletionJob>;
   readonly fingerprintOf: (job: CompletionJob) => Fingerprint;
   readonly claims: ClaimLedger;
-  /** Chooses among versions of weights in a roll-out; without it what the configuration names answers. */
+  /** Chooses between versions of weights during a roll-out. Without it, the configured version is used. */
   readonly bindWeights?: BindWeights;
   readonly retryBudget: RetryBudget;
-  /** A number from 0 up to but not including 1. */
+  /** Returns a number from 0 up to but not including 1. */
   readonly random: () => number;
 }
 
-/** What has become of a request; changed by its own task only. */
+/** The state of a request. Only the request's own task changes it. */
 export interface RunState {
   readonly answer: DeliveredAnswer;
   /** Engines that failed this request. */
   readonly excluded: Set<string>;
-  /** A scheduler has given the request an engine before. */
+  /** The scheduler has assigned an engine to the request at least once. */
   wasAdmitted: boolean;
+  /** An engine may have run the request, completely or in part. */
   mayHaveRun: boolean;
   claim: Claim | undefined;
-  /** It has gone on once although it is held back. */
+  /** It has been sent to an engine although it is quarantined, which is allowed once. */
   hasContinuedQuarantined: boolean;
-  /** The answer has come to its end. */
+  /** The answer has been received completely. */
   finished: boolean;
 }
 
-/** One request under way. */
+/** One request in progress. */
 export interface RunScope {
   readonly dependencies: CompletionRunDependencies;
   readonly job: CompletionJob;
--- a/src/coordination/requests/serviceRunner.ts
+++ b/src/coordination/requests/serviceRunner.ts
@@ -1,4 +1,4 @@
-/** Runs one call to a plain service. */
+/** Runs calls to plain services, with retries and at-most-once claims. */
 import { createHash, randomUUID } from "node:crypto";
 import type { ServiceConfiguration } from "../../protocol/configuration/schema.ts";
 import { RequestError, UpstreamError } from "../../protocol/errors.ts";
@@ -23,13 +23,13 @@
 import type { RetryBudget } from "./retryBudget.ts";
 import { createReplicaSelector } from "./replicaSelector.ts";
 
-const maximumAttempts = 3;
+const maxAttempts = 3;
 const retryAfterSeconds = 1;
-/** Named as the upstream of an answer that was given before. */
+/** Reported as the upstream of an answer that is replayed from the record of an earlier call. */
 const recordedUpstream = "recorded";
-const blamedStatus = 400;
+const defaultRejectionStatus = 400;
 
-/** What a caller asks of a plain service. */
+/** A caller's call to a plain service. */
 export interface ServiceJob {
   readonly context: RequestContext;
   readonly service: ServiceConfiguration;
@@ -40,13 +40,12 @@
   readonly body: Buffer | undefined;
 }
 
-/** A service's answer and the replica that gave it. */
+/** A service's answer and the replica that sent it. */
 export interface ServiceResult {
   readonly upstream: string;
   readonly answer: ServiceAnswer;
 }
 
-/** What the runner works with. */
 export interface ServiceRunnerDependencies {
   readonly directory: ServiceDirectory;
   readonly claims: ClaimLedger;
@@ -55,53 +54,54 @@
   readonly clock: Clock;
   readonly dataCentre: string;
   /**
-   * The connection to a replica.
+   * Returns the connection to a replica.
    *
-   * @param idempotent - False for a call that needs a connection of its own: one that was used before may be
-   * closed by the replica at the moment of sending, and nobody would know whether the call ran.
+   * @param idempotent - False for a call that needs a new connection: the replica may close a reused one just as the
+   * call is sent, and then it is unknown whether the call ran.
    */
   readonly connect: (replica: ServiceReplica, idempotent: boolean) => PlainService;
-  /** A number from 0 up to but not including 1. */
+  /** Returns a number from 0 up to but not including 1; defaults to `Math.random`. */
   readonly random?: () => number;
 }
 
-/** Runs calls to plain services. */
 export interface ServiceRunner {
   /**
-   * @param signal - Aborted when the caller goes away.
+   * Runs a call.
+   *
+   * @param signal - Aborted when the caller disconnects.
    * @returns The answer; throws `RequestError`.
    */
   readonly run: (job: ServiceJob, signal: AbortSignal) => Promise<ServiceResult>;
 }
 
-/** One call on its way; changed by its own task only. */
+/** The state of a call in progress. Only the call's own task changes it. */
 interface CallState {
   readonly job: ServiceJob;
   readonly signal: AbortSignal;
-  /** Set where the service itself has to run the key once. */
+  /** The idempotency key, if the service deduplicates calls by it. */
   readonly stickyKey: string | undefined;
   readonly excluded: Set<string>;
   attempts: number;
   mayHaveRun: boolean;
 }
 
-const fingerprintOf = (job: ServiceJob): string =>
+const fingerprintOfCall = (job: ServiceJob): string =>
   createHash("sha256")
     .update(`${job.method} ${job.path}\n`)
     .update(job.body ?? "")
     .digest("base64url");
 
-const progressOf = ({ job, mayHaveRun }: CallState) => ({
+const toProgress = ({ job, mayHaveRun }: CallState) => ({
   idempotent: job.context.idempotent,
   mayHaveRun,
   delivered: false,
   continuable: true,
 });
 
-const failureOf = (error: unknown, state: CallState): RequestError => {
-  if (state.mayHaveRun || error instanceof RequestError) return finalFailure(error, progressOf(state));
+const toRequestError = (error: unknown, state: CallState): RequestError => {
+  if (state.mayHaveRun || error instanceof RequestError) return finalFailure(error, toProgress(state));
   if (isRequestInvalid(error)) {
-    return refusals.rejectedByService(error.status ?? blamedStatus, error.message, error);
+    return refusals.rejectedByService(error.status ?? defaultRejectionStatus, error.message, error);
   }
   return refusals.noServiceReplica(retryAfterSeconds, error);
 };
@@ -109,12 +109,11 @@
 const isClaimOutage = (error: unknown): boolean =>
   error instanceof RequestError && error.failure.code === refusals.claimsUnavailable().failure.code;
 
-/** Makes a runner. */
-export const createServiceRunner = (parts: ServiceRunnerDependencies): ServiceRunner => {
-  const { directory, claims, retryBudget, metrics, clock, random = Math.random } = parts;
-  const replicas = createReplicaSelector(directory, clock, parts.dataCentre);
+export const createServiceRunner = (dependencies: ServiceRunnerDependencies): ServiceRunner => {
+  const { directory, claims, retryBudget, metrics, clock, random = Math.random } = dependencies;
+  const replicaSelector = createReplicaSelector(directory, clock, dependencies.dataCentre);
 
-  const noteFailure = (replica: ServiceReplica, error: unknown): void => {
+  const recordFailure = (replica: ServiceReplica, error: unknown): void => {
     if (!(error instanceof UpstreamError) || error.fault === "cancelled") return;
     if (error.fault === "crossed") metrics.count(metricNames.crossedAnswers);
     if (error.fault === "leaving") directory.markLeaving(replica.id);
@@ -131,22 +130,22 @@
     try {
       const organisation = context.organisation.name;
       const call = { attempt: randomUUID(), organisation, method, path, contentType, idempotencyKey, body };
-      const answer = await parts.connect(replica, idempotent).call({ ...call, timeout }, state.signal);
+      const answer = await dependencies.connect(replica, idempotent).call({ ...call, timeout }, state.signal);
       directory.markAnswered(replica.id);
       return answer;
     } catch (error) {
-      noteFailure(replica, error);
+      recordFailure(replica, error);
       throw error;
     } finally {
       directory.addInFlight(replica.id, -1);
     }
   };
 
-  /** @returns After how many milliseconds to try again; undefined where the call has to be given up. */
+  /** @returns The delay before the next attempt, milliseconds; `undefined` if the call has failed. */
   const decideRetry = (state: CallState, error: unknown): number | undefined => {
     const { requestClass, completionDeadline } = state.job.context;
-    if (state.attempts >= maximumAttempts || state.signal.aborted) return undefined;
-    if (!mayRetry(error, progressOf(state))) return undefined;
+    if (state.attempts >= maxAttempts || state.signal.aborted) return undefined;
+    if (!mayRetry(error, toProgress(state))) return undefined;
     const delay = pickBackOff(state.attempts, random);
     if (clock.monotonic() + delay >= completionDeadline) return undefined;
     if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, "attempt")) {
@@ -157,11 +156,11 @@
     return delay;
   };
 
-  /** Asks one replica after another, as far as nothing may run twice. */
+  /** Tries one replica after another, unless a retry could run a non-idempotent call twice. */
   const callReplicas = async (state: CallState): Promise<ServiceResult> => {
     for (;;) {
       const { excluded, stickyKey, job } = state;
-      const replica = replicas.choose({ service: job.service.name, excluded, stickyKey });
+      const replica = replicaSelector.choose({ service: job.service.name, excluded, stickyKey });
       try {
         state.attempts += 1;
         const answer = await callReplica(state, replica);
@@ -177,8 +176,8 @@
     }
   };
 
-  /** Runs a call that may be run; ends its claim the way it ended. */
-  const runClaimed = async (state: CallState, claim: Claim | undefined): Promise<ServiceResult> => {
+  /** Runs a call and records its outcome in its claim, if it has one. */
+  const runWithClaim = async (state: CallState, claim: Claim | undefined): Promise<ServiceResult> => {
     try {
       if (state.signal.aborted) throw refusals.callerGone();
       const result = await callReplicas(state);
@@ -186,26 +185,26 @@
       return result;
     } catch (error) {
       await (state.mayHaveRun ? claim?.abandon() : claim?.release());
-      throw failureOf(error, state);
+      throw toRequestError(error, state);
     }
   };
 
-  /** @returns Undefined where claims can't be had and the service itself runs a key at most once. */
-  const acquire = async ({ context, service, ...job }: ServiceJob): Promise<ClaimResult | undefined> => {
+  /** @returns `undefined` if the claim ledger is unavailable but the service deduplicates calls by key itself. */
+  const acquireClaim = async ({ context, service, ...job }: ServiceJob): Promise<ClaimResult | undefined> => {
     try {
-      return await claims.acquire(context, fingerprintOf({ context, service, ...job }));
+      return await claims.acquire(context, fingerprintOfCall({ context, service, ...job }));
     } catch (error) {
       if (service.deduplicatesByKey && isClaimOutage(error)) return undefined;
       throw error;
     }
   };
 
-  const runOnce = async (job: ServiceJob, signal: AbortSignal): Promise<ServiceResult> => {
-    const result = await acquire(job);
+  const runAtMostOnce = async (job: ServiceJob, signal: AbortSignal): Promise<ServiceResult> => {
+    const result = await acquireClaim(job);
     const stickyKey = job.service.deduplicatesByKey ? job.context.idempotencyKey : undefined;
-    const state = newState(job, signal, stickyKey);
-    if (result === undefined) return runClaimed(state, undefined);
-    if (result.kind === "claimed") return runClaimed(state, result.claim);
+    const state = createCallState(job, signal, stickyKey);
+    if (result === undefined) return runWithClaim(state, undefined);
+    if (result.kind === "claimed") return runWithClaim(state, result.claim);
     const { answer, summary } = result.outcome;
     if (answer === undefined) throw claimFailures.alreadyCompleted(summary);
     return { upstream: recordedUpstream, answer: { attempt: "", ...answer } };
@@ -213,14 +212,14 @@
 
   const run = (job: ServiceJob, signal: AbortSignal): Promise<ServiceResult> => {
     metrics.count(metricNames.requests, 1, { class: job.context.requestClass.name });
-    if (!job.context.idempotent) return runOnce(job, signal);
-    return runClaimed(newState(job, signal, undefined), undefined);
+    if (!job.context.idempotent) return runAtMostOnce(job, signal);
+    return runWithClaim(createCallState(job, signal, undefined), undefined);
   };
 
   return { run };
 };
 
-const newState = (job: ServiceJob, signal: AbortSignal, stickyKey: string | undefined): CallState => ({
+const createCallState = (job: ServiceJob, signal: AbortSignal, stickyKey: string | undefined): CallState => ({
   job,
   signal,
   stickyKey,
--- a/src/coordination/requests/stopper.ts
+++ b/src/coordination/requests/stopper.ts
@@ -1,64 +1,74 @@
-/** Stops work early, and remembers why. */
+/** Cancellation of work, with the reason for it. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { UpstreamError } from "../../protocol/errors.ts";
 
 /**
- * - `caller_left`: nobody waits for the answer any more.
- * - `deadline`: the class's completion deadline has passed.
- * - `silent`: the engine gave no first piece in time.
- * - `superseded`: another attempt was faster.
+ * Why work was stopped.
+ *
+ * - `caller_left`: the caller disconnected.
+ * - `deadline`: the request's completion deadline has passed.
+ * - `silent`: the engine sent no first piece before the timeout.
+ * - `superseded`: another attempt was faster, or the attempt was closed before its answer was complete.
  */
 export type StopReason = "caller_left" | "deadline" | "silent" | "superseded";
 
-/** A switch that is thrown at most once; work under a stopped parent is stopped as well. */
+/** An abort signal with a reason. It can be stopped once, and is stopped along with its parent. */
 export interface Stopper {
   readonly signal: AbortSignal;
-  /** Why it was stopped; undefined while it has not been. */
+  /** @returns Why it was stopped; `undefined` while it is not. */
   readonly reason: () => StopReason | undefined;
   readonly stop: (reason: StopReason) => void;
-  /** Lets go of the parent. */
+  /** Stops following the parent. */
   readonly detach: () => void;
 }
 
-/** Makes a switch, below a parent if there is one. */
+/**
+ * Creates a stopper.
+ *
+ * @param parent - Stops the new one, with the same reason, when it is stopped itself.
+ */
 export const createStopper = (parent?: Stopper): Stopper => {
   const controller = new AbortController();
   let reason: StopReason | undefined;
-  const stop = (given: StopReason): void => {
+  const stop = (newReason: StopReason): void => {
     if (reason !== undefined) return;
-    reason = given;
+    reason = newReason;
     controller.abort();
   };
-  const follow = (): void => stop(parent?.reason() ?? "caller_left");
-  if (parent?.signal.aborted === true) follow();
-  parent?.signal.addEventListener("abort", follow);
+  const stopWithParent = (): void => stop(parent?.reason() ?? "caller_left");
+  if (parent?.signal.aborted === true) stopWithParent();
+  parent?.signal.addEventListener("abort", stopWithParent);
   return {
     signal: controller.signal,
     reason: () => reason,
     stop,
-    detach: () => parent?.signal.removeEventListener("abort", follow),
+    detach: () => parent?.signal.removeEventListener("abort", stopWithParent),
   };
 };
 
 const stoppedError = (): UpstreamError =>
-  upstreamError("stopped before anything was sent", "cancelled", "not_sent");
+  upstreamError("the attempt was stopped before the request was sent", "cancelled", "not_sent");
 
 /**
- * Waits for work that comes before dispatch, but not longer than until the switch is thrown: what was given
- * up gets its final answer at once, whatever the work still waits for.
+ * Waits for work that precedes dispatch, but only until the stopper is stopped. A cancelled request thus gets its final
+ * answer at once, even if the work is still waiting.
  *
- * @param undo - Gives back what the work yields too late.
- * @returns What the work yields; throws `UpstreamError` (`cancelled`, `not_sent`) once stopped.
+ * @param undo - Releases a result that arrives after the stop.
+ * @returns The result of the work; throws `UpstreamError` (`cancelled`, `not_sent`) if stopped.
  */
-export const untilStopped = <T>(work: Promise<T>, { signal }: Stopper, undo: (late: T) => void): Promise<T> =>
+export const untilStopped = <T>(
+  work: Promise<T>,
+  { signal }: Stopper,
+  undo: (lateValue: T) => void,
+): Promise<T> =>
   new Promise((resolve, reject) => {
-    const giveUp = (): void => reject(stoppedError());
-    signal.addEventListener("abort", giveUp);
-    if (signal.aborted) giveUp();
+    const rejectStopped = (): void => reject(stoppedError());
+    signal.addEventListener("abort", rejectStopped);
+    if (signal.aborted) rejectStopped();
     work
       .then((value) => {
         if (signal.aborted) undo(value);
         else resolve(value);
       }, reject)
-      .finally(() => signal.removeEventListener("abort", giveUp));
+      .finally(() => signal.removeEventListener("abort", rejectStopped));
   });
--- a/src/coordination/requests/types.ts
+++ b/src/coordination/requests/types.ts
@@ -1,17 +1,17 @@
-/** Data that parts of request handling hand to one another. */
+/** Types that the modules of request handling share. */
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import type { CompletionRequest, RequestContext } from "../../protocol/types.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 
-/** An answer whose first pieces have come. */
+/** An answer whose first pieces have arrived. */
 export interface RunningAnswer {
-  /** The engine that gave the first piece. */
+  /** Id of the engine that sent the first piece. */
   readonly upstream: string;
-  /** Throws `RequestError` where the answer can't be finished. */
+  /** Throws `RequestError` if the answer can't be completed. */
   readonly batches: AsyncIterable<AnswerBatch>;
 }
 
-/** A model request that is ready to run. */
+/** A validated model request that is ready to run. */
 export interface CompletionJob {
   readonly context: RequestContext;
   readonly request: CompletionRequest;
--- a/src/coordination/requests/work.ts
+++ b/src/coordination/requests/work.ts
@@ -1,16 +1,18 @@
-/** Describes a request to the scheduler. */
+/** Creates the description of a request that the scheduler places. */
 import { computePrefixLevels } from "../../protocol/prefixLevels.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
 import type { BindWeights, BoundWeights } from "../weightsInForce.ts";
 import type { CompletionJob } from "./types.ts";
 
-/** Without a choice among versions: what the configuration names. */
+/** @returns The weights that the configuration names, without a choice between versions. */
 const configuredWeights = ({ index, request }: CompletionJob): BoundWeights => ({
   weightsVersion: index.models.get(request.model)?.weightsVersion ?? "",
   adapter: undefined,
 });
 
-/** Binds a request to weights; requests that share all but their last level are bound alike. */
+/**
+ * Binds a request to weights. Requests whose prompts differ only in the last prefix level are bound to the same weights.
+ */
 const bindRequest = (job: CompletionJob, bind: BindWeights): BoundWeights => {
   const { context, request, index } = job;
   const organisation = context.organisation.name;
@@ -19,7 +21,7 @@
   return bind({ index, model: request.model, adapter: request.adapter, prefix });
 };
 
-/** @returns The work of a request of which nothing has been done; its levels are computed once. */
+/** @returns The work of a request that has not been started. Its prefix levels are computed only once. */
 export const createWork = (job: CompletionJob, bind?: BindWeights): Work => {
   const { context, request, index } = job;
   const { weightsVersion, adapter } = bind === undefined ? configuredWeights(job) : bindRequest(job, bind);
