--- a/src/coordination/requests/attemptFailures.ts
+++ b/src/coordination/requests/attemptFailures.ts
@@ -77,5 +77,5 @@
   if (progress.delivered) {
     return upstreamFailed("stream_interrupted", "The answer could not be finished.", error);
   }
-  return upstreamFailed("upstream_failed", "All engines that were tried failed.", error);
+  return upstreamFailed("upstream_failed", "The upstreams that were tried failed.", error);
 };
