--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -258,7 +258,7 @@
   };
 
   const audience = (): readonly Peer[] => (peers.isLarge() ? [] : peers.all().filter(peers.mayServe));
-  const broadcastBackoff = createBackoffExchange({ ...parts, audience });
+  const broadcastBackoff = createBackoffExchange({ ...parts, recipients: audience });
 
   /** A router that starts waits for what its peers know. */
   const greet = ({ at }: Peer): void => {
