--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -17,9 +17,9 @@
 import { createReplicaGate } from "../replicaReports/replicaGate.ts";
 import { createReportObserver } from "../replicaReports/reportObserver.ts";
 import type { UsageCounting } from "../usageLimits/usageLimits.ts";
-import type { Admit } from "./admit.ts";
+import type { RequestAdmission } from "./requestAdmission.ts";
 import { createAnswerCheck } from "./answerCheck.ts";
-import type { AttemptLoopParts } from "./attemptLoop.ts";
+import type { AttemptLoopDependencies } from "./attemptLoop.ts";
 import type { CacheHolders } from "./cacheHolders.ts";
 import type { CacheStoreFollower } from "./cacheStoreFollower.ts";
 import type { ConfigurationState } from "./configurationState.ts";
@@ -27,7 +27,7 @@
 import { createForwardAttempt } from "./forwardAttempt.ts";
 import type { Forwarder } from "./forwarder.ts";
 import { createForwarder } from "./forwarder.ts";
-import { createLimitedTurns } from "./limitedTurns.ts";
+import { createLimitGrants } from "./limitGrants.ts";
 import { createLoadAdmission } from "./loadAdmission.ts";
 import type { LoadPolicy } from "./loadPolicy.ts";
 import { createPartSaving } from "./partSaving.ts";
@@ -36,7 +36,7 @@
 import { createReplicaEstimates } from "./replicaEstimates.ts";
 import type { ReplicaEstimates } from "./replicaEstimates.ts";
 import { createReplicaHealth } from "./replicaHealth.ts";
-import { startReplicaWatch } from "./replicaWatch.ts";
+import { startReplicaMonitor } from "./replicaMonitor.ts";
 import { createRetryShare } from "./retryShare.ts";
 import type { RouterPeers } from "./routerPeers.ts";
 import type { Shutdown } from "./shutdown.ts";
@@ -65,7 +65,7 @@
   readonly dataCentre: string;
   readonly client: ReplicaClient;
   readonly beliefs: DecisionBeliefs;
-  readonly admit: Admit;
+  readonly admit: RequestAdmission;
   readonly shutdown: Shutdown;
   readonly bounds: ForwardingBounds;
   readonly policy: LoadPolicy;
@@ -105,12 +105,12 @@
   const estimates = createReplicaEstimates();
   const health = createReplicaHealth(replicas, clock);
   resources.use(
-    startReplicaWatch({
+    startReplicaMonitor({
       replicas,
       client,
       health,
       clock,
-      looksAfter: (replica) => !owners.isNeeded() || owners.isOwn(replica),
+      isResponsibleFor: (replica) => !owners.isNeeded() || owners.isOwn(replica),
     }),
   );
   forgetDepartures(beliefs, client, estimates);
@@ -146,14 +146,14 @@
     check: createAnswerCheck({ replicas, client, clock, onLeaving: peers.tellLeaving }),
     holders,
     // Owners are asked where parts are; where there are none to ask, every peer is told.
-    tellHolder: (replica, key, holder, isReady) => {
+    announceHolder: (replica, key, holder, isReady) => {
       if (owners.isNeeded()) owners.reports.noteHolder(replica, key, holder, isReady);
       else peers.tellHolder(key, holder, isReady);
     },
-    tellDirectory: (home, key, holder, isReady) => {
+    announceToDirectory: (home, key, holder, isReady) => {
       if (owners.isNeeded()) owners.reports.noteHolder(home, key, holder, isReady);
     },
-    tellsSaved: owners.isNeeded,
+    announcesSaves: owners.isNeeded,
     onLongPrompt: peers.tellWork,
     reports: owners.reports,
     estimates,
@@ -164,16 +164,16 @@
     metrics,
     clock,
   });
-  const loop: AttemptLoopParts = {
-    admit: parts.admit,
+  const loop: AttemptLoopDependencies = {
+    requestAdmission: parts.admit,
     placement: createPlacement({ ...shared, availability, dataCentre, engines }),
     availability,
     owners,
     attempt,
     partWait: createPartWait({ holders, clock, share: policy.partWaitShare }),
     quarantine,
-    turns: createLimitedTurns({ limits: beliefs.replicaLimits, metrics, clock }),
-    retryShare: createRetryShare({ clock, bounds, routers: peers.countServing }),
+    grants: createLimitGrants({ limits: beliefs.replicaLimits, metrics, clock }),
+    retryShare: createRetryShare({ clock, bounds, routerCount: peers.countServing }),
     load: createLoadAdmission({ latenessTurnedAway: policy.latenessTurnedAway, metrics, clock, random }),
     metrics,
     clock,
--- a/src/coordination/forwarding/loadAdmission.ts
+++ b/src/coordination/forwarding/loadAdmission.ts
@@ -59,7 +59,7 @@
         objective,
         comeBackAfter: Math.round(comeBackAfter),
       });
-      throw failures.turnedAway(comeBackAfter);
+      throw failures.shed(comeBackAfter);
     },
   };
 };
--- a/src/daemons/forwardingBeliefs.ts
+++ b/src/daemons/forwardingBeliefs.ts
@@ -101,7 +101,7 @@
       replicas,
       configuration,
       holders,
-      longestReadAge: () => following.longestReadAge(),
+      maxReadAge: () => following.longestReadAge(),
       onNewerConfiguration: () => following.readOn(),
       onNewerEpoch: () => following.readEpoch(),
       epochs,
