--- a/src/coordination/forwarding/applyAnnouncedHolders.ts
+++ b/src/coordination/forwarding/applyAnnouncedHolders.ts
@@ -1,21 +1,20 @@
-/** Takes what messages say of who keeps prompt parts. */
+/** Applies what messages announce about holders of prompt parts: replicas and cache stores. */
 import type { ReplicaKey, ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { CacheHolders } from "./cacheHolders.ts";
 
-/** What such word is taken with. */
 export interface HolderDependencies {
   readonly replicas: Pick<ReplicaTable, "getByKey">;
   readonly holders: Pick<CacheHolders, "noteKey">;
-  /** @returns The stores of prompt parts that the configuration names. */
+  /** @returns The configured cache stores. */
   readonly cacheStores: () => readonly CacheStore[];
 }
 
 /**
- * @param stores - The stores of prompt parts that the configuration names.
- * @returns The replica or store that a message names as holder of a part; nothing if this router doesn't know it.
+ * @param stores - The configured cache stores.
+ * @returns The id of the replica, or the address of the store, with this key; `undefined` if neither is known.
  */
 const holderIdOf = (
   replicas: Pick<ReplicaTable, "getByKey">,
@@ -24,13 +23,13 @@
 ): string | undefined =>
   stores.find(({ address }) => replicaKeyOf(address) === key)?.address ?? replicas.getByKey(key)?.entry.id;
 
-/** Takes word of prompt parts; holders that this router doesn't know yet are left out. */
+/** Records announced holders of prompt parts; holders that this router does not know yet are ignored. */
 export const applyAnnouncedHolders = (
-  told: readonly ToldHolder[],
+  announced: readonly ToldHolder[],
   { replicas, holders, cacheStores }: HolderDependencies,
 ): void => {
   const stores = cacheStores();
-  for (const { part, replica, isReady } of told) {
+  for (const { part, replica, isReady } of announced) {
     const holder = holderIdOf(replicas, stores, replica);
     if (holder !== undefined) holders.noteKey(part, holder, isReady);
   }
--- a/src/coordination/forwarding/applyPeerMessage.ts
+++ b/src/coordination/forwarding/applyPeerMessage.ts
@@ -1,4 +1,4 @@
-/** What a router takes from the messages of its peers, and what it forgets of those that are silent. */
+/** Applies messages of peers to this router's state, and drops what was announced by peers that are unreachable. */
 import type { ReplicaKey, RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaWork } from "../../state/forwarding/replicaState.ts";
@@ -11,28 +11,27 @@
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { applyUpdates } from "./routerUpdates.ts";
 
-/** What messages change. */
 export interface PeerMessageDependencies {
   readonly clock: Clock;
   readonly replicas: ReplicaTable;
   readonly configuration: ConfigurationState;
   readonly holders: Pick<CacheHolders, "noteKey">;
-  /** A peer knows a newer configuration, or newer weights wanted. */
+  /** Called when a peer knows of a newer configuration, or of newer wanted weights. */
   readonly onNewerConfiguration: () => void;
-  /** A peer knows a newer epoch of the store. */
+  /** Called when a peer knows of a newer epoch of the store. */
   readonly onNewerEpoch: () => void;
   readonly epochs: Pick<EpochSource, "current">;
   readonly recovery: Pick<RecoveryWindow, "extend" | "noteContact" | "remaining">;
   readonly quarantine: QuarantineDigests;
 }
 
-/** A router that is not heard has no work that counts. */
+/** Replaces the work of a peer that is not live or shuts down. */
 const noWork = new Map<ReplicaKey, ReplicaWork>();
 
 const byReplica = (work: readonly ToldWork[]): ReadonlyMap<ReplicaKey, ReplicaWork> =>
   new Map(work.map(({ replica, requests, promptTokens }) => [replica, { requests, promptTokens }]));
 
-/** Forgets what routers that are silent had told of their work, and in time the routers. */
+/** Drops the announced work of peers that are not live, and removes peers that can't be serving any more. */
 export const expirePeers = (peers: PeerTable, replicas: ReplicaTable): void => {
   for (const peer of peers.all()) {
     if (!peers.isLive(peer)) {
@@ -44,10 +43,11 @@
 };
 
 /**
- * Takes what a peer says of its configuration: its proof is as old as it says, counted from no earlier than when the
- * peer got the message that it echoes.
+ * Applies a peer's proof that its configuration is current. The age of the proof is subtracted from the time when this
+ * router sent the message that the peer echoes: the peer composed its message after that, so that the proof can only be
+ * taken for older than it is.
  */
-const takeConfiguration = (
+const applyConfiguration = (
   message: RouterMessage,
   echoedSentAt: number | undefined,
   { configuration, onNewerConfiguration, epochs }: PeerMessageDependencies,
@@ -61,8 +61,8 @@
   if (echoedSentAt !== undefined && isOfKnownEpoch) configuration.confirmVersion(version, echoedSentAt - age);
 };
 
-/** Takes what a peer knows of the store; an epoch of a peer starts a read and replaces none. */
-const takeStoreState = (
+/** Applies what a peer knows of the store. A newer epoch only triggers a read: it is adopted from the store alone. */
+const applyStoreState = (
   { storeEpoch, recovering }: RouterMessage,
   { epochs, recovery, onNewerEpoch }: Pick<PeerMessageDependencies, "epochs" | "recovery" | "onNewerEpoch">,
 ): void => {
@@ -71,22 +71,30 @@
   recovery.noteContact();
 };
 
-/** Takes everything that a peer's message tells. @param echoedSentAt - When it got the message that it echoes. */
+/**
+ * Applies a peer's message.
+ *
+ * @param echoedSentAt - When this router sent the message that the peer echoes; `undefined` if that is unknown.
+ */
 export const applyPeerMessage = (
   message: RouterMessage,
-  { name, isShuttingDown: ends }: Peer,
+  { name, isShuttingDown }: Peer,
   echoedSentAt: number | undefined,
-  takers: PeerMessageDependencies,
+  dependencies: PeerMessageDependencies,
 ): void => {
-  const { replicas, configuration } = takers;
-  replicas.noteWork(name, ends ? noWork : byReplica(message.work));
-  applyUpdates(message, { ...takers, cacheStores: () => configuration.table()?.cacheStores ?? [] });
-  takeConfiguration(message, echoedSentAt, takers);
-  takeStoreState(message, takers);
-  takers.quarantine.notePeerDigest(message.held);
+  const { replicas, configuration } = dependencies;
+  replicas.noteWork(name, isShuttingDown ? noWork : byReplica(message.work));
+  applyUpdates(message, { ...dependencies, cacheStores: () => configuration.table()?.cacheStores ?? [] });
+  applyConfiguration(message, echoedSentAt, dependencies);
+  applyStoreState(message, dependencies);
+  dependencies.quarantine.notePeerDigest(message.held);
 };
 
-/** @returns When the message was sent that a peer echoes; nothing if it was not sent within a span by this process. */
+/**
+ * @param stampOrigin - The value that this process adds to its timestamps.
+ * @param span - When this process may have sent the echoed message.
+ * @returns When the echoed message was sent, on this process's clock; `undefined` if it can't be from this process.
+ */
 export const echoedSentAt = (
   { echo }: RouterMessage,
   stampOrigin: number,
--- a/src/coordination/forwarding/feedFollower.ts
+++ b/src/coordination/forwarding/feedFollower.ts
@@ -1,4 +1,4 @@
-/** One task that keeps up with a feed: the newest record of every key first, then changes as they come. */
+/** Follows a feed of records in one task: first reads the newest record of every key, then changes as they come. */
 import type { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
 import type { FeedPage } from "../../protocol/forwarding/types.ts";
 import { PlatformError, requiresReread } from "../../protocol/errors.ts";
@@ -12,42 +12,42 @@
 
 const writeLog = createLogger("feeds");
 
-/** See {@link followFeed}. */
 export interface FeedFollowerDependencies<T> {
   readonly name: string;
   readonly feed: RecordFeed<T>;
   readonly epochs: EpochSource;
   readonly clock: Clock;
-  /** How long the store may hold a read back while there is nothing new, milliseconds. */
+  /** How long the store may hold a read open (long poll) while there is nothing new, milliseconds. */
   readonly longPollTimeout: () => number;
-  /** Factor on delays after failures. */
+  /** Factor on the delays after failed reads. */
   readonly retryDelayFactor?: () => number;
-  /** Between the end of one read and the next, milliseconds: records that come close together share a read. */
+  /** Between the end of one read and the next, milliseconds, so that records that come close together share a read. */
   readonly readInterval: () => number;
-  /** Before everything is read anew in a new epoch, milliseconds. */
+  /** Delay before everything is read again in a new epoch, milliseconds. */
   readonly rereadDelay?: () => number;
-  /** Takes the newest record of every key. */
+  /** Called with the newest record of every key. */
   readonly replace: (page: FeedPage<T>) => void;
+  /** Called with changes; a record may be repeated. */
   readonly apply: (page: FeedPage<T>) => void;
   /**
-   * Everything written in this epoch before a moment is known.
+   * Called when everything that was written in this epoch before a read was sent is known.
    *
-   * @param askedAt - That moment: when the read was sent, milliseconds on the monotonic clock.
+   * @param askedAt - When the read was sent, milliseconds on the monotonic clock.
    */
   readonly confirm: (askedAt: number) => void;
 }
 
-/** Follows until it is disposed of. */
+/** Follows a feed until it is disposed of. */
 export interface FeedFollower extends AsyncDisposable {
-  /** Reads on without waiting for the pace. */
+  /** Ends the delay before the next read. */
   readonly hurry: () => void;
   /**
-   * Reads once beside the read that the store may be holding back. Records may be applied twice.
+   * Reads once, independently of a long poll that may be open. Records may be applied twice.
    *
-   * @returns Whether everything written before is known now.
+   * @returns Whether everything that was written before the call is known now.
    */
   readonly check: () => Promise<boolean>;
-  /** @returns The position up to which all records are known; nothing before the first read of an epoch. */
+  /** @returns The position up to which all records are known; `undefined` before the first read of an epoch. */
   readonly position: () => StorePosition | undefined;
 }
 
@@ -60,7 +60,7 @@
   let isUpToDate = false;
   let hasRead = false;
   let wake = new AbortController();
-  /** Ends with the epoch: what was asked in one is not waited for in the next. */
+  /** Aborted when the epoch ends, so that a read of the old epoch does not delay those of the new one. */
   let epochEnd = new AbortController();
   let isRereadDue = false;
 
@@ -82,7 +82,7 @@
     return page.next;
   };
 
-  /** Reads may overtake one another, also over the end of an epoch: the position never moves back. */
+  /** Reads may complete out of order, also across the end of an epoch: the position never moves back. */
   const advance = (to: StorePosition): void => {
     if (to.epoch < epochs.current()) return;
     next = next === undefined ? to : laterPosition(next, to);
@@ -159,7 +159,7 @@
     if (!hasRead) return false;
     const askedAt = clock.monotonic();
     try {
-      // A read that is held back may be held for long, from an offset that is no longer kept.
+      // Not left to the task: its open long poll may last long, from an offset that the store no longer keeps.
       if (next === undefined) advance(await readNewest());
       if (next === undefined) return false;
       const page = await feed.changes(next, 0);
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -1,4 +1,4 @@
-/** The other routers as this one knows them. */
+/** The other routers, as this one knows them from the store and from their messages. */
 import type { DatagramAddress } from "../../protocol/forwarding/DatagramLink.ts";
 import type { RouterMessage } from "../../protocol/forwarding/peerMessage.ts";
 import type { RouterEntry } from "../../protocol/forwarding/types.ts";
@@ -19,57 +19,66 @@
   readonly name: string;
   readonly incarnation: string;
   readonly dataCentre: string;
-  /** It is in the same data centre. */
+  /** Whether it is in the data centre of this router. */
   readonly isNear: boolean;
   at: DatagramAddress;
+  /** When its last message arrived; negative infinity before the first one. */
   lastSeenAt: number;
-  /** When this router learned of it. */
+  /** When it was added to the table. */
   readonly addedAt: number;
-  /** The newest time stamp of its messages, on its own clock. */
+  /** The newest timestamp of its messages, by its own clock; `undefined` before the first one. */
   lastTimestamp: number | undefined;
-  /** How old its proof of its configuration was when it sent its last message, milliseconds. */
+  /** Age, when it sent its last message, of the proof that its configuration is current; milliseconds. */
   proofAge: number;
-  /** Whether the log says that it is heard. */
+  /** Whether its last log line says that it is live. */
   isLoggedLive: boolean;
-  /** It takes no duties any more. */
+  /** Whether it has announced that it takes no duties any more. */
   hasSteppedDown: boolean;
-  /** It has said that it ends. */
+  /** Whether it has announced that it shuts down. */
   isShuttingDown: boolean;
 }
 
-/** See {@link createPeerTable}. */
+/** The known peers, and which of them are live or have a duty. */
 export interface PeerTable {
-  /** Whether there are too many for all of them to hear of everything at once. */
+  /** Whether there are too many peers to send every update to all of them at once. */
   readonly isLarge: () => boolean;
-  /** By how much intervals grow with the number of near or far peers, so that messages a second stay bounded. */
+  /**
+   * Factor on the intervals between messages. It grows with the number of peers in the same data centre (near), or in
+   * others (far), so that the messages per second stay bounded.
+   */
   readonly intervalFactor: (isNear: boolean) => number;
   readonly all: () => readonly Peer[];
-  /** Takes a router that the store knows. */
+  /** Adds a router that is registered in the store. */
   readonly add: (entry: RouterEntry) => void;
-  /** Whether a message is the first one of a process. */
+  /** Whether a message is the first one of its process; to be asked before the message is observed. */
   readonly isFirstMessage: (message: Pick<RouterMessage, "name" | "incarnation">) => boolean;
-  /** @returns The sender of a message that came just now; nothing if a newer message came before it. */
+  /**
+   * Records a message that has just arrived.
+   *
+   * @returns Its sender; `undefined` if a newer message of the sender arrived before it, or this router sent it.
+   */
   readonly observe: (message: RouterMessage, from: DatagramAddress) => Peer | undefined;
-  /** Whether a message of it came just now. */
+  /** Whether its last message is recent, and did not announce that it shuts down. */
   readonly isLive: (peer: Peer) => boolean;
-  /** Whether it may be serving although it may be silent. */
+  /** Whether it may still serve requests, although no message may have arrived recently: it may be cut off. */
   readonly mayServe: (peer: Peer) => boolean;
   /**
-   * Whether this router is one of those of this data centre that do a duty: some at most, fewer where there are few.
+   * Whether this router is one of those of its data centre that have a duty, such as reading the store for the others.
    *
-   * @param standsDown - This router takes no duties any more.
+   * @param maxHolders - Routers with the duty; fewer in a data centre with few routers.
+   * @param hasSteppedDown - Whether this router takes no duties any more.
    */
-  readonly isDutyHolder: (duty: string, most: number, standsDown: boolean) => boolean;
-  /** @returns The names of those of this data centre that do a duty, the first one first. */
-  readonly dutyHolders: (duty: string, most: number, standsDown: boolean) => readonly string[];
+  readonly isDutyHolder: (duty: string, maxHolders: number, hasSteppedDown: boolean) => boolean;
+  /** @returns The names of the routers of this data centre that have a duty, in rendezvous order. */
+  readonly dutyHolders: (duty: string, maxHolders: number, hasSteppedDown: boolean) => readonly string[];
   readonly remove: (peer: Peer) => void;
-  /** Writes to the log that a peer is not heard any more. */
+  /** Logs, once, that a peer is not live any more. */
   readonly noteUnreachable: (peer: Peer) => void;
 }
 
 const writeLog = createLogger("peers");
 
-/** Creates a table without peers, for a router. */
+/** Creates an empty table for a router. */
 export const createPeerTable = (
   { name: self, dataCentre: here }: Pick<RouterEntry, "name" | "dataCentre">,
   clock: Clock,
@@ -77,31 +86,32 @@
   const peers = new Map<string, Peer>();
 
   const isLarge = (): boolean => peers.size > peersAtShortestInterval;
-  /** Computed where peers come and go, since every look at a peer asks for them. */
-  let stretches = { near: 1, far: 1 };
+  /** Computed when peers are added or removed, since every check of a peer uses them. */
+  let intervalFactors = { near: 1, far: 1 };
 
-  const countStretches = (): void => {
+  const updateIntervalFactors = (): void => {
     const near = [...peers.values()].filter(({ isNear }) => isNear).length;
     const far = peers.size - near;
     const nearShare = far === 0 ? 1 : nearMessageShare;
     const farShare = near === 0 ? 1 : 1 - nearMessageShare;
-    const stretchOf = (count: number, share: number): number =>
+    const factorOf = (count: number, share: number): number =>
       isLarge() ? Math.max(1, count / (messagesPerInterval * share)) : 1;
-    stretches = { near: stretchOf(near, nearShare), far: stretchOf(far, farShare) };
+    intervalFactors = { near: factorOf(near, nearShare), far: factorOf(far, farShare) };
   };
 
-  const stretch = (isNear: boolean): number => (isNear ? stretches.near : stretches.far);
-  const isHeard = (peer: Peer): boolean =>
-    !peer.isShuttingDown && clock.monotonic() - peer.lastSeenAt < peerSilence * stretch(peer.isNear);
-  /** Longer than the silence after which it is not heard, also where messages come rarely. */
-  const memoryOf = ({ isNear }: Peer): number => Math.max(peerMemory, 2 * peerSilence * stretch(isNear));
+  const intervalFactor = (isNear: boolean): number => (isNear ? intervalFactors.near : intervalFactors.far);
+  const isLive = (peer: Peer): boolean =>
+    !peer.isShuttingDown && clock.monotonic() - peer.lastSeenAt < peerSilence * intervalFactor(peer.isNear);
+  /** Longer than the time after which a peer is not live, also where intervals between messages are long. */
+  const retentionOf = ({ isNear }: Peer): number =>
+    Math.max(peerMemory, 2 * peerSilence * intervalFactor(isNear));
   const mayServe = (peer: Peer): boolean =>
-    !peer.isShuttingDown && clock.monotonic() - Math.max(peer.lastSeenAt, peer.addedAt) < memoryOf(peer);
+    !peer.isShuttingDown && clock.monotonic() - Math.max(peer.lastSeenAt, peer.addedAt) < retentionOf(peer);
 
-  const make = (
+  const addPeer = (
     { name, incarnation, dataCentre }: Pick<RouterEntry, "name" | "incarnation" | "dataCentre">,
     at: DatagramAddress,
-    heardAt: number,
+    lastSeenAt: number,
   ): Peer => {
     const peer = {
       name,
@@ -109,7 +119,7 @@
       dataCentre,
       isNear: dataCentre === here,
       at,
-      lastSeenAt: heardAt,
+      lastSeenAt,
       addedAt: clock.monotonic(),
       lastTimestamp: undefined,
       proofAge: Number.POSITIVE_INFINITY,
@@ -118,33 +128,36 @@
       isShuttingDown: false,
     };
     peers.set(name, peer);
-    countStretches();
+    updateIntervalFactors();
     return peer;
   };
 
-  const meet = (message: RouterMessage, from: DatagramAddress): Peer => {
+  const findOrAdd = (message: RouterMessage, from: DatagramAddress): Peer => {
     const { name, incarnation } = message;
     const known = peers.get(name);
     if (known?.incarnation === incarnation) return known;
     writeLog("met", { peer: name, incarnation });
-    return make(message, from, clock.monotonic());
+    return addPeer(message, from, clock.monotonic());
   };
 
-  const dutyHolders = (duty: string, most: number, standsDown: boolean): readonly string[] => {
-    const near = [...peers.values()].filter((peer) => peer.isNear && isHeard(peer) && !peer.hasSteppedDown);
+  const dutyHolders = (duty: string, maxHolders: number, hasSteppedDown: boolean): readonly string[] => {
+    const near = [...peers.values()].filter((peer) => peer.isNear && isLive(peer) && !peer.hasSteppedDown);
     const names = near.map(({ name }) => name);
-    const able = standsDown ? names : [self, ...names];
-    return rendezvousOrder(duty, able).slice(0, Math.min(most, Math.ceil(able.length / routersPerHolder)));
+    const candidates = hasSteppedDown ? names : [self, ...names];
+    return rendezvousOrder(duty, candidates).slice(
+      0,
+      Math.min(maxHolders, Math.ceil(candidates.length / routersPerHolder)),
+    );
   };
 
   return {
     isLarge,
-    intervalFactor: stretch,
+    intervalFactor,
     all: () => [...peers.values()],
     add: (entry) => {
       const { name, address, port } = entry;
       if (name === self || peers.has(name)) return;
-      make(entry, { address, port }, Number.NEGATIVE_INFINITY);
+      addPeer(entry, { address, port }, Number.NEGATIVE_INFINITY);
     },
     isFirstMessage: ({ name, incarnation }) => {
       const known = peers.get(name);
@@ -152,7 +165,7 @@
     },
     observe: (message, from) => {
       if (message.name === self) return undefined;
-      const peer = meet(message, from);
+      const peer = findOrAdd(message, from);
       if (peer.lastTimestamp !== undefined && message.sentAt <= peer.lastTimestamp) return undefined;
       if (!peer.isLoggedLive) writeLog("heard", { peer: peer.name });
       peer.isLoggedLive = true;
@@ -164,13 +177,14 @@
       peer.isShuttingDown = message.ends;
       return peer;
     },
-    isLive: isHeard,
+    isLive,
     mayServe,
-    isDutyHolder: (duty, most, standsDown) => !standsDown && dutyHolders(duty, most, false).includes(self),
+    isDutyHolder: (duty, maxHolders, hasSteppedDown) =>
+      !hasSteppedDown && dutyHolders(duty, maxHolders, false).includes(self),
     dutyHolders,
     remove: ({ name }) => {
       peers.delete(name);
-      countStretches();
+      updateIntervalFactors();
     },
     noteUnreachable: (peer) => {
       if (!peer.isLoggedLive) return;
--- a/src/coordination/forwarding/replicaMonitor.ts
+++ b/src/coordination/forwarding/replicaMonitor.ts
@@ -1,6 +1,7 @@
 /**
- * Finds replicas that have fallen silent before the registry drops them: one that owes an answer and sends nothing
- * is tried with a new connection. While none can be made it gets no work, and what may run again goes elsewhere.
+ * Detects unreachable replicas before the registry drops them: a replica that owes a response and sends nothing is
+ * probed with a new connection. While it can't be connected to, it gets no work, and requests that may be repeated are
+ * sent to another replica.
  */
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -10,28 +11,27 @@
 import { reachProbeTimeout, silenceLimit, unreachableProbeInterval, watchInterval } from "./constants.ts";
 import type { ReplicaHealth } from "./replicaHealth.ts";
 
-/** What watching works with. */
 export interface ReplicaMonitorDependencies {
   readonly replicas: ReplicaTable;
   readonly client: Pick<ReplicaClient, "tryConnection">;
   readonly health: ReplicaHealth;
   readonly clock: Clock;
   /**
-   * Whether this router looks after a replica that can't be reached. Where there are many routers its owner does, and
-   * tells the others: 195 routers would make 2.5 connections a second each to every engine that is dark.
+   * Whether this router keeps probing an unreachable replica. Where there are many routers only its owner does, and
+   * notifies the others: 195 routers would make 2.5 connections a second each to every engine that is down.
    */
   readonly isResponsibleFor: (replica: ReplicaState) => boolean;
 }
 
 const writeLog = createLogger("replicas");
 
-/** Watches until it is disposed of. */
+/** Monitors the replicas of a table until it is disposed of. */
 export const startReplicaMonitor = ({
   replicas,
   client,
   health,
   clock,
-  isResponsibleFor: looksAfter,
+  isResponsibleFor,
 }: ReplicaMonitorDependencies): AsyncDisposable => {
   const probing = new Set<string>();
 
@@ -51,27 +51,27 @@
   };
 
   const isDue = (replica: ReplicaState, now: number): boolean => {
-    const quiet = now - replica.quietSince;
+    const idleTime = now - replica.quietSince;
     if (replica.isSuspected) return true;
-    if (replica.isUnreachable) return quiet > unreachableProbeInterval && looksAfter(replica);
-    return replica.requests > 0 && quiet > silenceLimit;
+    if (replica.isUnreachable) return idleTime > unreachableProbeInterval && isResponsibleFor(replica);
+    return replica.requests > 0 && idleTime > silenceLimit;
   };
 
-  const look = (): void => {
+  const poll = (): void => {
     const now = clock.monotonic();
     let hasWork = false;
     for (const replica of replicas.all()) {
       hasWork ||= replica.requests > 0 || replica.isUnreachable;
       if (isDue(replica, now) && !probing.has(replica.entry.id)) void probe(replica);
     }
-    // What begins now can't be overdue before then.
-    callOff = clock.after(hasWork ? watchInterval : silenceLimit, look);
+    // Without work, a request that begins now can't be overdue before the next poll.
+    cancelPoll = clock.after(hasWork ? watchInterval : silenceLimit, poll);
   };
-  let callOff = clock.after(watchInterval, look);
+  let cancelPoll = clock.after(watchInterval, poll);
 
   return {
     [Symbol.asyncDispose]: () => {
-      callOff();
+      cancelPoll();
       return Promise.resolve();
     },
   };
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -1,6 +1,6 @@
 /**
- * What the routers of a system tell one another, in datagrams: the work that each has at replicas, news of
- * weights and departures, and how fresh their configuration is.
+ * Messages between the routers of a system, in datagrams: the work that each has at replicas, updates about weights and
+ * departures, and how fresh its configuration is.
  *
  * A router finds the others in the platform's store when it starts; they learn of it from its first message.
  */
@@ -26,75 +26,76 @@
 import type { PeerMessageDependencies } from "./applyPeerMessage.ts";
 import { echoedSentAt, expirePeers, applyPeerMessage } from "./applyPeerMessage.ts";
 
-/** What exchanging works with. */
 export interface RouterPeersDependencies extends PeerMessageDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
-  /** A router whose last own read of the store is older takes no duties that need the store, milliseconds. */
+  /** A router whose last own read of the store is older takes no duties that need the store; milliseconds. */
   readonly maxReadAge: () => number;
 }
 
-/** See {@link createRouterPeers}. */
+/** The other routers, and what is announced to them. */
 export interface RouterPeers extends AsyncDisposable {
-  /** Takes routers that the store knows. */
+  /** Adds routers that are registered in the store. */
   readonly add: (entries: readonly RouterEntry[]) => void;
-  /** @returns Names of routers that have been heard of just now, this one included. */
+  /** @returns Names of the live routers, this one included. */
   readonly live: () => readonly string[];
-  /** @returns How many routers were live at the last turn of messages, this one included. */
+  /** @returns How many routers were live at the last tick, this one included. */
   readonly countLive: () => number;
-  /** @returns The other routers that may be serving, silent ones included. */
+  /** @returns The other routers that may be serving, including unreachable ones. */
   readonly serving: () => readonly Peer[];
   /**
-   * @returns Names of live routers that take duties and whose configuration was confirmed just now; where there
-   * are many routers, those of this data centre that read the store for others: the others don't know whether they
-   * reach it, and those of other data centres are heard of too late.
+   * @param longestAge - How old the proof of a router's configuration may be, milliseconds.
+   * @returns Names of live routers that take duties and whose configuration is fresh. Where there are many routers,
+   * only those of this data centre that read the store for others: the others do not know whether they reach the store,
+   * and messages from other data centres come too rarely.
    */
   readonly dutyCandidates: (longestAge: number) => readonly string[];
-  /** Whether there are so many routers that each has its part of common duties. */
+  /** Whether there are so many routers that duties are divided between them. */
   readonly isLarge: () => boolean;
   /** Whether this router reads the store for others of its data centre. */
   readonly isReader: () => boolean;
   /** @returns The other routers of this data centre that read the store for others. */
   readonly readers: () => readonly Peer[];
-  /** @returns How many routers may be serving, silent ones included. */
+  /** @returns How many routers may be serving, including this one and unreachable ones. */
   readonly countServing: () => number;
-  /** Tells peers that a replica runs new weights. */
+  /** Announces to peers that a replica runs new weights. */
   readonly tellWeights: (replica: string, model: string, version: number) => void;
-  /** Tells peers at once to give a replica no new work until a moment on the monotonic clock. */
+  /** Announces to peers at once that a replica is to get no new work until a time on the monotonic clock. */
   readonly tellChanging: (replica: string, until: number) => void;
-  /** Tells peers of this router's work now instead of at the next turn. */
+  /** Announces this router's work to peers now instead of at the next tick. */
   readonly tellWork: () => void;
-  /** Tells peers that a replica leaves. */
+  /** Announces to peers that a replica leaves. */
   readonly tellLeaving: (replica: string) => void;
-  /** Notifies peers that a replica asked for backoff; does nothing where owners of replicas answer for it. */
+  /** Notifies peers that a replica asked for backoff; does nothing where owners of replicas report it. */
   readonly broadcastBackoff: (replica: ReplicaState) => void;
-  /** Tells peers at once that a replica names a limit; where there are many, its owner tells those that ask. */
+  /** Announces a replica's reported limit at once. Does nothing where there are many routers: its owner is queried. */
   readonly tellLimit: (replica: ReplicaState) => void;
-  /** Tells peers, with the next message, that a replica computes or keeps a prompt part. */
+  /** Announces, with the next message, that a replica computes or caches a prompt part. */
   readonly tellHolder: (key: number, replica: string, isReady: boolean) => void;
-  /** Tells peers that this router takes no duties any more. */
+  /** Announces that this router takes no duties any more. */
   readonly stepDown: () => void;
-  /** Tells peers that this router ends. */
+  /** Announces that this router shuts down. */
   readonly leave: () => void;
 }
 
 /**
- * Time stamps count from a random origin, so that an echo of the process that had this address before is not taken
- * for one of this process, whose clock began anew: it would make a proof of the configuration younger than it is.
+ * Timestamps count from a random origin, below this value. Otherwise an echo meant for the previous process at this
+ * address could be taken for one of this process, whose clock started again from 0: a proof of the configuration would
+ * then seem younger than it is.
  */
 const stampOrigins = 2 ** 40;
 
-/** Digits of a millisecond that time stamps keep: messages that follow each other at once are told apart. */
+/** Timestamps are in steps of a millisecond divided by this, so that messages sent in quick succession differ. */
 const stampPrecision = 10;
 
-/** The version in force here with the age of its proof; nothing if there is none. */
+/** @returns The version of the configuration here with the age of its proof; `undefined` if there is none. */
 const proofOf = (configuration: ConfigurationState): RouterMessage["configuration"] => {
   const version = configuration.table()?.configuration.version;
   const age = configuration.age();
   return version === undefined || !Number.isFinite(age) ? undefined : { version, age: Math.ceil(age) };
 };
 
-/** What a message says of requests that are quarantined and of the store. */
+/** @returns The fields of a message about quarantined requests and about the store. */
 const describeState = ({
   quarantine,
   epochs,
@@ -105,7 +106,7 @@
   recovering: Math.ceil(recovery.remaining()),
 });
 
-/** The work of this router's own requests. */
+/** @returns The work of this router's own requests, by replica. */
 const ownWorkIn = (replicas: ReplicaTable): readonly ToldWork[] =>
   replicas
     .all()
@@ -116,15 +117,15 @@
       promptTokens: wholeTokens(promptTokens),
     }));
 
-/** Peers that are told at the same times. */
+/** Peers that get their messages at the same time. */
 interface PeerGroup {
   readonly audience: Audience;
   sentAt: number;
-  /** The work that its last message told of, to see whether there is something new. */
+  /** The work in the last message as JSON, to detect changes. */
   sentWork: string;
 }
 
-/** Names the duty in the order of those who do it. */
+/** Key of the duty for the rendezvous order of its holders. */
 const readingDuty = "registry";
 
 const audiences: readonly Audience[] = ["near", "far"];
@@ -137,13 +138,13 @@
   sentWork: "",
 });
 
-const liveNames = (peers: PeerTable): readonly string[] =>
+const liveNamesOf = (peers: PeerTable): readonly string[] =>
   peers
     .all()
     .filter(peers.isLive)
     .map(({ name }) => name);
 
-/** @returns Names of peers that take duties and whose configuration was confirmed just now. */
+/** @returns Names of live peers that take duties and whose configuration is fresh. */
 const freshNames = (peers: PeerTable, longestAge: number): readonly string[] =>
   peers
     .all()
@@ -151,8 +152,9 @@
     .map(({ name }) => name);
 
 /**
- * Writing a message for each of 194 peers took the giver of orders most of its processor in a roll-out; where there
- * are many, proofs of the configuration are asked for by themselves and need no echo, and one writing serves all.
+ * Where there are many routers, one encoded message serves all peers: encoding one for each of 194 peers took most of
+ * the processor time of the router that gives orders in a roll-out. No echo is needed then, since proofs of the
+ * configuration are exchanged by separate messages.
  */
 const sendMessage = (
   link: DatagramLink,
@@ -161,28 +163,29 @@
   isLarge: boolean,
 ): void => {
   const forAll = isLarge ? encodeRouterMessage({ ...message, echo: undefined }) : undefined;
-  for (const { at, lastTimestamp: theirTime } of audience) {
-    link.send(at, forAll ?? encodeRouterMessage({ ...message, echo: theirTime }));
+  for (const { at, lastTimestamp } of audience) {
+    link.send(at, forAll ?? encodeRouterMessage({ ...message, echo: lastTimestamp }));
   }
 };
 
-/** Starts to exchange messages. */
-export const createRouterPeers = (parts: RouterPeersDependencies): RouterPeers => {
-  const { self, link, clock, replicas, configuration } = parts;
+/** Starts to exchange messages with the other routers until it is disposed of. */
+export const createRouterPeers = (dependencies: RouterPeersDependencies): RouterPeers => {
+  const { self, link, clock, replicas, configuration } = dependencies;
   const peers = createPeerTable(self, clock);
   const startedAt = clock.monotonic();
   const stampOrigin = Math.floor(Math.random() * stampOrigins);
-  const news = createRouterUpdates(clock);
-  let standsDown = false;
-  let ends = false;
+  const updates = createRouterUpdates(clock);
+  let hasSteppedDown = false;
+  let isShuttingDown = false;
   const groups: readonly PeerGroup[] = audiences.map(createGroup);
-  let callOffNews: (() => void) | undefined;
+  let cancelUpdates: (() => void) | undefined;
 
   /**
-   * A router that is cut off from the store alone has proofs from its peers; if it stayed the first candidate for the
-   * lease of orders, nobody would hold it until the proofs of all had aged: 4.6 to 5.6 s without orders on recorded days.
+   * A router that alone is cut off from the store still gets proofs from its peers. If it stayed the first candidate
+   * for the lease of orders, nobody would hold the lease until the proofs of all routers had expired: 4.6 to 5.6 s
+   * without orders.
    */
-  const takesDuties = (): boolean => !standsDown && configuration.readAge() < parts.maxReadAge();
+  const takesDuties = (): boolean => !hasSteppedDown && configuration.readAge() < dependencies.maxReadAge();
 
   const readerNames = (): readonly string[] => peers.dutyHolders(readingDuty, storeReaders, !takesDuties());
 
@@ -195,19 +198,19 @@
       sentAt: stampOrigin + Math.round(now * stampPrecision) / stampPrecision,
       configuration: proofOf(configuration),
       work,
-      ...news.take(audience),
+      ...updates.take(audience),
       wanted: configuration.wantedAges(),
-      ...describeState(parts),
+      ...describeState(dependencies),
       standsDown: !takesDuties(),
-      ends,
+      ends: isShuttingDown,
     };
   };
 
-  /** Where there are many routers the owners of replicas are told instead, and asked. */
-  const toldWork = (): readonly ToldWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
+  /** Where there are many routers, work is reported to the owners of replicas instead, and queried from them. */
+  const announcedWork = (): readonly ToldWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
 
   const sendTo = (group: PeerGroup): void => {
-    const work = toldWork();
+    const work = announcedWork();
     const message = compose(work, group.audience);
     group.sentWork = JSON.stringify(work);
     group.sentAt = clock.monotonic();
@@ -216,53 +219,53 @@
   };
 
   const sendAll = (): void => {
-    callOffNews?.();
-    callOffNews = undefined;
+    cancelUpdates?.();
+    cancelUpdates = undefined;
     groups.forEach(sendTo);
   };
 
-  /** Tells news to everybody, together with what else there is to tell in a moment. */
+  /** Sends updates to all peers after a short delay, so that those that follow closely share the message. */
   const sendSoon = (): void => {
-    callOffNews ??= clock.after(peers.isLarge() ? newsGatheringOfMany : newsGathering, sendAll);
+    cancelUpdates ??= clock.after(peers.isLarge() ? newsGatheringOfMany : newsGathering, sendAll);
   };
 
   const isDue = (group: PeerGroup): boolean => {
     const since = clock.monotonic() - group.sentAt;
-    const stretch = peers.intervalFactor(group.audience === "near");
-    if (since < peerIntervals.shortest * stretch) return false;
-    if (since >= peerIntervals.longest * stretch) return true;
-    return news.hasHolders(group.audience) || JSON.stringify(toldWork()) !== group.sentWork;
+    const intervalFactor = peers.intervalFactor(group.audience === "near");
+    if (since < peerIntervals.shortest * intervalFactor) return false;
+    if (since >= peerIntervals.longest * intervalFactor) return true;
+    return updates.hasHolders(group.audience) || JSON.stringify(announcedWork()) !== group.sentWork;
   };
 
-  const heardNames = (): readonly string[] => liveNames(peers);
+  const livePeerNames = (): readonly string[] => liveNamesOf(peers);
 
-  /** Every belief about a part asks for it. */
+  /** Cached, since every estimate of a cached prompt part uses it. */
   let liveCount = 1;
 
-  const turn = (): void => {
+  const tick = (): void => {
     expirePeers(peers, replicas);
-    liveCount = 1 + heardNames().length;
+    liveCount = 1 + livePeerNames().length;
     groups.filter(isDue).forEach(sendTo);
-    const stretch = Math.min(...audiences.map((audience) => peers.intervalFactor(audience === "near")));
-    callOffTurn = clock.after(peerIntervals.shortest * stretch, turn);
+    const factor = Math.min(...audiences.map((audience) => peers.intervalFactor(audience === "near")));
+    cancelTick = clock.after(peerIntervals.shortest * factor, tick);
   };
 
-  const tellSoon = (add: () => void): void => {
+  const announceSoon = (add: () => void): void => {
     add();
     sendSoon();
   };
 
-  /** Where there are many routers each has too small a part of the work for others to hear of it at once. */
+  /** Where there are many routers, the work of one is too small a part to be announced to the others at once. */
   const tellWork = (): void => {
     if (!peers.isLarge()) sendAll();
   };
 
   const audience = (): readonly Peer[] => (peers.isLarge() ? [] : peers.all().filter(peers.mayServe));
-  const broadcastBackoff = createBackoffExchange({ ...parts, audience });
+  const broadcastBackoff = createBackoffExchange({ ...dependencies, audience });
 
-  /** A router that starts waits for what its peers know. */
+  /** Sends this router's state at once to a peer that has just started, which waits for it. */
   const greet = ({ at }: Peer): void => {
-    const message = compose(toldWork(), "near");
+    const message = compose(announcedWork(), "near");
     link.send(at, encodeRouterMessage({ ...message, echo: undefined }));
   };
 
@@ -273,17 +276,17 @@
     if (message === undefined || peer === undefined) return;
     if (isNew) greet(peer);
     const sinceStart = { from: startedAt, until: clock.monotonic() };
-    applyPeerMessage(message, peer, echoedSentAt(message, stampOrigin, sinceStart), parts);
+    applyPeerMessage(message, peer, echoedSentAt(message, stampOrigin, sinceStart), dependencies);
   });
 
-  let callOffTurn = clock.after(0, turn);
+  let cancelTick = clock.after(0, tick);
 
   return {
     add: (entries) => {
       entries.forEach(peers.add);
       sendSoon();
     },
-    live: () => [self.name, ...heardNames()],
+    live: () => [self.name, ...livePeerNames()],
     countLive: () => liveCount,
     serving: () => peers.all().filter(peers.mayServe),
     dutyCandidates: (longestAge) => {
@@ -299,26 +302,26 @@
       return peers.all().filter(({ name }) => names.has(name));
     },
     countServing: () => 1 + peers.all().filter(peers.mayServe).length,
-    tellWeights: (replica, model, version) => tellSoon(() => news.addWeights(replica, model, version)),
-    tellChanging: (replica, until) => tellSoon(() => news.addChanging(replica, until)),
-    tellLeaving: (replica) => tellSoon(() => news.addLeaving(replica)),
+    tellWeights: (replica, model, version) => announceSoon(() => updates.addWeights(replica, model, version)),
+    tellChanging: (replica, until) => announceSoon(() => updates.addChanging(replica, until)),
+    tellLeaving: (replica) => announceSoon(() => updates.addLeaving(replica)),
     tellWork,
     broadcastBackoff,
     tellLimit: ({ entry, limit }) => {
-      if (limit !== undefined && !peers.isLarge()) tellSoon(() => news.addLimit(entry.id, limit));
+      if (limit !== undefined && !peers.isLarge()) announceSoon(() => updates.addLimit(entry.id, limit));
     },
-    tellHolder: news.addHolder,
+    tellHolder: updates.addHolder,
     stepDown: () => {
-      standsDown = true;
+      hasSteppedDown = true;
       sendAll();
     },
     leave: () => {
-      ends = true;
+      isShuttingDown = true;
       sendAll();
     },
     [Symbol.asyncDispose]: () => {
-      callOffTurn();
-      callOffNews?.();
+      cancelTick();
+      cancelUpdates?.();
       return Promise.resolve();
     },
   };
--- a/src/coordination/forwarding/routerUpdates.ts
+++ b/src/coordination/forwarding/routerUpdates.ts
@@ -1,4 +1,4 @@
-/** What routers tell one another besides their own work: what this one has to tell, and what others told. */
+/** Updates that routers announce to one another besides their own work: those to be sent, and those received. */
 import type {
   ReplicaKey,
   RouterMessage,
@@ -16,33 +16,34 @@
 import { applyAnnouncedHolders } from "./applyAnnouncedHolders.ts";
 import { createUpdates } from "./updates.ts";
 
-/** Peers in the same data centre, and those in others, which are told at other times. */
+/** Peers in the same data centre (near) and in others (far); messages to them are sent at different intervals. */
 export type Audience = "near" | "far";
 
-/** The fields of a message that carry news. */
+/** The fields of a message that carry updates. */
 export type UpdateFields = Pick<RouterMessage, "weights" | "changing" | "leaving" | "holders" | "limited">;
 
-/** See {@link createRouterUpdates}. */
+/** Updates waiting to be sent. */
 export interface RouterUpdates {
-  /** A replica runs new weights. */
+  /** Adds that a replica runs a version of a model's weights. */
   readonly addWeights: (replica: string, model: string, version: number) => void;
-  /** A replica is to get no new work until a moment on the monotonic clock. */
+  /** Adds that a replica is to get no new work until a time on the monotonic clock, while its weights change. */
   readonly addChanging: (replica: string, until: number) => void;
+  /** Adds that a replica leaves. */
   readonly addLeaving: (replica: string) => void;
-  /** A replica names a limit. */
-  readonly addLimit: (replica: string, word: LimitWord) => void;
+  /** Adds a rate limit that a replica has reported. */
+  readonly addLimit: (replica: string, limit: LimitWord) => void;
   /**
-   * A replica computes or keeps a prompt part. Told at each use and not repeated: a copy that is not found for want
-   * of it costs little.
+   * Adds that a replica computes or caches a prompt part. It is announced at each use and not repeated: a cached copy
+   * that is missed because a message was lost costs little.
    */
   readonly addHolder: (key: number, replica: string, isReady: boolean) => void;
-  /** Whether there is news of prompt parts that has not been taken for an audience. */
+  /** Whether there are updates about prompt parts that have not been sent to an audience yet. */
   readonly hasHolders: (audience: Audience) => boolean;
-  /** @returns What goes into the next message to an audience. */
+  /** @returns The updates for the next message to an audience; those about prompt parts are then removed. */
   readonly take: (audience: Audience) => UpdateFields;
 }
 
-/** Creates news of nothing. */
+/** Creates an empty set of updates. */
 export const createRouterUpdates = (clock: Clock): RouterUpdates => {
   const weights = createUpdates<ToldWeights>(clock, newsRepetition);
   const changing = createUpdates<number>(clock, newsRepetition);
@@ -57,22 +58,22 @@
     addLeaving: (replica) => leaving.add(replica, true),
     addLimit: limited.add,
     addHolder: (key, replica, isReady) => {
-      const told = { part: key, replica: replicaKeyOf(replica), isReady };
-      for (const pending of Object.values(holders)) pending.set(`${key} ${replica}`, told);
+      const announced = { part: key, replica: replicaKeyOf(replica), isReady };
+      for (const pending of Object.values(holders)) pending.set(`${key} ${replica}`, announced);
     },
     hasHolders: (audience) => holders[audience].size > 0,
     take: (audience) => {
       const now = clock.monotonic();
-      const told = [...holders[audience].values()].slice(-mostHolderNews);
+      const announced = [...holders[audience].values()].slice(-mostHolderNews);
       holders[audience].clear();
       return {
-        weights: weights.entries().map(([, news]) => news),
+        weights: weights.entries().map(([, update]) => update),
         changing: changing.entries().map(([id, until]) => ({
           replica: replicaKeyOf(id),
           remaining: Math.max(0, Math.round(until - now)),
         })),
         leaving: leaving.entries().map(([id]) => replicaKeyOf(id)),
-        holders: told,
+        holders: announced,
         limited: limited.entries().map(([id, word]) => ({
           replica: replicaKeyOf(id),
           word: tellWord(word, now),
@@ -82,18 +83,17 @@
   };
 };
 
-/** What news of peers changes. */
 export interface UpdateDependencies extends HolderDependencies {
   readonly replicas: ReplicaTable;
   readonly configuration: Pick<ConfigurationState, "noteWantedAge" | "wantedWeights">;
-  /** A peer knows newer weights wanted. */
+  /** Called when a peer knows of newer wanted weights. */
   readonly onNewerConfiguration: () => void;
   readonly clock: Clock;
 }
 
-/** Takes what a peer's message tells; replicas that this router doesn't know yet are left out. */
-export const applyUpdates = (message: RouterMessage, takers: UpdateDependencies): void => {
-  const { replicas, configuration, clock, onNewerConfiguration } = takers;
+/** Applies the updates in a peer's message; those about replicas that this router does not know yet are ignored. */
+export const applyUpdates = (message: RouterMessage, dependencies: UpdateDependencies): void => {
+  const { replicas, configuration, clock, onNewerConfiguration } = dependencies;
   const now = clock.monotonic();
   const idOf = (key: ReplicaKey): string | undefined => replicas.getByKey(key)?.entry.id;
   for (const { replica, model, version } of message.weights) {
@@ -104,7 +104,7 @@
     const replica = replicas.getByKey(key);
     if (replica !== undefined) replica.changingUntil = now + remaining;
   }
-  applyAnnouncedHolders(message.holders, takers);
+  applyAnnouncedHolders(message.holders, dependencies);
   for (const { model, version, age } of message.wanted) {
     if (version > (configuration.wantedWeights(model)?.version ?? 0)) onNewerConfiguration();
     configuration.noteWantedAge(model, version, age);
