--- a/src/coordination/forwarding/eventBuffer.test.ts
+++ b/src/coordination/forwarding/eventBuffer.test.ts
@@ -5,8 +5,8 @@
 
 const events = ["id: 1\ndata: a\n\n", "x-versions: 2\nid: 2\ndata: b\n\n", "id: 3\r\ndata: c\r\n\r\n"];
 
-describe("an event buffer", () => {
-  it("returns whole events in order wherever the stream is cut", () => {
+describe("event buffer", () => {
+  it("returns complete events in order, wherever the stream is split", () => {
     const text = events.join("");
     fc.assert(
       fc.property(fc.array(fc.nat(text.length), { maxLength: 12 }), (cuts) => {
@@ -28,7 +28,7 @@
     );
   });
 
-  it("keeps what follows the last whole event apart", () => {
+  it("holds back the bytes after the last complete event", () => {
     const buffer = createEventBuffer("7");
     expect(buffer.push(Buffer.from("id: 8\nda")).length).toEqual(0);
     expect([buffer.remainder().toString(), buffer.lastId()]).toEqual(["id: 8\nda", "7"]);
--- a/src/coordination/forwarding/feedFollower.test.ts
+++ b/src/coordination/forwarding/feedFollower.test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from "node:test";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as nextTick } from "node:timers/promises";
 import { expect } from "earl";
 import { platformError } from "../../protocol/errors.ts";
 import { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
@@ -11,7 +11,7 @@
 import { createStoreEpochs } from "../../state/storeEpochs.ts";
 import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
 
-/** A feed whose reads a test answers one by one. */
+/** A feed with scripted responses to its reads; further reads stay open. */
 class ScriptedFeed extends RecordFeed<string> {
   readonly asked: string[] = [];
   answers: (FeedPage<string> | Promise<FeedPage<string>> | Error)[] = [];
@@ -68,69 +68,69 @@
     apply: ({ next }) => seen.push(`to ${next.offsetIn(next.epoch)}`),
     confirm: (at) => seen.push(`proof ${at}`),
   });
-  const turns = async (): Promise<void> => {
-    for (let count = 0; count < 20; count += 1) await nextTurn();
+  const settle = async (): Promise<void> => {
+    for (let count = 0; count < 20; count += 1) await nextTick();
   };
-  return { clock, feed, epochs, seen, follower, turns };
+  return { clock, feed, epochs, seen, follower, settle };
 };
 
-describe("following a feed", () => {
-  it("reads everything first, and takes nothing for proved before the log was read to its end", async () => {
-    const { feed, seen, turns } = start([page(5, true), page(7, false), page(8, true)]);
-    await turns();
+describe("feed follower", () => {
+  it("reads every key first, and confirms nothing before it has read the log to its end", async () => {
+    const { feed, seen, settle } = start([page(5, true), page(7, false), page(8, true)]);
+    await settle();
     expect(feed.asked).toEqual(["newest", "from 5 wait 0", "from 7 wait 0", "from 8 wait 900"]);
     expect(seen).toEqual(["all 1", "to 7", "to 8", "proof 100"]);
   });
 
-  it("reads everything anew where records were trimmed before they were read", async () => {
+  it("reads every key again if records were trimmed before it read them", async () => {
     const expired = platformError("trimmed", "expired", false);
-    const { clock, feed, seen, turns } = start([page(5, true), page(6, true), expired, page(20, true)]);
-    await turns();
+    const { clock, feed, seen, settle } = start([page(5, true), page(6, true), expired, page(20, true)]);
+    await settle();
     clock.advanceTo(1_000);
-    await turns();
+    await settle();
     expect(feed.asked.slice(2)).toEqual(["from 6 wait 900", "newest", "from 20 wait 0"]);
     expect(seen).toEqual(["all 1", "to 6", "proof 100", "all 1"]);
   });
 
-  it("counts a proof from before its read, and has none from a read that failed", async () => {
+  it("confirms as of the time when a read was sent, and not after a failed read", async () => {
     const lost = platformError("no answer", "unreachable", false);
-    const { clock, feed, seen, turns } = start([page(5, true), page(6, true), lost, lost]);
-    await turns();
+    const { clock, feed, seen, settle } = start([page(5, true), page(6, true), lost, lost]);
+    await settle();
     clock.advanceTo(150);
-    await turns();
+    await settle();
     feed.answers = [page(6, true)];
     clock.advanceTo(400);
-    await turns();
+    await settle();
     const proofs = seen.filter((line) => line.startsWith("proof"));
     expect(proofs[0]).toEqual("proof 100");
     expect(proofs.length).toEqual(2);
   });
 
-  // The read that was held would otherwise be waited for, and its offset kept.
-  it("reads everything anew in a new epoch, without waiting for the read that is held back", async () => {
-    const { feed, epochs, seen, turns } = start([page(5, true), page(6, true)]);
-    await turns();
+  // Guards against waiting for the open long poll of the old epoch, and then continuing from its offset.
+  it("reads every key again in a new epoch, without waiting for an open long poll", async () => {
+    const { feed, epochs, seen, settle } = start([page(5, true), page(6, true)]);
+    await settle();
     expect(feed.asked.at(-1)).toEqual("from 6 wait 900");
     feed.answers = [page(2, true, "copy", 2), page(3, true, "copy", 2)];
     epochs.observe(2);
-    await turns();
+    await settle();
     expect(feed.asked.slice(-3)).toEqual(["newest", "from 2 wait 0", "from 3 wait 900"]);
     expect(seen.slice(-3)).toEqual(["all 1", "to 3", "proof 100"]);
   });
 
-  it("takes a log that ends before its position for a fault, and not for the end of what is new", async () => {
+  it("treats a log that ends before its position as a fault, and not as up to date", async () => {
     const beyond = platformError("ends before", "beyond_end", false);
-    const { clock, feed, seen, turns } = start([page(5, true), page(6, true), beyond, page(3, true)]);
-    await turns();
+    const { clock, feed, seen, settle } = start([page(5, true), page(6, true), beyond, page(3, true)]);
+    await settle();
     clock.advanceTo(1_000);
-    await turns();
+    await settle();
     expect(feed.asked.slice(2)).toEqual(["from 6 wait 900", "newest", "from 3 wait 0"]);
     expect(seen).toEqual(["all 1", "to 6", "proof 100", "all 1"]);
   });
 
-  it("keeps its position where a check of an earlier epoch is answered late", async () => {
-    const { feed, epochs, follower, turns } = start([page(5, true), page(6, true)]);
-    await turns();
+  it("keeps its position when the response to a check of an earlier epoch arrives late", async () => {
+    const { feed, epochs, follower, settle } = start([page(5, true), page(6, true)]);
+    await settle();
     let answerLate: (late: FeedPage<string>) => void = () => undefined;
     feed.answers = [
       new Promise((resolve) => {
@@ -138,10 +138,10 @@
       }),
     ];
     const checked = follower.check();
-    await turns();
+    await settle();
     feed.answers = [page(2, true, "copy", 2), page(3, true, "copy", 2)];
     epochs.observe(2);
-    await turns();
+    await settle();
     answerLate(page(9, true, "late", 1));
     expect(await checked).toEqual(false);
     expect(follower.position()).toEqual(new StorePosition(2, 3));
--- a/src/coordination/forwarding/proofModel.test.ts
+++ b/src/coordination/forwarding/proofModel.test.ts
@@ -1,7 +1,8 @@
 /**
- * A model of how proofs of the configuration pass between routers: random schedules of publications, reads that
- * come late, restarts, freezes, slow and lost datagrams, on the real modules under a test's clock. The property is
- * the one that keys rest on: nobody has proof of a version for a moment at which a newer one was published.
+ * Model-based test of how routers exchange proofs that the configuration is current: random schedules of
+ * publications, late reads, restarts, freezes, slow and lost datagrams run on the real modules under a manual clock.
+ * The revocation of keys depends on this property: no router has a proof for a version as of a time when a newer one
+ * was published.
  */
 import { describe, it } from "node:test";
 import { expect } from "earl";
@@ -19,7 +20,7 @@
 
 const routerCount = 3;
 
-/** One router's process; its own clock begins at 0. */
+/** A process of a router, with a clock of its own that starts at 0. */
 interface Process {
   readonly startedAt: number;
   readonly configuration: ConfigurationState;
@@ -94,7 +95,7 @@
 
   const processes = entries.map((_, index) => start(index));
 
-  /** A read that is sent now and answered later, by what the store held when it was sent. */
+  /** A read whose response arrives later, with what the store held when the read was sent. */
   const read = ({ configuration, startedAt }: Process, delay: number): void => {
     const askedAt = clock.monotonic() - startedAt;
     const version = publishedAt.length;
@@ -109,7 +110,7 @@
     processes[index] = start(index);
   };
 
-  const carryOut = (next: Action): void => {
+  const perform = (next: Action): void => {
     if (next.kind === "wait") clock.advanceTo(clock.monotonic() + next.time);
     else if (next.kind === "publish") publishedAt.push(clock.monotonic());
     else if (next.kind === "restart") restart(next.router);
@@ -122,7 +123,7 @@
     }
   };
 
-  /** Routers whose proof reaches beyond the publication of a newer version. */
+  /** @returns Descriptions of routers with a proof for a time after a newer version was published. */
   const findWrongProofs = (): readonly string[] =>
     processes.flatMap(({ configuration, startedAt }, index) => {
       const version = configuration.table()?.configuration.version;
@@ -134,16 +135,16 @@
         : [`router-${index}: version ${version}, ${provenAt - supersededAt} ms`];
     });
 
-  return { carryOut, findWrongProofs };
+  return { perform, findWrongProofs };
 };
 
-describe("proofs of the configuration between routers", () => {
-  it("never reach beyond the publication of a newer version, whatever is late, lost, frozen or restarted", () => {
+describe("proofs of the configuration exchanged between routers", () => {
+  it("never hold past the publication of a newer version, whatever is late, lost, frozen or restarted", () => {
     fc.assert(
       fc.property(fc.array(action, { minLength: 10, maxLength: 80 }), (actions) => {
         const model = createModel();
         for (const next of actions) {
-          model.carryOut(next);
+          model.perform(next);
           expect(model.findWrongProofs()).toEqual([]);
         }
       }),
--- a/src/coordination/forwarding/replicaMonitor.test.ts
+++ b/src/coordination/forwarding/replicaMonitor.test.ts
@@ -7,22 +7,22 @@
 import { createReplicaHealth } from "./replicaHealth.ts";
 import { startReplicaMonitor } from "./replicaMonitor.ts";
 
-const create = (looksAfter: boolean) => {
+const create = (isResponsible: boolean) => {
   const clock = createManualClock(1_000);
   const replicas = createReplicaTable();
   for (const id of ["a", "b", "c"]) replicas.put(engineEntry(id));
-  const state = { tries: 0, isReachable: false };
+  const state = { probes: 0, isReachable: false };
   startReplicaMonitor({
     replicas,
     client: {
       tryConnection: () => {
-        state.tries += 1;
+        state.probes += 1;
         return Promise.resolve(state.isReachable ? "made" : "silent");
       },
     },
     health: createReplicaHealth(replicas, clock),
     clock,
-    isResponsibleFor: () => looksAfter,
+    isResponsibleFor: () => isResponsible,
   });
   const run = async (milliseconds: number): Promise<void> => {
     for (let passed = 0; passed < milliseconds; passed += 50) {
@@ -35,38 +35,38 @@
   return { state, run, replica };
 };
 
-describe("watching replicas that can't be reached", () => {
-  it("tries one again and again where this router looks after it, until it can be reached", async () => {
+describe("replica monitor", () => {
+  it("keeps probing an unreachable replica that this router is responsible for, until it is reachable", async () => {
     const { state, run, replica } = create(true);
     replica.requests = 1;
     await run(500);
     expect(replica.isUnreachable).toEqual(true);
     replica.requests = 0;
-    state.tries = 0;
+    state.probes = 0;
     await run(4_000);
-    expect(state.tries).toBeGreaterThan(5);
+    expect(state.probes).toBeGreaterThan(5);
     state.isReachable = true;
     await run(1_000);
     expect(replica.isUnreachable).toEqual(false);
   });
 
-  it("finds one that owes an answer, and leaves it to its owner from then on", async () => {
+  it("detects an unreachable replica that owes a response, and leaves further probes to its owner", async () => {
     const { state, run, replica } = create(false);
     replica.requests = 1;
     await run(500);
     expect(replica.isUnreachable).toEqual(true);
     replica.requests = 0;
-    state.tries = 0;
+    state.probes = 0;
     await run(4_000);
-    expect(state.tries).toEqual(0);
+    expect(state.probes).toEqual(0);
   });
 
-  it("tries one that another router can't reach before it believes it", async () => {
+  it("probes a replica that another router reports as unreachable before marking it as such", async () => {
     const { state, run, replica } = create(true);
     state.isReachable = true;
     replica.isSuspected = true;
     await run(500);
-    expect([state.tries, replica.isUnreachable, replica.isSuspected]).toEqual([1, false, false]);
+    expect([state.probes, replica.isUnreachable, replica.isSuspected]).toEqual([1, false, false]);
     state.isReachable = false;
     replica.isSuspected = true;
     await run(500);
--- a/src/coordination/forwarding/retryShare.test.ts
+++ b/src/coordination/forwarding/retryShare.test.ts
@@ -5,8 +5,8 @@
 import { createManualClock } from "../manualClock.ts";
 import { createRetryShare } from "./retryShare.ts";
 
-describe("a router's share of retries", () => {
-  it("keeps the sum over all routers within the bound of every window", () => {
+describe("a router's share of the retry budget", () => {
+  it("keeps the retries of all routers together within the budget in every window", () => {
     const step = fc.record({
       router: fc.nat(5),
       after: fc.nat(400),
@@ -33,7 +33,7 @@
         for (const end of retries) {
           const within = (times: readonly number[], length: number): number =>
             times.filter((at) => at > end - length && at <= end).length;
-          // Requests of the window before count too by the bound; the window itself is the stricter reading.
+          // The budget counts the requests of the window before, too.
           const allowed = bounds.retryRatio * within(requests, 2 * bounds.retryWindow) + bounds.retryReserve;
           expect(within(retries, bounds.retryWindow) <= allowed).toEqual(true);
         }
@@ -42,7 +42,7 @@
     );
   });
 
-  it("is the smaller the more routers may serve", () => {
+  it("shrinks as the number of routers grows", () => {
     const taken = (routers: number): number => {
       const share = createRetryShare({ clock: createManualClock(), bounds, routerCount: () => routers });
       let count = 0;
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -43,7 +43,7 @@
     });
     return { self, replicas, configuration, peers, newer, noted };
   });
-  /** A new process in a router's place, whose clock has only just begun. */
+  /** Starts a new process in place of a router, with a clock that starts at 0. */
   const restart = (self: (typeof entries)[number]) => {
     const startedAt = clock.monotonic();
     const ownClock = { ...clock, monotonic: () => clock.monotonic() - startedAt };
@@ -69,8 +69,8 @@
   return { clock, network, entries, routers, run, restart, first, second };
 };
 
-describe("routers that talk to one another", () => {
-  it("meet where one of them knows the other, and count each other's work", () => {
+describe("router peers", () => {
+  it("find each other when one knows the other, and count each other's work", () => {
     const { first, second, run, entries } = create(["a", "b"]);
     second.peers.add(entries);
     const engine = first.replicas.get("engine");
@@ -86,7 +86,7 @@
     });
   });
 
-  it("do not count the work of a router that has fallen silent, but keep its share of limits", () => {
+  it("ignore the work of an unreachable router, but count it as serving until it expires", () => {
     const { first, second, run, entries, network } = create(["a", "b"]);
     second.peers.add(entries);
     const engine = first.replicas.get("engine");
@@ -100,14 +100,14 @@
     expect(second.peers.countServing()).toEqual(1);
   });
 
-  it("vouch for a configuration no longer than their own proof lasts, counted from what they echo", () => {
+  it("prove a configuration no later than their own proof, counted from the message that they echo", () => {
     const { first, second, run, entries, clock, network } = create(["a", "b"]);
     second.peers.add(entries);
     network.delay = 40;
     const provenAt = clock.monotonic();
     first.configuration.confirm(provenAt);
     run(3_000);
-    // The peer's word can never be newer than the proof that it has.
+    // A proof that is passed on can't be newer than the proof of the peer.
     expect(second.configuration.provenAt() <= provenAt).toEqual(true);
     expect(second.configuration.provenAt() > provenAt - 1_000).toEqual(true);
   });
@@ -119,7 +119,7 @@
     run(9_000);
     first.configuration.confirm(clock.monotonic());
     run(600);
-    // The process at b starts anew with a clock that begins at 0; what is on its way to it echoes the old clock.
+    // The process at b restarts with a clock that starts at 0; messages in flight to it echo the old clock.
     network.delay = 300;
     run(700);
     const again = restart(second.self);
@@ -129,7 +129,7 @@
     }
   });
 
-  it("do not vouch for another version, and say that there is a newer one", () => {
+  it("do not prove another version, and report that there is a newer one", () => {
     const { first, second, run, entries, clock } = create(["a", "b"]);
     second.peers.add(entries);
     first.configuration.apply(pageOf({ kind: "configuration", configuration: configurationOf(2) }, 1));
@@ -150,7 +150,7 @@
       second.configuration.confirm(clock.monotonic());
       run(200);
     }
-    // The peer's proof is fresh by this router's word.
+    // The first router's configuration is fresh by the proofs of the second one alone.
     expect(first.configuration.age() < 1_000).toEqual(true);
     expect([first.peers.dutyCandidates(2_500), second.peers.dutyCandidates(2_500)]).toEqual([["b"], ["b"]]);
     first.configuration.confirm(clock.monotonic());
@@ -158,7 +158,7 @@
     expect(second.peers.dutyCandidates(2_500).toSorted()).toEqual(["a", "b"]);
   });
 
-  it("take no duties once one stands down, while its share of limits stays", () => {
+  it("give no duties to a router that has stepped down, but still count it as serving", () => {
     const { first, second, run, entries, clock } = create(["a", "b"]);
     second.peers.add(entries);
     first.configuration.confirm(clock.monotonic());
@@ -170,7 +170,7 @@
     expect(second.peers.countServing()).toEqual(2);
   });
 
-  it("tell how long weights have been wanted", () => {
+  it("announce how long weights have been wanted", () => {
     const { first, second, run, entries, clock } = create(["a", "b"]);
     const weights = pageOf({ kind: "weights", target: { model: "m", version: 2 } }, 1);
     first.configuration.apply(weights);
@@ -182,7 +182,7 @@
     expect(age >= 5_900 && age <= 6_100).toEqual(true);
   });
 
-  it("hear one another also where there are so many that messages come rarely", () => {
+  it("stay live when there are so many that messages are rare", () => {
     const names = Array.from({ length: 40 }, (_, index) => `r${index}`);
     const { routers, run, entries } = create(names);
     for (const { peers } of routers) peers.add(entries);
@@ -193,7 +193,7 @@
     }
   });
 
-  it("hear one another over data centres where they are many, and tell weights and changes to all at once", () => {
+  it("stay live across data centres when they are many, and announce weight changes to all at once", () => {
     const names = Array.from({ length: 68 }, (_, index) => `r${index}`);
     const { routers, run, entries, clock } = create(names, (index) => `centre-${index % 4}`);
     for (const { peers } of routers) peers.add(entries);
@@ -211,11 +211,11 @@
     for (const { peers } of routers) expect(peers.live().length).toEqual(68);
   });
 
-  it("divide duties among those of a data centre", () => {
+  it("divide duties among the routers of a data centre", () => {
     const names = Array.from({ length: 40 }, (_, index) => `r${index}`);
     const system = create(names, (index) => (index < 25 ? "here" : "there"));
     const { routers, entries, clock } = system;
-    /** All read the store while time passes: who doesn't reach it takes no duties. */
+    /** All routers read the store while time passes, since one that does not reach it takes no duties. */
     const run = (milliseconds: number): void => {
       for (let passed = 0; passed < milliseconds; passed += 500) {
         for (const { configuration } of routers) configuration.confirm(clock.monotonic());
@@ -232,7 +232,7 @@
     expect(routers.filter(({ peers }) => peers.isReader()).length).toEqual(6);
   });
 
-  it("send no more messages a second however many there are, and fewer to other data centres", () => {
+  it("send no more messages per second however many there are", () => {
     const sentBy = (count: number): number => {
       const names = Array.from({ length: count }, (_, index) => `r${index}`);
       const system = create(names, (index) => `centre-${index % 4}`);
@@ -253,7 +253,7 @@
     expect(sentBy(60)).toBeLessThanOrEqual(most);
   });
 
-  it("tell a new prompt part once", () => {
+  it("announce a new prompt part once", () => {
     const { first, second, run, entries } = create(["a", "b"]);
     second.peers.add(entries);
     run(1_000);
