--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -13,7 +13,7 @@
   countComputedTokens,
   createReplicaOwners,
 } from "../../src/coordination/replicaOwners/replicaOwners.ts";
-import { createKeeping } from "../../src/coordination/keepers/keeping.ts";
+import { createKeyCoordination } from "../../src/coordination/coordinators/keyCoordination.ts";
 import { createReplicaLimits } from "../../src/coordination/replicaLimits/replicaLimits.ts";
 import { noEpochs } from "../../src/coordination/storeEpochs/recoveryWindow.ts";
 import { createShutdown } from "../../src/coordination/forwarding/shutdown.ts";
@@ -165,12 +165,12 @@
     peers,
     cacheStores: () => configuration.table()?.cacheStores ?? [],
   });
-  const keeping = createKeeping({
+  const keeping = createKeyCoordination({
     self,
     link,
     clock,
     others: peers.serving,
-    nearestTo: (subject) => replicas.get(subject)?.entry.dataCentre,
+    nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
     random,
   });
   const cacheStore = followCacheStores({
@@ -191,7 +191,13 @@
       owners,
       cacheStore,
       limits: noUsageLimits,
-      replicaLimits: createReplicaLimits({ keeping, replicas, clock, tell: peers.tellLimit, random }),
+      replicaLimits: createReplicaLimits({
+        coordination: keeping,
+        replicas,
+        clock,
+        announce: peers.tellLimit,
+        random,
+      }),
       quarantine: noQuarantine,
     },
     admit: createRequestAdmission(configuration, bounds, clock),
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -8,9 +8,9 @@
 import type { Clock } from "../clock.ts";
 import { createStopper } from "../requests/stopper.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
-import type { Turn } from "../replicaLimits/replicaLimits.ts";
-import type { TurnSearch } from "../replicaLimits/turnSearch.ts";
-import { createTurnSearch } from "../replicaLimits/turnSearch.ts";
+import type { Grant } from "../replicaLimits/replicaLimits.ts";
+import type { GrantSearch } from "../replicaLimits/grantSearch.ts";
+import { createGrantSearch } from "../replicaLimits/grantSearch.ts";
 import type { Availability } from "../replicaReports/availability.ts";
 import type { ReplicaOwners } from "../replicaOwners/replicaOwners.ts";
 import type { RequestAdmission } from "./requestAdmission.ts";
@@ -80,7 +80,7 @@
     run: ForwardRun,
     choice: PlacementChoice,
     lastEventId: string | undefined,
-    grant: Turn | undefined,
+    grant: Grant | undefined,
   ): Promise<StartedAnswer> => {
     const { request, admission, deadline } = run;
     const stopper = createStopper(run.stopper);
@@ -111,10 +111,16 @@
     run: ForwardRun,
     excluded: ReadonlySet<string>,
     isWide: boolean,
-    search: TurnSearch,
+    search: GrantSearch,
   ): Promise<readonly ReplicaState[]> => {
     const { request, admission } = run;
-    const { replicas, keys } = placement.shortlist(request, admission, excluded, isWide, search.limited());
+    const { replicas, keys } = placement.shortlist(
+      request,
+      admission,
+      excluded,
+      isWide,
+      search.limitedChoice(),
+    );
     const askedAt = clock.monotonic();
     const known = await owners.ask(replicas, keys);
     run.noteOwnerQuery(replicas.length, known.length, Math.round(clock.monotonic() - askedAt));
@@ -125,9 +131,9 @@
     { request, admission }: ForwardRun,
     excluded: ReadonlySet<string>,
     among: readonly ReplicaState[] | undefined,
-    search: TurnSearch,
+    search: GrantSearch,
   ): PlacementChoice | PlacementFailure =>
-    placement.choose(request, admission, excluded, among, search.limited());
+    placement.choose(request, admission, excluded, among, search.limitedChoice());
 
   const noteNoReplica = ({ request, admission }: ForwardRun, reason: PlacementFailure): void =>
     writeLog("no_replica", { request: request.id, service: admission.service.name, reason });
@@ -135,7 +141,7 @@
   const finalFailure = (
     run: ForwardRun,
     failure: UpstreamError | undefined,
-    search: TurnSearch,
+    search: GrantSearch,
   ): RequestError => {
     if (run.stopper.reason() === "deadline") return failures.deadlineExceeded(run.mayHaveRun(), failure);
     if (run.mayHaveRun()) return failures.outcomeUnknown(failure);
@@ -160,10 +166,10 @@
     let errorAnswer: StartedAnswer | undefined;
     let hasWaited = false;
     let isWide = false;
-    const search = createTurnSearch();
+    const search = createGrantSearch();
     // Checked before each attempt, also one that resumes a stream: the previous one may have shown that the request
     // crashes replicas.
-    while (!quarantine.isHeld(run.request) && !search.isOver()) {
+    while (!quarantine.isHeld(run.request) && !search.isExhausted()) {
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
       const known = owners.isNeeded() ? await queryOwners(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -16,7 +16,7 @@
 import { createAvailability } from "../replicaReports/availability.ts";
 import { createReplicaGate } from "../replicaReports/replicaGate.ts";
 import { createReportObserver } from "../replicaReports/reportObserver.ts";
-import type { UsageCounting } from "../usageLimits/usageLimits.ts";
+import type { UsageLimits } from "../usageLimits/usageLimits.ts";
 import type { RequestAdmission } from "./requestAdmission.ts";
 import { createAnswerCheck } from "./answerCheck.ts";
 import type { AttemptLoopDependencies } from "./attemptLoop.ts";
@@ -54,7 +54,7 @@
   >;
   readonly owners: Pick<ReplicaOwners, "isNeeded" | "isOwn" | "ask" | "reports">;
   readonly cacheStore: Pick<CacheStoreFollower, "usable">;
-  readonly limits: UsageCounting;
+  readonly limits: UsageLimits;
   readonly replicaLimits: ReplicaLimits;
   readonly quarantine: QuarantineChecks;
 }
--- a/src/coordination/forwarding/failures.ts
+++ b/src/coordination/forwarding/failures.ts
@@ -49,7 +49,7 @@
    *
    * @param milliseconds - Until it may be tried again.
    */
-  quarantined: (milliseconds: number): RequestError => refusals.heldBack(milliseconds / 1_000),
+  quarantined: (milliseconds: number): RequestError => refusals.quarantined(milliseconds / 1_000),
   /**
    * The rate limits that the replicas report leave no room for the request.
    *
--- a/src/coordination/forwarding/limitGrants.ts
+++ b/src/coordination/forwarding/limitGrants.ts
@@ -4,8 +4,8 @@
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import type { ReplicaLimits, Turn } from "../replicaLimits/replicaLimits.ts";
-import type { TurnSearch } from "../replicaLimits/turnSearch.ts";
+import type { ReplicaLimits, Grant } from "../replicaLimits/replicaLimits.ts";
+import type { GrantSearch } from "../replicaLimits/grantSearch.ts";
 import { failures } from "./failures.ts";
 import type { ForwardRun } from "./forwardRun.ts";
 import type { PlacementChoice } from "./placementTypes.ts";
@@ -25,8 +25,8 @@
   readonly acquire: (
     run: ForwardRun,
     choice: PlacementChoice,
-    search: TurnSearch,
-  ) => Promise<Turn | undefined>;
+    search: GrantSearch,
+  ) => Promise<Grant | undefined>;
   /** @returns The error for a request for which the limits leave no room. */
   readonly refuse: (run: ForwardRun) => RequestError;
 }
@@ -35,9 +35,9 @@
 export const createLimitGrants = ({ limits, metrics, clock }: LimitGrantsDependencies): LimitGrants => ({
   acquire: async ({ admission, deadline, stopper }, { replica }, search) => {
     const timeLeft = deadline - clock.monotonic();
-    const grant = await limits.take(replica, search.patience(timeLeft, admission.route.latencyObjective));
+    const grant = await limits.take(replica, search.maxWait(timeLeft, admission.route.latencyObjective));
     if (grant === undefined) {
-      search.noteNoTurn(replica.entry.id);
+      search.noteRefused(replica.entry.id);
       return undefined;
     }
     metrics.count(metricNames.underLimit);
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -11,7 +11,7 @@
 import { askedPlain } from "../replicaOwners/constants.ts";
 import { failurePenaltyShare, remotePenalty } from "./constants.ts";
 import type { EnginePlacement } from "./enginePlacement.ts";
-import { scarcity } from "../replicaLimits/constants.ts";
+import { limitPenalty } from "../replicaLimits/constants.ts";
 import type { LimitedChoice, PlacementChoice, PlacementFailure, Shortlist } from "./placementTypes.ts";
 import { pickSome } from "./pickSome.ts";
 import { rankByCost } from "./rankByCost.ts";
@@ -102,7 +102,7 @@
   const scarcityOf = ({ limit }: ReplicaState): number => {
     if (limit === undefined) return 0;
     const age = clock.monotonic() - limit.heardAt;
-    return scarcity.cost * Math.max(0, 1 - age / scarcity.fadesIn);
+    return limitPenalty.cost * Math.max(0, 1 - age / limitPenalty.decayTime);
   };
 
   const isNear = ({ entry }: ReplicaState): boolean => entry.dataCentre === parts.dataCentre;
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -261,7 +261,7 @@
   };
 
   const audience = (): readonly Peer[] => (peers.isLarge() ? [] : peers.all().filter(peers.mayServe));
-  const broadcastBackoff = createBackoffExchange({ ...dependencies, audience });
+  const broadcastBackoff = createBackoffExchange({ ...dependencies, recipients: audience });
 
   /** Sends this router's state at once to a peer that has just started, which waits for it. */
   const greet = ({ at }: Peer): void => {
--- a/src/coordination/forwarding/usageAdmission.ts
+++ b/src/coordination/forwarding/usageAdmission.ts
@@ -4,11 +4,11 @@
 import { createLogger } from "../../state/log.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import { refusals } from "../requests/refusals.ts";
-import type { UsageCounting } from "../usageLimits/usageLimits.ts";
+import type { UsageLimits } from "../usageLimits/usageLimits.ts";
 import type { ForwardRun } from "./forwardRun.ts";
 
 export interface UsageAdmissionDependencies {
-  readonly limits: UsageCounting;
+  readonly limits: UsageLimits;
   readonly metrics: Metrics;
 }
 
@@ -43,7 +43,7 @@
       const { organisation } = run.admission;
       if (organisation?.limit === undefined) return;
       const amount = usageOf(run.request, organisation.limit);
-      const wait = await limits.take(organisation.name, amount);
+      const wait = await limits.acquire(organisation.name, amount);
       if (wait === undefined) {
         charged.set(run, amount);
         return;
@@ -62,7 +62,7 @@
       const name = run.admission.organisation?.name;
       if (amount === undefined || name === undefined) return;
       const executions = run.executions();
-      if (executions === 0) limits.giveBack(name, amount);
+      if (executions === 0) limits.refund(name, amount);
       if (executions > 1) limits.charge(name, amount * (executions - 1));
     },
   };
