--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -14,7 +14,7 @@
 import type { Availability } from "../replicaReports/availability.ts";
 import type { ReplicaOwners } from "../replicaOwners/replicaOwners.ts";
 import type { RequestAdmission } from "./requestAdmission.ts";
-import { attemptPatienceShare } from "./constants.ts";
+import { attemptTimeoutShare } from "./constants.ts";
 import { failures } from "./failures.ts";
 import type { ForwardAttempt, StartedAnswer } from "./forwardAttempt.ts";
 import { isSuccess } from "./forwardAttempt.ts";
@@ -73,7 +73,7 @@
    */
   const attemptTimeout = (run: ForwardRun): number | undefined => {
     if (!run.mayRepeat || !run.hasAttemptsLeft()) return undefined;
-    return (run.deadline - clock.monotonic()) * attemptPatienceShare;
+    return (run.deadline - clock.monotonic()) * attemptTimeoutShare;
   };
 
   const attemptOnce = async (
--- a/src/coordination/forwarding/failures.ts
+++ b/src/coordination/forwarding/failures.ts
@@ -3,7 +3,7 @@
 import { requestError } from "../../protocol/errors.ts";
 import type { RequestError, UpstreamError } from "../../protocol/errors.ts";
 import { refusals } from "../requests/refusals.ts";
-import { comeBack, longestComeBackShare } from "./constants.ts";
+import { refusalRetryAfter, maxRetryAfterShare } from "./constants.ts";
 
 /**
  * The time to wait is at most a share of the time that the caller has left.
@@ -12,7 +12,7 @@
  * @returns Seconds.
  */
 const comeBackAfter = (left: number): number =>
-  Math.max(0.05, Math.min(comeBack.soon, (Math.max(0, left) / 1_000) * longestComeBackShare));
+  Math.max(0.05, Math.min(refusalRetryAfter.soon, (Math.max(0, left) / 1_000) * maxRetryAfterShare));
 
 /** Factories of the errors, one for each reason. */
 export const failures = {
@@ -84,7 +84,7 @@
       status: 503,
       code: "shutting_down",
       outcome: outcomes.notRun,
-      retryAfterSeconds: comeBack.soon,
+      retryAfterSeconds: refusalRetryAfter.soon,
     }),
   /** The response was lost after a replica may have run the request. */
   outcomeUnknown: (cause: UpstreamError | undefined): RequestError =>
@@ -103,7 +103,12 @@
         )
       : requestError(
           "The request could not be started in time; it has not run.",
-          { status: 503, code: "not_started", outcome: outcomes.notRun, retryAfterSeconds: comeBack.soon },
+          {
+            status: 503,
+            code: "not_started",
+            outcome: outcomes.notRun,
+            retryAfterSeconds: refusalRetryAfter.soon,
+          },
           cause,
         ),
 } as const;
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -8,10 +8,10 @@
 import {
   messagesPerInterval,
   nearMessageShare,
-  peerMemory,
-  peersAtShortestInterval,
-  routersPerHolder,
-  peerSilence,
+  peerServingTimeout,
+  maxPeersAtShortestInterval,
+  routersPerDutyHolder,
+  peerTimeout,
 } from "./constants.ts";
 
 /** One other router. Times are milliseconds on this process's monotonic clock. */
@@ -85,7 +85,7 @@
 ): PeerTable => {
   const peers = new Map<string, Peer>();
 
-  const isLarge = (): boolean => peers.size > peersAtShortestInterval;
+  const isLarge = (): boolean => peers.size > maxPeersAtShortestInterval;
   /** Computed when peers are added or removed, since every check of a peer uses them. */
   let intervalFactors = { near: 1, far: 1 };
 
@@ -101,10 +101,10 @@
 
   const intervalFactor = (isNear: boolean): number => (isNear ? intervalFactors.near : intervalFactors.far);
   const isLive = (peer: Peer): boolean =>
-    !peer.isShuttingDown && clock.monotonic() - peer.lastSeenAt < peerSilence * intervalFactor(peer.isNear);
+    !peer.isShuttingDown && clock.monotonic() - peer.lastSeenAt < peerTimeout * intervalFactor(peer.isNear);
   /** Longer than the time after which a peer is not live, also where intervals between messages are long. */
   const retentionOf = ({ isNear }: Peer): number =>
-    Math.max(peerMemory, 2 * peerSilence * intervalFactor(isNear));
+    Math.max(peerServingTimeout, 2 * peerTimeout * intervalFactor(isNear));
   const mayServe = (peer: Peer): boolean =>
     !peer.isShuttingDown && clock.monotonic() - Math.max(peer.lastSeenAt, peer.addedAt) < retentionOf(peer);
 
@@ -146,7 +146,7 @@
     const candidates = hasSteppedDown ? names : [self, ...names];
     return rendezvousOrder(duty, candidates).slice(
       0,
-      Math.min(maxHolders, Math.ceil(candidates.length / routersPerHolder)),
+      Math.min(maxHolders, Math.ceil(candidates.length / routersPerDutyHolder)),
     );
   };
 
--- a/src/coordination/forwarding/replicaMonitor.ts
+++ b/src/coordination/forwarding/replicaMonitor.ts
@@ -8,7 +8,12 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
-import { reachProbeTimeout, silenceLimit, unreachableProbeInterval, watchInterval } from "./constants.ts";
+import {
+  connectionProbeTimeout,
+  idleTimeBeforeProbe,
+  unreachableProbeInterval,
+  replicaMonitorInterval,
+} from "./constants.ts";
 import type { ReplicaHealth } from "./replicaHealth.ts";
 
 export interface ReplicaMonitorDependencies {
@@ -39,7 +44,7 @@
     const { entry } = replica;
     probing.add(entry.id);
     replica.isSuspected = false;
-    const isReachable = (await client.tryConnection(entry, reachProbeTimeout)) === "made";
+    const isReachable = (await client.tryConnection(entry, connectionProbeTimeout)) === "made";
     probing.delete(entry.id);
     if (replicas.get(entry.id) !== replica) return;
     replica.quietSince = clock.monotonic();
@@ -54,7 +59,7 @@
     const idleTime = now - replica.quietSince;
     if (replica.isSuspected) return true;
     if (replica.isUnreachable) return idleTime > unreachableProbeInterval && isResponsibleFor(replica);
-    return replica.requests > 0 && idleTime > silenceLimit;
+    return replica.requests > 0 && idleTime > idleTimeBeforeProbe;
   };
 
   const poll = (): void => {
@@ -65,9 +70,9 @@
       if (isDue(replica, now) && !probing.has(replica.entry.id)) void probe(replica);
     }
     // Without work, a request that begins now can't be overdue before the next poll.
-    cancelPoll = clock.after(hasWork ? watchInterval : silenceLimit, poll);
+    cancelPoll = clock.after(hasWork ? replicaMonitorInterval : idleTimeBeforeProbe, poll);
   };
-  let cancelPoll = clock.after(watchInterval, poll);
+  let cancelPoll = clock.after(replicaMonitorInterval, poll);
 
   return {
     [Symbol.asyncDispose]: () => {
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -18,7 +18,7 @@
 import type { ConfigurationState } from "./configurationState.ts";
 import { createBackoffExchange } from "../replicaReports/backoffExchange.ts";
 import { storeReaders } from "../storeReading/constants.ts";
-import { newsGathering, newsGatheringOfMany, peerIntervals } from "./constants.ts";
+import { updateDelay, largeFleetUpdateDelay, peerMessageIntervals } from "./constants.ts";
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { createPeerTable } from "./peerTable.ts";
 import type { Audience } from "./routerUpdates.ts";
@@ -226,14 +226,14 @@
 
   /** Sends updates to all peers after a short delay, so that those that follow closely share the message. */
   const sendSoon = (): void => {
-    cancelUpdates ??= clock.after(peers.isLarge() ? newsGatheringOfMany : newsGathering, sendAll);
+    cancelUpdates ??= clock.after(peers.isLarge() ? largeFleetUpdateDelay : updateDelay, sendAll);
   };
 
   const isDue = (group: PeerGroup): boolean => {
     const since = clock.monotonic() - group.sentAt;
     const intervalFactor = peers.intervalFactor(group.audience === "near");
-    if (since < peerIntervals.shortest * intervalFactor) return false;
-    if (since >= peerIntervals.longest * intervalFactor) return true;
+    if (since < peerMessageIntervals.shortest * intervalFactor) return false;
+    if (since >= peerMessageIntervals.longest * intervalFactor) return true;
     return updates.hasHolders(group.audience) || JSON.stringify(announcedWork()) !== group.sentWork;
   };
 
@@ -247,7 +247,7 @@
     liveCount = 1 + livePeerNames().length;
     groups.filter(isDue).forEach(sendTo);
     const factor = Math.min(...audiences.map((audience) => peers.intervalFactor(audience === "near")));
-    cancelTick = clock.after(peerIntervals.shortest * factor, tick);
+    cancelTick = clock.after(peerMessageIntervals.shortest * factor, tick);
   };
 
   const announceSoon = (add: () => void): void => {
--- a/src/coordination/forwarding/routerUpdates.ts
+++ b/src/coordination/forwarding/routerUpdates.ts
@@ -11,7 +11,7 @@
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
-import { mostHolderNews, newsRepetition } from "./constants.ts";
+import { maxHolderUpdatesPerMessage, updateRepetitionTime } from "./constants.ts";
 import type { HolderDependencies } from "./applyAnnouncedHolders.ts";
 import { applyAnnouncedHolders } from "./applyAnnouncedHolders.ts";
 import { createUpdates } from "./updates.ts";
@@ -45,10 +45,10 @@
 
 /** Creates an empty set of updates. */
 export const createRouterUpdates = (clock: Clock): RouterUpdates => {
-  const weights = createUpdates<ToldWeights>(clock, newsRepetition);
-  const changing = createUpdates<number>(clock, newsRepetition);
-  const leaving = createUpdates<true>(clock, newsRepetition);
-  const limited = createUpdates<LimitWord>(clock, newsRepetition);
+  const weights = createUpdates<ToldWeights>(clock, updateRepetitionTime);
+  const changing = createUpdates<number>(clock, updateRepetitionTime);
+  const leaving = createUpdates<true>(clock, updateRepetitionTime);
+  const limited = createUpdates<LimitWord>(clock, updateRepetitionTime);
   const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
 
   return {
@@ -64,7 +64,7 @@
     hasHolders: (audience) => holders[audience].size > 0,
     take: (audience) => {
       const now = clock.monotonic();
-      const announced = [...holders[audience].values()].slice(-mostHolderNews);
+      const announced = [...holders[audience].values()].slice(-maxHolderUpdatesPerMessage);
       holders[audience].clear();
       return {
         weights: weights.entries().map(([, update]) => update),
--- a/src/coordination/forwarding/shutdown.ts
+++ b/src/coordination/forwarding/shutdown.ts
@@ -1,6 +1,6 @@
 /** Graceful shutdown: which requests are still accepted, and when all of them must have ended. */
 import type { Clock } from "../clock.ts";
-import { shutdownTimes } from "./constants.ts";
+import { shutdownPhases } from "./constants.ts";
 import type { ForwardingBounds } from "./types.ts";
 
 export interface Shutdown {
@@ -34,10 +34,10 @@
     },
     isInProgress: () => begunAt !== undefined,
     mayAccept: (deadline) => {
-      if (until(shutdownTimes.acceptShare) > 0) return true;
-      return deadline - clock.monotonic() < until(shutdownTimes.endShare);
+      if (until(shutdownPhases.acceptShare) > 0) return true;
+      return deadline - clock.monotonic() < until(shutdownPhases.endShare);
     },
-    untilBalancerNotices: () => until(shutdownTimes.noticeShare),
-    untilDeadline: () => until(shutdownTimes.endShare),
+    untilBalancerNotices: () => until(shutdownPhases.noticeShare),
+    untilDeadline: () => until(shutdownPhases.endShare),
   };
 };
