--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -174,16 +174,16 @@
     random,
   });
   const cacheStore = followCacheStores({
-    configured: () => configuration.table()?.cacheStores ?? [],
+    configuredStores: () => configuration.table()?.cacheStores ?? [],
     client,
     holders,
     clock,
-    stretch: () => 1,
+    intervalFactor: () => 1,
   });
   const { forwarder } = createDecisions({
     dataCentre: self.dataCentre,
     client,
-    beliefs: {
+    view: {
       configuration,
       replicas,
       holders,
--- a/src/coordination/crashes/crashWatch.ts
+++ b/src/coordination/crashes/crashWatch.ts
@@ -9,7 +9,7 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { reachProbeTimeout } from "../forwarding/constants.ts";
+import { connectionProbeTimeout } from "../forwarding/constants.ts";
 import { crashGathering } from "./constants.ts";
 
 /** What watching works with. */
@@ -41,7 +41,7 @@
   const judge = async (replica: ReplicaState): Promise<void> => {
     const { entry } = replica;
     await pause(clock, crashGathering);
-    const trial = await client.tryConnection(entry, reachProbeTimeout);
+    const trial = await client.tryConnection(entry, connectionProbeTimeout);
     const suspects = gathered.get(entry.id) ?? [];
     gathered.delete(entry.id);
     // A router that is cut off hears nothing from any replica: that none of them listens must be known.
--- a/src/coordination/forwarding/admit.ts
+++ b/src/coordination/forwarding/admit.ts
@@ -11,7 +11,7 @@
 import { refusals } from "../requests/refusals.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
-import { comeBack, revocationMargin } from "./constants.ts";
+import { refusalRetryAfter, revocationMargin } from "./constants.ts";
 import type { Admission, ForwardingBounds } from "./types.ts";
 
 const hashRange = 2 ** 64;
@@ -39,7 +39,7 @@
     status: 503,
     code: "stale_configuration",
     outcome: outcomes.notRun,
-    retryAfterSeconds: comeBack.soon,
+    retryAfterSeconds: refusalRetryAfter.soon,
   });
 
 /** See {@link createAdmit}. */
--- a/src/coordination/forwarding/answerCheck.ts
+++ b/src/coordination/forwarding/answerCheck.ts
@@ -13,7 +13,7 @@
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { Clock } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
-import { doubtTimeout } from "./constants.ts";
+import { weightsCheckTimeout } from "./constants.ts";
 
 const writeLog = createLogger("replicas");
 
@@ -37,7 +37,7 @@
   const readWeights = async (replica: string): Promise<void> => {
     const entry = replicas.get(replica)?.entry;
     if (entry === undefined) return;
-    const status: EngineStatus = await withTimeLimit(clock, undefined, doubtTimeout, (limit) =>
+    const status: EngineStatus = await withTimeLimit(clock, undefined, weightsCheckTimeout, (limit) =>
       client.readStatus(entry, limit),
     );
     if (isOfAnother(entry, status)) return;
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -14,7 +14,7 @@
 import type { Availability } from "../replicaReports/availability.ts";
 import type { ReplicaOwners } from "../replicaOwners/replicaOwners.ts";
 import type { Admit } from "./admit.ts";
-import { attemptPatienceShare } from "./constants.ts";
+import { attemptTimeoutShare } from "./constants.ts";
 import { failures } from "./failures.ts";
 import type { BegunAnswer, ForwardAttempt } from "./forwardAttempt.ts";
 import { isSuccess } from "./forwardAttempt.ts";
@@ -66,7 +66,7 @@
   /** An attempt that another one may follow is not waited for until the end. */
   const attemptLimit = (run: ForwardRun): number | undefined => {
     if (!run.mayRepeat || !run.hasAttemptsLeft()) return undefined;
-    return (run.deadline - clock.monotonic()) * attemptPatienceShare;
+    return (run.deadline - clock.monotonic()) * attemptTimeoutShare;
   };
 
   const attemptOnce = async (
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -44,7 +44,7 @@
 import { createUsageAdmission } from "./usageAdmission.ts";
 
 /** What a router believes, as far as decisions use it. */
-export interface DecisionBeliefs {
+export interface DecisionView {
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
   readonly holders: CacheHolders;
@@ -53,18 +53,18 @@
     "countServing" | "tellHolder" | "tellWork" | "tellLeaving" | "broadcastBackoff"
   >;
   readonly owners: Pick<ReplicaOwners, "isNeeded" | "isOwn" | "ask" | "reports">;
-  readonly cacheStore: Pick<CacheStoreFollower, "usable">;
+  readonly cacheStore: Pick<CacheStoreFollower, "findStore">;
   readonly limits: UsageCounting;
   readonly replicaLimits: ReplicaLimits;
   readonly quarantine: QuarantineChecks;
 }
 
 /** What decisions are made with. */
-export interface DecisionParts {
+export interface DecisionDependencies {
   /** The router's data centre. */
   readonly dataCentre: string;
   readonly client: ReplicaClient;
-  readonly beliefs: DecisionBeliefs;
+  readonly view: DecisionView;
   readonly admit: Admit;
   readonly shutdown: Shutdown;
   readonly bounds: ForwardingBounds;
@@ -84,7 +84,7 @@
 
 /** Lets go of what is known of replicas that leave. */
 const forgetDepartures = (
-  { replicas, holders }: DecisionBeliefs,
+  { replicas, holders }: DecisionView,
   client: ReplicaClient,
   estimates: ReplicaEstimates,
 ): void => {
@@ -98,8 +98,8 @@
 };
 
 /** Creates decisions; silent replicas are watched until they are disposed of. */
-export const createDecisions = (parts: DecisionParts): Decisions => {
-  const { dataCentre, client, beliefs, bounds, policy, clock, metrics, random } = parts;
+export const createDecisions = (parts: DecisionDependencies): Decisions => {
+  const { dataCentre, client, view: beliefs, bounds, policy, clock, metrics, random } = parts;
   const { configuration, replicas, holders, peers, owners, cacheStore, quarantine } = beliefs;
   const resources = createResourceStack();
   const estimates = createReplicaEstimates();
@@ -138,7 +138,7 @@
     holders,
     bounds,
     policy,
-    store: cacheStore.usable,
+    store: cacheStore.findStore,
     saving,
   });
   const attempt = createForwardAttempt({
--- a/src/coordination/forwarding/failures.ts
+++ b/src/coordination/forwarding/failures.ts
@@ -3,11 +3,11 @@
 import { requestError } from "../../protocol/errors.ts";
 import type { RequestError, UpstreamError } from "../../protocol/errors.ts";
 import { refusals } from "../requests/refusals.ts";
-import { comeBack, longestComeBackShare } from "./constants.ts";
+import { refusalRetryAfter, maxRetryAfterShare } from "./constants.ts";
 
 /** Callers wait no longer than a share of what they have left. */
 const comeBackAfter = (left: number): number =>
-  Math.max(0.05, Math.min(comeBack.soon, (Math.max(0, left) / 1_000) * longestComeBackShare));
+  Math.max(0.05, Math.min(refusalRetryAfter.soon, (Math.max(0, left) / 1_000) * maxRetryAfterShare));
 
 export const failures = {
   /** Nothing ran and nothing will. @param left - Milliseconds that the caller still has. */
@@ -58,7 +58,7 @@
       status: 503,
       code: "shutting_down",
       outcome: outcomes.notRun,
-      retryAfterSeconds: comeBack.soon,
+      retryAfterSeconds: refusalRetryAfter.soon,
     }),
   /** A replica may have run it. */
   unknown: (cause: UpstreamError | undefined): RequestError =>
@@ -77,7 +77,12 @@
         )
       : requestError(
           "The request could not be started in time; it has not run.",
-          { status: 503, code: "not_started", outcome: outcomes.notRun, retryAfterSeconds: comeBack.soon },
+          {
+            status: 503,
+            code: "not_started",
+            outcome: outcomes.notRun,
+            retryAfterSeconds: refusalRetryAfter.soon,
+          },
           cause,
         ),
 } as const;
--- a/src/coordination/forwarding/forwardRun.ts
+++ b/src/coordination/forwarding/forwardRun.ts
@@ -5,7 +5,7 @@
 import type { Clock } from "../clock.ts";
 import type { Stopper } from "../requests/stopper.ts";
 import { createStopper } from "../requests/stopper.ts";
-import { mostUnsent } from "./constants.ts";
+import { maxUnsentAttempts } from "./constants.ts";
 import type { PlacementChoice } from "./placementTypes.ts";
 import type { Admission } from "./types.ts";
 
@@ -137,7 +137,7 @@
     skipped: () => skipped,
     mayRepeat: route.kind === "repeatable" || route.kind === "resumableEventStream",
     hasAttemptsLeft: () => sentTo.size < route.maximumAttempts,
-    isUnreachable: () => unsent >= mostUnsent,
+    isUnreachable: () => unsent >= maxUnsentAttempts,
     close: () => {
       callOff();
       signal.removeEventListener("abort", leave);
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -8,10 +8,10 @@
 import {
   messagesPerInterval,
   nearMessageShare,
-  peerMemory,
-  peersAtShortestInterval,
-  routersPerHolder,
-  peerSilence,
+  peerServingTimeout,
+  maxPeersAtShortestInterval,
+  routersPerDutyHolder,
+  peerTimeout,
 } from "./constants.ts";
 
 /** One other router. Times are milliseconds on this process's monotonic clock. */
@@ -76,7 +76,7 @@
 ): PeerTable => {
   const peers = new Map<string, Peer>();
 
-  const isLarge = (): boolean => peers.size > peersAtShortestInterval;
+  const isLarge = (): boolean => peers.size > maxPeersAtShortestInterval;
   /** Computed where peers come and go, since every look at a peer asks for them. */
   let stretches = { near: 1, far: 1 };
 
@@ -92,9 +92,10 @@
 
   const stretch = (isNear: boolean): number => (isNear ? stretches.near : stretches.far);
   const isHeard = (peer: Peer): boolean =>
-    !peer.ends && clock.monotonic() - peer.heardAt < peerSilence * stretch(peer.isNear);
+    !peer.ends && clock.monotonic() - peer.heardAt < peerTimeout * stretch(peer.isNear);
   /** Longer than the silence after which it is not heard, also where messages come rarely. */
-  const memoryOf = ({ isNear }: Peer): number => Math.max(peerMemory, 2 * peerSilence * stretch(isNear));
+  const memoryOf = ({ isNear }: Peer): number =>
+    Math.max(peerServingTimeout, 2 * peerTimeout * stretch(isNear));
   const mayServe = (peer: Peer): boolean =>
     !peer.ends && clock.monotonic() - Math.max(peer.heardAt, peer.addedAt) < memoryOf(peer);
 
@@ -134,7 +135,10 @@
     const near = [...peers.values()].filter((peer) => peer.isNear && isHeard(peer) && !peer.standsDown);
     const names = near.map(({ name }) => name);
     const able = standsDown ? names : [self, ...names];
-    return rendezvousOrder(duty, able).slice(0, Math.min(most, Math.ceil(able.length / routersPerHolder)));
+    return rendezvousOrder(duty, able).slice(
+      0,
+      Math.min(most, Math.ceil(able.length / routersPerDutyHolder)),
+    );
   };
 
   return {
--- a/src/coordination/forwarding/replicaWatch.ts
+++ b/src/coordination/forwarding/replicaWatch.ts
@@ -7,7 +7,12 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
-import { reachProbeTimeout, silenceLimit, unreachableProbeInterval, watchInterval } from "./constants.ts";
+import {
+  connectionProbeTimeout,
+  idleTimeBeforeProbe,
+  unreachableProbeInterval,
+  replicaMonitorInterval,
+} from "./constants.ts";
 import type { ReplicaHealth } from "./replicaHealth.ts";
 
 /** What watching works with. */
@@ -39,7 +44,7 @@
     const { entry } = replica;
     probing.add(entry.id);
     replica.isSuspected = false;
-    const isReachable = (await client.tryConnection(entry, reachProbeTimeout)) === "made";
+    const isReachable = (await client.tryConnection(entry, connectionProbeTimeout)) === "made";
     probing.delete(entry.id);
     if (replicas.get(entry.id) !== replica) return;
     replica.quietSince = clock.monotonic();
@@ -54,7 +59,7 @@
     const quiet = now - replica.quietSince;
     if (replica.isSuspected) return true;
     if (replica.isUnreachable) return quiet > unreachableProbeInterval && looksAfter(replica);
-    return replica.requests > 0 && quiet > silenceLimit;
+    return replica.requests > 0 && quiet > idleTimeBeforeProbe;
   };
 
   const look = (): void => {
@@ -65,9 +70,9 @@
       if (isDue(replica, now) && !probing.has(replica.entry.id)) void probe(replica);
     }
     // What begins now can't be overdue before then.
-    callOff = clock.after(hasWork ? watchInterval : silenceLimit, look);
+    callOff = clock.after(hasWork ? replicaMonitorInterval : idleTimeBeforeProbe, look);
   };
-  let callOff = clock.after(watchInterval, look);
+  let callOff = clock.after(replicaMonitorInterval, look);
 
   return {
     [Symbol.asyncDispose]: () => {
--- a/src/coordination/forwarding/routerNews.ts
+++ b/src/coordination/forwarding/routerNews.ts
@@ -11,7 +11,7 @@
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
-import { mostHolderNews, newsRepetition } from "./constants.ts";
+import { maxHolderUpdatesPerMessage, updateRepetitionTime } from "./constants.ts";
 import type { HolderTakers } from "./toldHolders.ts";
 import { takeHolders } from "./toldHolders.ts";
 import { createNews } from "./news.ts";
@@ -44,10 +44,10 @@
 
 /** Creates news of nothing. */
 export const createRouterNews = (clock: Clock): RouterNews => {
-  const weights = createNews<ToldWeights>(clock, newsRepetition);
-  const changing = createNews<number>(clock, newsRepetition);
-  const leaving = createNews<true>(clock, newsRepetition);
-  const limited = createNews<LimitWord>(clock, newsRepetition);
+  const weights = createNews<ToldWeights>(clock, updateRepetitionTime);
+  const changing = createNews<number>(clock, updateRepetitionTime);
+  const leaving = createNews<true>(clock, updateRepetitionTime);
+  const limited = createNews<LimitWord>(clock, updateRepetitionTime);
   const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
 
   return {
@@ -63,7 +63,7 @@
     hasHolders: (audience) => holders[audience].size > 0,
     take: (audience) => {
       const now = clock.monotonic();
-      const told = [...holders[audience].values()].slice(-mostHolderNews);
+      const told = [...holders[audience].values()].slice(-maxHolderUpdatesPerMessage);
       holders[audience].clear();
       return {
         weights: weights.entries().map(([, news]) => news),
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -5,7 +5,7 @@
 import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { createManualClock } from "../manualClock.ts";
-import { messagesPerInterval, peerIntervals } from "./constants.ts";
+import { messagesPerInterval, peerMessageIntervals } from "./constants.ts";
 import { noEpochs } from "../storeEpochs/recoveryWindow.ts";
 import { createConfigurationState } from "./configurationState.ts";
 import { createRouterPeers } from "./routerPeers.ts";
@@ -248,7 +248,7 @@
       }
       return system.network.sent / count / 8;
     };
-    const most = (messagesPerInterval * 1_000) / peerIntervals.shortest;
+    const most = (messagesPerInterval * 1_000) / peerMessageIntervals.shortest;
     expect(sentBy(24)).toBeLessThanOrEqual(most);
     expect(sentBy(60)).toBeLessThanOrEqual(most);
   });
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -18,7 +18,7 @@
 import type { ConfigurationState } from "./configurationState.ts";
 import { createBackoffExchange } from "../replicaReports/backoffExchange.ts";
 import { storeReaders } from "../storeReading/constants.ts";
-import { newsGathering, newsGatheringOfMany, peerIntervals } from "./constants.ts";
+import { updateBatchingDelay, largeFleetUpdateBatchingDelay, peerMessageIntervals } from "./constants.ts";
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { createPeerTable } from "./peerTable.ts";
 import type { Audience } from "./routerNews.ts";
@@ -223,14 +223,17 @@
 
   /** Tells news to everybody, together with what else there is to tell in a moment. */
   const sendSoon = (): void => {
-    callOffNews ??= clock.after(peers.isLarge() ? newsGatheringOfMany : newsGathering, sendAll);
+    callOffNews ??= clock.after(
+      peers.isLarge() ? largeFleetUpdateBatchingDelay : updateBatchingDelay,
+      sendAll,
+    );
   };
 
   const isDue = (group: PeerGroup): boolean => {
     const since = clock.monotonic() - group.sentAt;
     const stretch = peers.stretch(group.audience === "near");
-    if (since < peerIntervals.shortest * stretch) return false;
-    if (since >= peerIntervals.longest * stretch) return true;
+    if (since < peerMessageIntervals.shortest * stretch) return false;
+    if (since >= peerMessageIntervals.longest * stretch) return true;
     return news.hasHolders(group.audience) || JSON.stringify(toldWork()) !== group.sentWork;
   };
 
@@ -244,7 +247,7 @@
     liveCount = 1 + heardNames().length;
     groups.filter(isDue).forEach(sendTo);
     const stretch = Math.min(...audiences.map((audience) => peers.stretch(audience === "near")));
-    callOffTurn = clock.after(peerIntervals.shortest * stretch, turn);
+    callOffTurn = clock.after(peerMessageIntervals.shortest * stretch, turn);
   };
 
   const tellSoon = (add: () => void): void => {
--- a/src/coordination/forwarding/shutdown.ts
+++ b/src/coordination/forwarding/shutdown.ts
@@ -1,6 +1,6 @@
 /** A planned end: what is still taken on, and when everything has to be over. */
 import type { Clock } from "../clock.ts";
-import { shutdownTimes } from "./constants.ts";
+import { shutdownPhases } from "./constants.ts";
 import type { ForwardingBounds } from "./types.ts";
 
 /** See {@link createShutdown}. */
@@ -35,10 +35,10 @@
     },
     isUnderWay: () => begunAt !== undefined,
     mayTake: (deadline) => {
-      if (until(shutdownTimes.acceptShare) > 0) return true;
-      return deadline - clock.monotonic() < until(shutdownTimes.endShare);
+      if (until(shutdownPhases.acceptShare) > 0) return true;
+      return deadline - clock.monotonic() < until(shutdownPhases.endShare);
     },
-    untilNoticed: () => until(shutdownTimes.noticeShare),
-    untilOver: () => until(shutdownTimes.endShare),
+    untilNoticed: () => until(shutdownPhases.noticeShare),
+    untilOver: () => until(shutdownPhases.endShare),
   };
 };
--- a/src/coordination/replicaLimits/turnSearch.ts
+++ b/src/coordination/replicaLimits/turnSearch.ts
@@ -1,11 +1,11 @@
 /** One request's search for a replica that has room for it, where replicas name limits. */
-import type { LimitedChoice, PlacementFailure } from "../forwarding/placementTypes.ts";
+import type { LimitedCandidates, PlacementFailure } from "../forwarding/placementTypes.ts";
 import { bookingShare, mostBookings, mostRefusals } from "./constants.ts";
 
 /** See {@link createTurnSearch}. */
 export interface TurnSearch {
   /** Which of the replicas with a limit come into question now. */
-  readonly limited: () => LimitedChoice;
+  readonly limited: () => LimitedCandidates;
   /** @returns Replicas that are left out: those that it was sent to, and those that had no turn for it. */
   readonly excluded: (sentTo: ReadonlySet<string>) => ReadonlySet<string>;
   /** How long it may wait for a turn, milliseconds: not at all while there may be room elsewhere. */
@@ -23,7 +23,7 @@
 /** Creates a search that has looked nowhere. */
 export const createTurnSearch = (): TurnSearch => {
   const withoutTurn = new Set<string>();
-  let limited: LimitedChoice = "open";
+  let limited: LimitedCandidates = "open";
   let refusals = 0;
   let wasLimited = false;
 
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -3,9 +3,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../coordination/clock.ts";
 import { createAdmit } from "../coordination/forwarding/admit.ts";
-import { shutdownInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
+import { shutdownPollInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
 import { createDecisions } from "../coordination/forwarding/decisions.ts";
-import { usualLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
+import { defaultLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
 import { createShutdown } from "../coordination/forwarding/shutdown.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import { createHolderName, startWeightsOrders } from "../coordination/forwarding/weightsOrders.ts";
@@ -112,11 +112,11 @@
     createDecisions({
       dataCentre: self.dataCentre,
       client: platform.replicaClient,
-      beliefs,
+      view: beliefs,
       admit,
       shutdown,
       bounds,
-      policy: usualLoadPolicy,
+      policy: defaultLoadPolicy,
       clock,
       metrics,
       random: Math.random,
@@ -177,12 +177,12 @@
     await Promise.race([handedOver, sleep(Math.max(0, shutdown.untilOver()))]);
     peers.leave();
     const settle = async (): Promise<void> => {
-      while (forwarder.openRequests() > 0 && shutdown.untilOver() > 0) await sleep(shutdownInterval);
+      while (forwarder.openRequests() > 0 && shutdown.untilOver() > 0) await sleep(shutdownPollInterval);
     };
     await settle();
     server.closeIdle();
     // What was on its way when the connections were closed.
-    await sleep(shutdownInterval);
+    await sleep(shutdownPollInterval);
     await settle();
     writeLog("drained", { openRequests: forwarder.openRequests() });
   };
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -2,9 +2,9 @@
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationState } from "../coordination/forwarding/configurationState.ts";
 import {
-  configurationWaitShare,
-  readsBeforeStandingDown,
-  registryPaceShare,
+  configurationLongPollShare,
+  maxReadAgeFactor,
+  registryReadIntervalShare,
 } from "../coordination/forwarding/constants.ts";
 import { followFeed } from "../coordination/forwarding/feedFollower.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
@@ -70,11 +70,11 @@
     registryProvenAt = Math.max(registryProvenAt, at);
   };
 
-  const shortHeldRead = (): number => bounds.keyRevocation * configurationWaitShare;
+  const shortHeldRead = (): number => bounds.keyRevocation * configurationLongPollShare;
 
   /** A router that knows that it doesn't reach the store takes no duties. */
   const longestReadAge = (): number => {
-    if (!peers.isLarge()) return shortHeldRead() * readsBeforeStandingDown;
+    if (!peers.isLarge()) return shortHeldRead() * maxReadAgeFactor;
     return reading.reachesStore() ? longestReadAgeOfMany : 0;
   };
 
@@ -82,7 +82,7 @@
 
   const registryPace = (): number => {
     if (isReadFor()) return longRegistryPace;
-    return bounds.drain * (peers.isLarge() ? readerRegistryPaceShare : registryPaceShare);
+    return bounds.drain * (peers.isLarge() ? readerRegistryPaceShare : registryReadIntervalShare);
   };
 
   const retryStretch = (): number => (isReadFor() ? retryStretchOfMany : 1);
