--- a/bench/owners/owners.ts
+++ b/bench/owners/owners.ts
@@ -118,7 +118,7 @@
     estimates: createReplicaEstimates(),
     clock,
     bounds,
-    store: () => undefined,
+    findStore: () => undefined,
     saving: { lossShare: () => 0 },
     policy: defaultLoadPolicy,
     random: Math.random,
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -1,150 +1,165 @@
 /**
- * Which replicas are believed to keep which prompt parts, by what was sent there.
+ * Tracks which replicas and stores cache which prompt parts, inferred from the prompts that were sent there.
  *
- * Engines drop what was used longest ago when their memory is full. So a belief ends once as many tokens have been
- * computed there since as the memory holds.
+ * Engines evict the least recently used parts when their memory is full. So an entry expires once the replica has
+ * computed as many tokens since the part's last use as its memory holds.
  */
 import { hash32 } from "../../protocol/prefixLevels.ts";
 import type { CacheChange, Prompt } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
-import { computingMemory, holderMemory, mostParts } from "./constants.ts";
+import { computingTtl, holderTtl, maxTrackedParts } from "./constants.ts";
 
-/** How much of a prompt a replica is believed to keep. */
-export interface HeldPrompt {
-  /** Tokens that it keeps or is computing: what is sent there later will find them. */
+/** How much of a prompt a replica or store is assumed to cache. */
+export interface CachedPrompt {
+  /** Tokens that it caches or is computing: later requests to it will find them cached. */
   readonly tokens: number;
-  /** Tokens that others can copy from there. */
+  /** Tokens that others can copy from it. */
   readonly readyTokens: number;
-  /** The key of the deepest part that it is computing. */
-  readonly computing: number | undefined;
-  /** When it was last used there, milliseconds on the monotonic clock. */
+  /** Key of the deepest of its parts while that is being computed; `undefined` once it is ready. */
+  readonly computingKey: number | undefined;
+  /** When the deepest part was last used there, milliseconds on the monotonic clock. */
   readonly usedAt: number;
 }
 
-/** Who keeps or computes a part. */
+/** A replica or store that caches or computes a part. */
 export interface PartHolder {
   readonly holder: string;
   readonly isReady: boolean;
 }
 
-/** See {@link createCacheHolders}. */
+/** Maps prompt parts to the replicas and stores that hold them. Parts are identified by keys: hashes of salt and id. */
 export interface CacheHolders {
-  /** @returns By replica: how much of the prompt's reusable parts it is believed to keep. */
-  readonly find: (salt: string, prompt: Prompt) => ReadonlyMap<string, HeldPrompt>;
+  /** @returns By replica or store: how much of the prompt's reusable parts it is assumed to cache. */
+  readonly find: (salt: string, prompt: Prompt) => ReadonlyMap<string, CachedPrompt>;
   /**
-   * A replica computes the prompt, or has computed or copied it.
+   * Records that a holder is computing the prompt (not ready), or has computed or copied it (ready).
    *
-   * @returns The keys of its reusable parts, for others to be told.
+   * @returns The keys of the prompt's reusable parts, to be announced to peers.
    */
   readonly notePrompt: (salt: string, prompt: Prompt, holder: string, isReady: boolean) => readonly number[];
-  /** @returns The key of the deepest part that others may share; nothing if there is none. */
+  /** @returns The key of the deepest reusable part; `undefined` if there is none. */
   readonly deepestKey: (salt: string, prompt: Prompt) => number | undefined;
-  /** @returns Whether a part was used before, wherever it is by now. */
+  /** @returns Whether a part was used before, even if no holder is known any more. */
   readonly wasUsed: (key: number) => boolean;
-  /** @returns Those believed to keep or compute a part. @param key - The part's. */
+  /** @returns The holders assumed to cache or compute a part. */
   readonly holdersOf: (key: number) => readonly PartHolder[];
   /** @returns The keys of a prompt's reusable parts. */
   readonly keysOf: (salt: string, prompt: Prompt) => readonly number[];
-  /** A store of prompt parts tells what it keeps. */
+  /** Records that a store of prompt parts reports a part as saved or dropped. */
   readonly noteStoreChange: (store: string, change: CacheChange) => void;
-  /** A peer tells of a part. */
+  /** Records a part that a peer announced. */
   readonly noteKey: (key: number, holder: string, isReady: boolean) => void;
-  /** @returns A function that calls it off. @param callback - Called once as soon as the part can be used. */
+  /**
+   * @param callback - Called once, when the part becomes ready.
+   * @returns A function that cancels the callback.
+   */
   readonly whenReady: (key: number, callback: () => void) => () => void;
-  /** A replica is gone, or has lost what it kept. */
+  /** Removes a holder that is gone or has lost its cache. */
   readonly forget: (holder: string) => void;
 }
 
-/** What beliefs are kept with. */
-export interface CacheHoldersParts {
+export interface CacheHoldersDependencies {
   readonly clock: Clock;
-  /** Tokens that have been computed at a replica by now. */
+  /** @returns Tokens that a replica has computed in total so far. */
   readonly computedTokens: (holder: string) => number;
-  /** Tokens that fit into a replica's memory. */
+  /** @returns Tokens that fit into a replica's cache memory. */
   readonly memoryTokens: (holder: string) => number;
 }
 
-interface Belief {
+interface CacheEntry {
   readonly usedAt: number;
-  /** Tokens that had been computed there by then. */
-  readonly computed: number;
+  /** Tokens that the holder had computed in total by then. */
+  readonly computedBefore: number;
   readonly isReady: boolean;
-  /** The holder itself will tell when it drops the part. */
-  readonly isTold: boolean;
+  /** The holder itself reports when it drops the part, so the entry does not expire. */
+  readonly isReportedByHolder: boolean;
 }
 
-/** Parts that other requests may have too: all but the last. */
+/** @returns The parts that other requests may share: all but the last. */
 export const reusableParts = ({ parts }: Prompt): Prompt["parts"] => parts.slice(0, -1);
 
-/** Short, since routers tell one another; two parts with one key cost a copy that finds nothing. */
+/** Short, since keys are sent between routers; a collision only costs a copy that finds nothing. */
 const keyOf = (salt: string, id: string): number => hash32(`${salt}\u0000${id}`);
 
 const keysOf = (salt: string, prompt: Prompt): readonly number[] =>
   reusableParts(prompt).map(({ id }) => keyOf(salt, id));
 
-/** Creates beliefs about nothing. */
-export const createCacheHolders = (parts: CacheHoldersParts): CacheHolders => {
-  const { clock, computedTokens, memoryTokens } = parts;
-  /** By part: who waits for it to be computed. */
+/** Creates a map without entries. */
+export const createCacheHolders = (dependencies: CacheHoldersDependencies): CacheHolders => {
+  const { clock, computedTokens, memoryTokens } = dependencies;
+  /** By part key: callbacks that wait for the part to be computed. */
   const waiting = new Map<number, Set<() => void>>();
-  /** The part that was used longest ago comes first. */
-  const beliefs = new Map<number, Map<string, Belief>>();
+  /** By part key and holder. Kept in order of use, the least recently used part first. */
+  const entriesByPart = new Map<number, Map<string, CacheEntry>>();
 
-  const isKept = (holder: string, { usedAt, computed, isReady, isTold }: Belief): boolean =>
-    isTold ||
-    (clock.monotonic() - usedAt < (isReady ? holderMemory : computingMemory) &&
-      computedTokens(holder) - computed < memoryTokens(holder));
+  const isCurrent = (
+    holder: string,
+    { usedAt, computedBefore, isReady, isReportedByHolder }: CacheEntry,
+  ): boolean =>
+    isReportedByHolder ||
+    (clock.monotonic() - usedAt < (isReady ? holderTtl : computingTtl) &&
+      computedTokens(holder) - computedBefore < memoryTokens(holder));
 
-  const wakeWaiting = (key: number): void => {
+  const notifyWaiting = (key: number): void => {
     const callbacks = waiting.get(key);
     waiting.delete(key);
     for (const callback of callbacks ?? []) callback();
   };
 
-  const forgetOldest = (): void => {
-    const oldest = beliefs.size > mostParts ? beliefs.keys().next().value : undefined;
-    if (oldest !== undefined) beliefs.delete(oldest);
+  const evictOldest = (): void => {
+    const oldest = entriesByPart.size > maxTrackedParts ? entriesByPart.keys().next().value : undefined;
+    if (oldest !== undefined) entriesByPart.delete(oldest);
   };
 
-  const noteOne = (key: number, holder: string, isReady: boolean): void => {
-    const ofPart = beliefs.get(key) ?? new Map<string, Belief>();
-    const before = ofPart.get(holder);
-    const wasReady = before?.isReady === true && isKept(holder, before);
+  const noteUse = (key: number, holder: string, isReady: boolean): void => {
+    const byHolder = entriesByPart.get(key) ?? new Map<string, CacheEntry>();
+    const before = byHolder.get(holder);
+    const wasReady = before?.isReady === true && isCurrent(holder, before);
     const usedAt = clock.monotonic();
-    const computed = computedTokens(holder);
-    ofPart.set(holder, { usedAt, computed, isReady: isReady || wasReady, isTold: before?.isTold === true });
-    beliefs.delete(key);
-    beliefs.set(key, ofPart);
-    forgetOldest();
-    if (isReady) wakeWaiting(key);
+    const computedBefore = computedTokens(holder);
+    byHolder.set(holder, {
+      usedAt,
+      computedBefore,
+      isReady: isReady || wasReady,
+      isReportedByHolder: before?.isReportedByHolder === true,
+    });
+    entriesByPart.delete(key);
+    entriesByPart.set(key, byHolder);
+    evictOldest();
+    if (isReady) notifyWaiting(key);
   };
 
-  const noteTold = (key: number, holder: string): void => {
-    const ofPart = beliefs.get(key) ?? new Map<string, Belief>();
-    ofPart.set(holder, { usedAt: clock.monotonic(), computed: 0, isReady: true, isTold: true });
-    beliefs.set(key, ofPart);
-    forgetOldest();
+  const noteReported = (key: number, holder: string): void => {
+    const byHolder = entriesByPart.get(key) ?? new Map<string, CacheEntry>();
+    byHolder.set(holder, {
+      usedAt: clock.monotonic(),
+      computedBefore: 0,
+      isReady: true,
+      isReportedByHolder: true,
+    });
+    entriesByPart.set(key, byHolder);
+    evictOldest();
   };
 
   return {
     find: (salt, prompt) => {
-      const held = new Map<string, HeldPrompt>();
+      const cached = new Map<string, CachedPrompt>();
       let tokens = 0;
       for (const part of reusableParts(prompt)) {
         tokens += part.tokens;
         const key = keyOf(salt, part.id);
-        for (const [holder, belief] of beliefs.get(key) ?? []) {
-          if (!isKept(holder, belief)) continue;
-          const { isReady, usedAt } = belief;
-          const readyTokens = isReady ? tokens : (held.get(holder)?.readyTokens ?? 0);
-          held.set(holder, { tokens, readyTokens, computing: isReady ? undefined : key, usedAt });
+        for (const [holder, entry] of entriesByPart.get(key) ?? []) {
+          if (!isCurrent(holder, entry)) continue;
+          const { isReady, usedAt } = entry;
+          const readyTokens = isReady ? tokens : (cached.get(holder)?.readyTokens ?? 0);
+          cached.set(holder, { tokens, readyTokens, computingKey: isReady ? undefined : key, usedAt });
         }
       }
-      return held;
+      return cached;
     },
     notePrompt: (salt, prompt, holder, isReady) => {
       const keys = keysOf(salt, prompt);
-      for (const key of keys) noteOne(key, holder, isReady);
+      for (const key of keys) noteUse(key, holder, isReady);
       return keys;
     },
     deepestKey: (salt, prompt) => {
@@ -152,18 +167,18 @@
       return deepest === undefined ? undefined : keyOf(salt, deepest.id);
     },
     holdersOf: (key) =>
-      [...(beliefs.get(key) ?? [])].flatMap(([holder, belief]) =>
-        isKept(holder, belief) ? [{ holder, isReady: belief.isReady }] : [],
+      [...(entriesByPart.get(key) ?? [])].flatMap(([holder, entry]) =>
+        isCurrent(holder, entry) ? [{ holder, isReady: entry.isReady }] : [],
       ),
     keysOf,
-    wasUsed: (key) => beliefs.has(key),
-    noteStoreChange: (store, { isKept: isKeptThere, salt, part }) => {
+    wasUsed: (key) => entriesByPart.has(key),
+    noteStoreChange: (store, { isKept: isKeptByStore, salt, part }) => {
       const key = keyOf(salt, part);
-      if (isKeptThere) noteTold(key, store);
-      else beliefs.get(key)?.delete(store);
+      if (isKeptByStore) noteReported(key, store);
+      else entriesByPart.get(key)?.delete(store);
     },
     noteKey: (key, holder, isReady) => {
-      noteOne(key, holder, isReady);
+      noteUse(key, holder, isReady);
     },
     whenReady: (key, callback) => {
       const callbacks = waiting.get(key) ?? new Set();
@@ -175,7 +190,7 @@
       };
     },
     forget: (holder) => {
-      for (const ofPart of beliefs.values()) ofPart.delete(holder);
+      for (const byHolder of entriesByPart.values()) byHolder.delete(holder);
     },
   };
 };
--- a/src/coordination/forwarding/cacheStoreFollower.ts
+++ b/src/coordination/forwarding/cacheStoreFollower.ts
@@ -1,9 +1,9 @@
 /**
- * Follows what the stores of prompt parts keep, and says which of them a part belongs to.
+ * Polls the stores of prompt parts for their contents, and assigns each part to one of the stores.
  *
- * A store tells what it takes in and drops, so beliefs about it need no guess of its memory. It answers under
- * another incarnation after a restart, which loses everything: what was believed of it is forgotten then, and while
- * it doesn't answer no engine is sent to it, since a copy from a dead source holds a request up.
+ * A store reports the parts that it saves and drops, so its contents need not be estimated from its memory size. After
+ * a restart, which loses everything, it answers with another incarnation, and its entries are removed. While a store
+ * doesn't answer, no engine copies from it, since a copy from a dead source delays the request.
  */
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
@@ -12,75 +12,74 @@
 import type { Clock } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
 import type { CacheHolders } from "./cacheHolders.ts";
-import { cacheStoreInterval, cacheStoreTimeout } from "./constants.ts";
+import { cacheStorePollInterval, cacheStoreTimeout } from "./constants.ts";
 import { mixHashes } from "./rendezvousReplica.ts";
 
-/** What following works with. */
 export interface CacheStoreFollowerDependencies {
-  /** @returns The stores that the configuration names now. */
+  /** @returns The stores in the current configuration. */
   readonly configuredStores: () => readonly CacheStore[];
   readonly client: Pick<ReplicaClient, "readCacheChanges">;
   readonly holders: Pick<CacheHolders, "noteStoreChange" | "forget">;
   readonly clock: Clock;
-  /** By how much the interval grows where there are many routers. */
+  /** Factor by which the poll interval grows with the number of routers. */
   readonly intervalFactor: () => number;
 }
 
-/** See {@link followCacheStores}. */
+/** Polls until it is disposed of. */
 export interface CacheStoreFollower extends AsyncDisposable {
   /**
-   * Each part belongs to one store, so that they hold as much as all their memory together.
+   * Assigns each part to one store, so that the stores' memories add up instead of holding the same parts.
    *
-   * @param part - The hash of the deepest part that others may share.
-   * @returns The part's store, of those that answered when they were asked last.
+   * @param part - The hash of the prompt's deepest reusable part.
+   * @returns The part's store, among those that answered the last poll; `undefined` if there are none.
    */
   readonly findStore: (part: number) => CacheStore | undefined;
 }
 
-interface Followed {
+interface FollowedStore {
   readonly store: CacheStore;
   readonly hash: number;
   incarnation: number | undefined;
-  next: number;
-  answers: boolean;
+  nextSequenceNumber: number;
+  isAnswering: boolean;
 }
 
 const writeLog = createLogger("cacheStore");
 
-/** Begins to follow; ends when it is disposed of. */
-export const followCacheStores = (parts: CacheStoreFollowerDependencies): CacheStoreFollower => {
-  const { client, holders, clock } = parts;
-  const ending = new AbortController();
-  const followed = new Map<string, Followed>();
+/** Starts polling the configured stores. */
+export const followCacheStores = (dependencies: CacheStoreFollowerDependencies): CacheStoreFollower => {
+  const { client, holders, clock } = dependencies;
+  const stopping = new AbortController();
+  const followed = new Map<string, FollowedStore>();
 
-  const noteAnswers = (current: Followed, answers: boolean): void => {
-    if (current.answers !== answers) {
-      writeLog(answers ? "answers" : "silent", { store: current.store.address });
+  const noteAnswering = (current: FollowedStore, isAnswering: boolean): void => {
+    if (current.isAnswering !== isAnswering) {
+      writeLog(isAnswering ? "answers" : "silent", { store: current.store.address });
     }
-    current.answers = answers;
+    current.isAnswering = isAnswering;
   };
 
-  const ask = async (current: Followed): Promise<void> => {
-    const { store, next } = current;
-    const told = await withTimeLimit(clock, ending.signal, cacheStoreTimeout, (limit) =>
+  const pollStore = async (current: FollowedStore): Promise<void> => {
+    const { store, nextSequenceNumber: next } = current;
+    const answer = await withTimeLimit(clock, stopping.signal, cacheStoreTimeout, (limit) =>
       client.readCacheChanges(store, next, limit),
     );
-    const hasRestarted = current.incarnation !== undefined && current.incarnation !== told.incarnation;
-    current.incarnation = told.incarnation;
+    const hasRestarted = current.incarnation !== undefined && current.incarnation !== answer.incarnation;
+    current.incarnation = answer.incarnation;
     if (hasRestarted) {
-      writeLog("restarted", { store: store.address, incarnation: told.incarnation });
+      writeLog("restarted", { store: store.address, incarnation: answer.incarnation });
       holders.forget(store.address);
-      // What it has taken in since is told from the beginning.
-      current.next = 0;
+      // Its changes since the restart are read from the beginning with the next poll.
+      current.nextSequenceNumber = 0;
       return;
     }
-    current.next = told.next;
-    for (const change of told.changes) holders.noteStoreChange(store.address, change);
-    noteAnswers(current, true);
+    current.nextSequenceNumber = answer.next;
+    for (const change of answer.changes) holders.noteStoreChange(store.address, change);
+    noteAnswering(current, true);
   };
 
-  const takeConfigured = (): void => {
-    const stores = new Map(parts.configuredStores().map((store) => [store.address, store]));
+  const applyConfigured = (): void => {
+    const stores = new Map(dependencies.configuredStores().map((store) => [store.address, store]));
     for (const address of [...followed.keys()]) {
       if (stores.has(address)) continue;
       followed.delete(address);
@@ -89,42 +88,48 @@
     for (const [address, store] of stores) {
       if (followed.has(address)) continue;
       const hash = hash32(address);
-      followed.set(address, { store, hash, incarnation: undefined, next: 0, answers: false });
+      followed.set(address, {
+        store,
+        hash,
+        incarnation: undefined,
+        nextSequenceNumber: 0,
+        isAnswering: false,
+      });
     }
   };
 
-  const askOrNote = async (current: Followed): Promise<void> => {
+  const pollOrNoteFailure = async (current: FollowedStore): Promise<void> => {
     try {
-      await ask(current);
+      await pollStore(current);
     } catch (error) {
       writeLog("unanswered", { store: current.store.address, reason: String(error) });
-      noteAnswers(current, false);
+      noteAnswering(current, false);
     }
   };
 
-  const look = async (): Promise<void> => {
-    takeConfigured();
-    await Promise.all([...followed.values()].map(askOrNote));
-    if (!ending.signal.aborted)
-      callOff = clock.after(cacheStoreInterval * parts.intervalFactor(), () => void look());
+  const poll = async (): Promise<void> => {
+    applyConfigured();
+    await Promise.all([...followed.values()].map(pollOrNoteFailure));
+    if (!stopping.signal.aborted)
+      cancelPoll = clock.after(cacheStorePollInterval * dependencies.intervalFactor(), () => void poll());
   };
 
-  const usable = (part: number): CacheStore | undefined => {
-    let best: Followed | undefined;
+  const findStore = (part: number): CacheStore | undefined => {
+    let best: FollowedStore | undefined;
     for (const each of followed.values()) {
-      if (!each.answers) continue;
+      if (!each.isAnswering) continue;
       if (best === undefined || mixHashes(part, each.hash) > mixHashes(part, best.hash)) best = each;
     }
     return best?.store;
   };
 
-  let callOff = clock.after(0, () => void look());
+  let cancelPoll = clock.after(0, () => void poll());
 
   return {
-    findStore: usable,
+    findStore,
     [Symbol.asyncDispose]: () => {
-      callOff();
-      ending.abort();
+      cancelPoll();
+      stopping.abort();
       return Promise.resolve();
     },
   };
--- a/src/coordination/forwarding/cheapestReplica.ts
+++ b/src/coordination/forwarding/cheapestReplica.ts
@@ -1,30 +1,32 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 
-/** A replica with what choosing it is predicted to cost, milliseconds. */
-export interface RankedReplica {
+/** A replica with the predicted cost of choosing it, milliseconds. */
+export interface ReplicaWithCost {
   readonly replica: ReplicaState;
   readonly cost: number;
 }
 
 /**
- * @param candidates - One at least.
- * @param random - A number from 0 to 1.
- * @returns The replica that costs least; among equals by chance, so that routers that know the same don't all
- * choose the same.
+ * Finds the replica with the lowest cost. Ties are broken at random, so that routers with the same view don't all
+ * choose the same replica.
+ *
+ * @param candidates - At least one replica; throws a `RangeError` if empty.
+ * @param predict - Returns the predicted cost of a replica, milliseconds.
+ * @param random - Returns a random number from 0 to 1.
  */
-export const rankByCost = (
+export const cheapestReplica = (
   candidates: readonly ReplicaState[],
   predict: (replica: ReplicaState) => number,
   random: () => number,
-): RankedReplica => {
+): ReplicaWithCost => {
   const [first, ...others] = candidates.map((replica) => ({ replica, cost: predict(replica) }));
   if (first === undefined) throw new RangeError("There are no candidates.");
   let best = first;
-  let equals = 1;
-  for (const ranked of others) {
-    if (ranked.cost > best.cost) continue;
-    equals = ranked.cost === best.cost ? equals + 1 : 1;
-    if (equals === 1 || random() * equals < 1) best = ranked;
+  let ties = 1;
+  for (const candidate of others) {
+    if (candidate.cost > best.cost) continue;
+    ties = candidate.cost === best.cost ? ties + 1 : 1;
+    if (ties === 1 || random() * ties < 1) best = candidate;
   }
   return best;
 };
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -1,7 +1,7 @@
 /**
- * Everything that decides about a request, put together: admission by the configuration, turning away by load,
- * waiting for parts, placement, attempts. It reaches replicas and peers through what it is given alone, so that
- * simulated ones can stand in their place.
+ * Assembles everything that makes decisions about a request: admission by the configuration, load shedding, waiting
+ * for prompt parts, placement and attempts. Replicas and peers are only reached through the given dependencies, so that
+ * simulations can replace them.
  */
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import { createResourceStack } from "../../protocol/resourceStack.ts";
@@ -43,7 +43,7 @@
 import type { ForwardingBounds } from "./types.ts";
 import { createUsageAdmission } from "./usageAdmission.ts";
 
-/** What a router believes, as far as decisions use it. */
+/** The parts of a router's view of the system that decisions use. */
 export interface DecisionView {
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
@@ -59,9 +59,8 @@
   readonly quarantine: QuarantineChecks;
 }
 
-/** What decisions are made with. */
 export interface DecisionDependencies {
-  /** The router's data centre. */
+  /** This router's data centre. */
   readonly dataCentre: string;
   readonly client: ReplicaClient;
   readonly view: DecisionView;
@@ -71,19 +70,19 @@
   readonly policy: LoadPolicy;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** A number from 0 to 1. */
+  /** @returns A random number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** See {@link createDecisions}. */
+/** The assembled forwarder; monitors replicas until it is disposed of. */
 export interface Decisions extends AsyncDisposable {
   readonly forwarder: Forwarder;
 }
 
 const writeLog = createLogger("router");
 
-/** Lets go of what is known of replicas that leave. */
-const forgetDepartures = (
+/** Logs changes of replicas, and drops the cache holders and estimates of those that leave. */
+const forgetDepartedReplicas = (
   { replicas, holders }: DecisionView,
   client: ReplicaClient,
   estimates: ReplicaEstimates,
@@ -97,10 +96,10 @@
   });
 };
 
-/** Creates decisions; silent replicas are watched until they are disposed of. */
-export const createDecisions = (parts: DecisionDependencies): Decisions => {
-  const { dataCentre, client, view: beliefs, bounds, policy, clock, metrics, random } = parts;
-  const { configuration, replicas, holders, peers, owners, cacheStore, quarantine } = beliefs;
+/** Creates the forwarder and starts to monitor replicas. */
+export const createDecisions = (dependencies: DecisionDependencies): Decisions => {
+  const { dataCentre, client, view, bounds, policy, clock, metrics, random } = dependencies;
+  const { configuration, replicas, holders, peers, owners, cacheStore, quarantine } = view;
   const resources = createResourceStack();
   const estimates = createReplicaEstimates();
   const health = createReplicaHealth(replicas, clock);
@@ -113,15 +112,15 @@
       looksAfter: (replica) => !owners.isNeeded() || owners.isOwn(replica),
     }),
   );
-  forgetDepartures(beliefs, client, estimates);
+  forgetDepartedReplicas(view, client, estimates);
   const observe = createReportObserver({
-    limits: beliefs.replicaLimits,
+    limits: view.replicaLimits,
     replicas,
-    // In large systems a broadcast per router costs more than the one request after which each learns it itself.
+    // With many routers, a broadcast costs more than the one request after which each router learns it itself.
     onDraining: (id) => {
       if (!owners.isNeeded()) peers.tellLeaving(id);
     },
-    // In large systems the work report to the owner of the replica carries it.
+    // With many routers, the work report to the replica's owner carries it instead.
     onBackoff: peers.broadcastBackoff,
     metrics,
     clock,
@@ -130,22 +129,22 @@
   client.useGate(createReplicaGate({ replicas, observe, metrics, clock }));
   const availability = createAvailability({ replicas, clock, random });
 
-  const saving = createPartSaving({ clock, policy, routers: peers.countServing });
-  const shared = { replicas, estimates, clock, random };
+  const saving = createPartSaving({ clock, policy, routerCount: peers.countServing });
+  const placementDependencies = { replicas, estimates, clock, random };
   const engines = createEnginePlacement({
-    ...shared,
+    ...placementDependencies,
     configuration,
     holders,
     bounds,
     policy,
-    store: cacheStore.findStore,
+    findStore: cacheStore.findStore,
     saving,
   });
   const attempt = createForwardAttempt({
     client,
     check: createAnswerCheck({ replicas, client, clock, onLeaving: peers.tellLeaving }),
     holders,
-    // Owners are asked where parts are; where there are none to ask, every peer is told.
+    // Routers query owners for the holders of parts; without owners, holders are announced to every peer.
     tellHolder: (replica, key, holder, isReady) => {
       if (owners.isNeeded()) owners.reports.noteHolder(replica, key, holder, isReady);
       else peers.tellHolder(key, holder, isReady);
@@ -164,27 +163,27 @@
     metrics,
     clock,
   });
-  const loop: AttemptLoopParts = {
-    admit: parts.admit,
-    placement: createPlacement({ ...shared, availability, dataCentre, engines }),
+  const loopDependencies: AttemptLoopParts = {
+    admit: dependencies.admit,
+    placement: createPlacement({ ...placementDependencies, availability, dataCentre, engines }),
     availability,
     owners,
     attempt,
     partWait: createPartWait({ holders, clock, share: policy.partWaitShare }),
     quarantine,
-    turns: createLimitedTurns({ limits: beliefs.replicaLimits, metrics, clock }),
+    turns: createLimitedTurns({ limits: view.replicaLimits, metrics, clock }),
     retryShare: createRetryShare({ clock, bounds, routers: peers.countServing }),
-    load: createLoadAdmission({ latenessTurnedAway: policy.latenessTurnedAway, metrics, clock, random }),
+    load: createLoadAdmission({ sheddingThreshold: policy.latenessTurnedAway, metrics, clock, random }),
     metrics,
     clock,
     random,
   };
   return {
     forwarder: createForwarder({
-      ...loop,
+      ...loopDependencies,
       configuration,
-      shutdown: parts.shutdown,
-      usage: createUsageAdmission({ limits: beliefs.limits, metrics }),
+      shutdown: dependencies.shutdown,
+      usage: createUsageAdmission({ limits: view.limits, metrics }),
     }),
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
--- a/src/coordination/forwarding/loadAdmission.ts
+++ b/src/coordination/forwarding/loadAdmission.ts
@@ -1,4 +1,4 @@
-/** Turns a request away before it is sent, by what placement predicts for it. */
+/** Admission control by load: sheds a request before it is sent, based on the wait that placement predicts. */
 import { createLogger } from "../../state/log.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Metrics } from "../../state/Metrics.ts";
@@ -6,50 +6,47 @@
 import { failures } from "./failures.ts";
 import type { ForwardRun } from "./forwardRun.ts";
 import type { PlacementChoice } from "./placementTypes.ts";
-import type { Outlook } from "./loadShedding.ts";
-import { turnAway } from "./loadShedding.ts";
+import type { AnswerPrediction } from "./loadShedding.ts";
+import { decideShedding } from "./loadShedding.ts";
 
-/** What it works with. */
-export interface LoadAdmissionParts {
-  /** Latency objectives within which an answer is predicted to begin, or the request is turned away. */
-  readonly latenessTurnedAway: number;
+export interface LoadAdmissionDependencies {
+  /** A request is shed if its answer is predicted to start later than this many latency objectives. */
+  readonly sheddingThreshold: number;
   readonly metrics: Metrics;
   readonly clock: Clock;
-  /** A number from 0 to 1. */
+  /** @returns A random number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** See {@link createLoadAdmission}. */
 export interface LoadAdmission {
   /**
-   * @returns After how many milliseconds a request that was not sent anywhere yet is to come back, since it would be
-   * answered too late; nothing if it is to be sent.
+   * @returns Milliseconds after which the caller should retry, if the request is shed because it would be answered too
+   * late; `undefined` if it is to be sent. Requests without a prompt, or sent to a replica already, are not shed.
    */
   readonly comeBackAfter: (run: ForwardRun, choice: PlacementChoice) => number | undefined;
-  /** Throws the refusal. */
+  /** Counts and logs the shed request, and throws the refusal. @param comeBackAfter - Retry-After, milliseconds. */
   readonly refuse: (run: ForwardRun, choice: PlacementChoice, comeBackAfter: number) => never;
 }
 
 const writeLog = createLogger("requests");
 
-/** Creates the admission of requests by load. */
-export const createLoadAdmission = (parts: LoadAdmissionParts): LoadAdmission => {
-  const { clock, metrics } = parts;
+export const createLoadAdmission = (dependencies: LoadAdmissionDependencies): LoadAdmission => {
+  const { clock, metrics } = dependencies;
 
-  const outlookOf = ({ admission, deadline }: ForwardRun, choice: PlacementChoice): Outlook => ({
+  const predictionOf = ({ admission, deadline }: ForwardRun, choice: PlacementChoice): AnswerPrediction => ({
     wait: choice.predictedWait,
     queueWait: choice.queueWait,
     objective: admission.route.latencyObjective,
-    left: deadline - clock.monotonic(),
+    remaining: deadline - clock.monotonic(),
   });
 
   return {
     comeBackAfter: (run, choice) => {
       if (run.request.prompt === undefined || run.sentTo.size > 0) return undefined;
-      return turnAway(outlookOf(run, choice), parts.latenessTurnedAway, parts.random());
+      return decideShedding(predictionOf(run, choice), dependencies.sheddingThreshold, dependencies.random());
     },
     refuse: (run, choice, comeBackAfter) => {
-      const { wait, queueWait, objective } = outlookOf(run, choice);
+      const { wait, queueWait, objective } = predictionOf(run, choice);
       metrics.count(metricNames.refusals);
       writeLog("turned_away", {
         request: run.request.id,
--- a/src/coordination/forwarding/partSaving.ts
+++ b/src/coordination/forwarding/partSaving.ts
@@ -1,78 +1,79 @@
 /**
- * Which prompts' parts are saved in a store of prompt parts.
+ * Decides which prompts have their parts saved in a store of prompt parts.
  *
- * The load pattern that it answers: engines' memory holds less than what prompts share, so that a part is dropped
- * before its next use, and then no engine has it. Saving takes the links of the engine and the store, which copies
- * between engines need too; so parts are saved only where being lost was seen, and in a share of the link's time.
+ * Handles memory pressure: the engines' memory holds less than prompts share, so a part is evicted before its next use
+ * and no engine has it any more. Saving uses the links of the engine and the store, which copies between engines need
+ * too. So parts are saved only where losses have been observed, and only in a share of the link's time.
  */
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
-import { computingWorthSaving, lossGain, saveBurst, shareWorthSaving } from "./constants.ts";
+import { minComputingTimeToSave, lossSmoothingFactor, saveBurst, minShareToSave } from "./constants.ts";
 import type { LoadPolicy } from "./loadPolicy.ts";
 
-/** What saving is decided by. */
-export interface PartSavingParts {
+export interface PartSavingDependencies {
   readonly clock: Clock;
   readonly policy: Pick<LoadPolicy, "lossWorthSaving" | "saveLinkShare">;
-  /** Routers that may be saving, this one included. */
-  readonly routers: () => number;
+  /** @returns Number of routers that may be saving, this one included. */
+  readonly routerCount: () => number;
 }
 
-/** A prompt's shared parts, as far as saving them goes. */
+/** What the decision to save a prompt's shared parts depends on. */
 export interface SharedParts {
-  /** A store that the parts may be saved in. */
+  /** The store that the parts may be saved in, if there is one. */
   readonly store: CacheStore | undefined;
-  /** The part was used before, under the same salt. */
+  /** The deepest shared part was used before, under the same salt. */
   readonly wasUsed: boolean;
-  /** An engine is believed to keep all of them. */
-  readonly isKept: boolean;
-  /** The store is believed to keep all of them, or to be getting them. */
+  /** An engine is assumed to cache all of them. */
+  readonly isCached: boolean;
+  /** The store is assumed to hold all of them, or to be receiving them. */
   readonly isSaved: boolean;
   /** How long an engine takes to compute them, milliseconds. */
   readonly computingTime: number;
-  /** Their share of the whole prompt, 0 to 1: a store takes in the rest too, and drops others for it. */
+  /** Their share of the whole prompt, 0 to 1: a store takes in the rest too, and evicts other parts for it. */
   readonly share: number;
   /** How long the store's link takes for the whole prompt, milliseconds. */
   readonly transferTime: number;
 }
 
-/** See {@link createPartSaving}. */
 export interface PartSaving {
-  /** Takes a look at a prompt that is about to be sent. @returns The store that its parts are to be saved in. */
+  /**
+   * Records the use of a prompt that is about to be sent, and decides whether its parts are saved.
+   *
+   * @returns The store to save its parts in; `undefined` if they are not to be saved.
+   */
   readonly decide: (shared: SharedParts) => CacheStore | undefined;
-  /** @returns Share of the parts used again of late that no engine kept any more, 0 to 1. */
+  /** @returns Share of recently reused parts that no engine cached any more, 0 to 1. */
   readonly lossShare: () => number;
 }
 
-/** Creates a decision that has seen nothing. */
-export const createPartSaving = ({ clock, policy, routers }: PartSavingParts): PartSaving => {
+export const createPartSaving = ({ clock, policy, routerCount }: PartSavingDependencies): PartSaving => {
   let lossShare = 0;
-  let linkTime = 0;
+  let availableLinkTime = 0;
   let refilledAt = clock.monotonic();
 
-  const note = ({ wasUsed, isKept }: SharedParts): void => {
-    if (wasUsed) lossShare += ((isKept ? 0 : 1) - lossShare) * lossGain;
+  const noteUse = ({ wasUsed, isCached }: SharedParts): void => {
+    if (wasUsed) lossShare += ((isCached ? 0 : 1) - lossShare) * lossSmoothingFactor;
   };
 
-  const refill = (now: number): void => {
-    const count = Math.max(1, routers());
-    const refilled = linkTime + ((now - refilledAt) * policy.saveLinkShare) / count;
-    linkTime = Math.min(saveBurst / count, refilled);
+  const refillLinkTime = (now: number): void => {
+    const count = Math.max(1, routerCount());
+    const refilled = availableLinkTime + ((now - refilledAt) * policy.saveLinkShare) / count;
+    availableLinkTime = Math.min(saveBurst / count, refilled);
     refilledAt = now;
   };
 
   const isWorthSaving = ({ computingTime, share }: SharedParts): boolean =>
-    computingTime > computingWorthSaving && share >= shareWorthSaving;
+    computingTime > minComputingTimeToSave && share >= minShareToSave;
 
   return {
     decide: (shared) => {
-      note(shared);
+      noteUse(shared);
       if (shared.store === undefined || shared.isSaved || !isWorthSaving(shared)) return undefined;
-      const isLost = shared.wasUsed && !shared.isKept;
+      const isLost = shared.wasUsed && !shared.isCached;
       if (!isLost && lossShare < policy.lossWorthSaving) return undefined;
-      refill(clock.monotonic());
-      if (linkTime < 0) return undefined;
-      linkTime -= shared.transferTime;
+      refillLinkTime(clock.monotonic());
+      if (availableLinkTime < 0) return undefined;
+      availableLinkTime -= shared.transferTime;
       return shared.store;
     },
     lossShare: () => lossShare,
--- a/src/coordination/forwarding/partWait.ts
+++ b/src/coordination/forwarding/partWait.ts
@@ -1,43 +1,41 @@
 /**
  * Waits for a prompt part that an engine is computing.
  *
- * The load pattern that it answers: after a load of weights, a crash or the beginning of a subject's rush several
- * prompts with the same part come before it was computed once. Sent at once, each has it computed anew, on several
- * engines or on one; sent when it is there, they copy or find it. The wait is bounded by a share of the latency
- * objective, since whoever computes the part may fail.
+ * Handles bursts of prompts with the same part that arrive before the part has been computed once: after new weights
+ * were loaded, after a crash, or when a subject becomes popular. Sent at once, each prompt would compute the part
+ * again, on one engine or on several; sent when the part is ready, they copy it or find it cached. The wait is bounded
+ * by a share of the latency objective, since the engine that computes the part may fail.
  */
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "./cacheHolders.ts";
 
-/** What waiting works with. */
-export interface PartWaitParts {
+export interface PartWaitDependencies {
   readonly holders: Pick<CacheHolders, "whenReady">;
   readonly clock: Clock;
-  /** Share of the latency objective that is waited at most. */
+  /** Longest wait, as a share of the latency objective. */
   readonly share: number;
 }
 
 /**
- * @param key - The part's.
+ * @param key - The part's key.
  * @param objective - The request's latency objective, milliseconds.
  * @param signal - Ends the wait.
- * @returns When the part can be used, or is waited for no longer.
+ * @returns Resolves when the part is ready or the wait has ended.
  */
 export type PartWait = (key: number, objective: number, signal: AbortSignal) => Promise<void>;
 
-/** Creates a wait. */
 export const createPartWait =
-  ({ holders, clock, share }: PartWaitParts): PartWait =>
+  ({ holders, clock, share }: PartWaitDependencies): PartWait =>
   (key, objective, signal) =>
     new Promise((resolve) => {
       const finish = (): void => {
-        callOffTimer();
-        callOffPart();
+        cancelTimer();
+        cancelCallback();
         signal.removeEventListener("abort", finish);
         resolve();
       };
-      const callOffTimer = clock.after(objective * share, finish);
-      const callOffPart = holders.whenReady(key, finish);
+      const cancelTimer = clock.after(objective * share, finish);
+      const cancelCallback = holders.whenReady(key, finish);
       signal.addEventListener("abort", finish);
       if (signal.aborted) finish();
     });
--- a/src/coordination/forwarding/pickRandom.ts
+++ b/src/coordination/forwarding/pickRandom.ts
@@ -1,17 +1,17 @@
 /**
- * Picks some of a list at random.
+ * Picks random elements of a list.
  *
- * @param random - A number from 0 to 1.
- * @returns Different ones, `count` at most and one at least; all where there are no more.
+ * @param random - Returns a random number from 0 to 1.
+ * @returns Up to `count` distinct elements; the whole list if it is no longer than that.
  */
-export const pickSome = <T>(from: readonly T[], count: number, random: () => number): readonly T[] => {
+export const pickRandom = <T>(from: readonly T[], count: number, random: () => number): readonly T[] => {
   if (from.length <= count) return from;
   const first = Math.floor(random() * from.length);
-  // A step over the list: neighbours in it are often in one data centre.
+  // Neighbours in the list are often in the same data centre, so the elements are taken at a random step.
   const step = 1 + Math.floor(random() * (from.length - 1));
   const chosen = new Set<T>();
-  for (let turn = 0; turn < count; turn += 1) {
-    const picked = from[(first + turn * step) % from.length];
+  for (let index = 0; index < count; index += 1) {
+    const picked = from[(first + index * step) % from.length];
     if (picked !== undefined) chosen.add(picked);
   }
   return [...chosen];
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the replica for a request: the one whose answer is predicted to begin first, with what cannot be
- * undone counted as time: old weights, bytes between data centres, parts copied, failures.
+ * Chooses the replica for a request: the one whose answer is predicted to start first. Other costs are added as time:
+ * old weights, traffic between data centres, copied parts, failures.
  */
 import type { CallerRequest } from "../../protocol/forwarding/types.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
@@ -13,29 +13,28 @@
 import type { EnginePlacement } from "./enginePlacement.ts";
 import { scarcity } from "../replicaLimits/constants.ts";
 import type { LimitedCandidates, PlacementChoice, PlacementFailure, Shortlist } from "./placementTypes.ts";
-import { pickSome } from "./pickRandom.ts";
-import { rankByCost } from "./cheapestReplica.ts";
+import { pickRandom } from "./pickRandom.ts";
+import { cheapestReplica } from "./cheapestReplica.ts";
 import type { ReplicaEstimates } from "./replicaEstimates.ts";
 import type { Admission } from "./types.ts";
 
-/** What placement works with. */
-export interface PlacementParts {
+export interface PlacementDependencies {
   readonly availability: Pick<Availability, "available">;
   readonly estimates: ReplicaEstimates;
   readonly clock: Clock;
   /** This router's data centre. */
   readonly dataCentre: string;
   readonly engines: EnginePlacement;
-  /** A number from 0 to 1. */
+  /** @returns A random number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** See {@link createPlacement}. */
 export interface Placement {
   /**
-   * @param excluded - Ids of replicas that the request was sent to already.
-   * @param isWide - Whether to ask about more: the few would answer too late.
-   * @param limited - Which of the replicas with a limit come into question.
+   * @param excluded - Ids of replicas that the request must not go to.
+   * @param isWide - Whether to add more replicas, because the usual few would answer too late.
+   * @param limited - Which of the replicas with a limit are candidates.
+   * @returns The replicas whose owners to query before the choice; empty if there is nothing to choose between.
    */
   readonly shortlist: (
     request: CallerRequest,
@@ -45,9 +44,9 @@
     limited: LimitedCandidates,
   ) => Shortlist;
   /**
-   * @param excluded - Ids of replicas that the request was sent to already.
-   * @param among - The replicas to compare; all if it is left out, or if none of them is a candidate.
-   * @param limited - Which of the replicas with a limit come into question.
+   * @param excluded - Ids of replicas that the request must not go to.
+   * @param among - The replicas to compare; all candidates if `undefined`, or if none of these is a candidate.
+   * @param limited - Which of the replicas with a limit are candidates.
    */
   readonly choose: (
     request: CallerRequest,
@@ -58,20 +57,22 @@
   ) => PlacementChoice | PlacementFailure;
 }
 
-/** How much of a replica's service time the requests beside one add to it, at most. */
-const crowding = 0.3;
+/** Share of a replica's service time that concurrent requests add to it when they fill all its slots. */
+const fullSlotsSlowdown = 0.3;
 
-/** Creates a placement. */
-export const createPlacement = (parts: PlacementParts): Placement => {
-  const { availability, estimates, clock, engines } = parts;
+export const createPlacement = (dependencies: PlacementDependencies): Placement => {
+  const { availability, estimates, clock, engines } = dependencies;
 
   const isOpen = (replica: ReplicaState, now: number): boolean =>
     now >= replica.changingUntil && now >= replica.ejectedUntil && !isAvoided(replica, now);
 
-  /** A request that found one replica unavailable doesn't try another that may be so too. */
+  /** A request that found one replica unavailable doesn't try another that may be unavailable too. */
   const isProven = ({ backoff }: ReplicaState): boolean => backoff === undefined;
 
-  /** Those that are open; if there are none, those that only failed, then those that are being changed. */
+  /**
+   * @returns The replicas that are open. If there are none, also those that are ejected or asked for backoff; if there
+   * are none of these either, also those whose weights are being changed.
+   */
   const usable = (service: string, excluded: ReadonlySet<string>): readonly ReplicaState[] => {
     const now = clock.monotonic();
     const available = availability.available(service).filter(({ entry }) => !excluded.has(entry.id));
@@ -88,7 +89,7 @@
     return limited === "open" && now >= replica.limitedUntil;
   };
 
-  /** What others have no room for doesn't go to a replica that failed because a limit leaves no other. */
+  /** Limits are applied last: a request without room at open replicas must not go to a failed one because of it. */
   const candidatesOf = (
     service: string,
     excluded: ReadonlySet<string>,
@@ -98,28 +99,32 @@
     return usable(service, excluded).filter((replica) => isWithinLimit(replica, limited, now));
   };
 
-  /** The few requests that a limit allows go where they gain most, as long as the limit was heard of just now. */
+  /**
+   * The few requests that a limit allows are kept for prompts that gain most there. The penalty decays with the time
+   * since the limit was last observed.
+   */
   const scarcityOf = ({ limit }: ReplicaState): number => {
     if (limit === undefined) return 0;
     const age = clock.monotonic() - limit.heardAt;
     return scarcity.cost * Math.max(0, 1 - age / scarcity.fadesIn);
   };
 
-  const isNear = ({ entry }: ReplicaState): boolean => entry.dataCentre === parts.dataCentre;
+  const isLocal = ({ entry }: ReplicaState): boolean => entry.dataCentre === dependencies.dataCentre;
 
   const generalPenalty = (replica: ReplicaState, objective: number): number => {
-    const remote = isNear(replica) ? 0 : remotePenalty;
+    const remote = isLocal(replica) ? 0 : remotePenalty;
     return remote + scarcityOf(replica) + replica.failureShare * objective * failurePenaltyShare;
   };
 
   const choosePlain = ({ route }: Admission, candidates: readonly ReplicaState[]): PlacementChoice => {
-    const predict = (replica: ReplicaState): number => {
+    const predictCost = (replica: ReplicaState): number => {
       const requests = totalRequests(replica);
       const { slots, id } = replica.entry;
-      const turns = 1 + Math.max(0, requests + 1 - slots) / slots + (requests / slots) * crowding;
-      return estimates.serviceTime(id) * turns + generalPenalty(replica, route.latencyObjective);
+      const serviceTimes =
+        1 + Math.max(0, requests + 1 - slots) / slots + (requests / slots) * fullSlotsSlowdown;
+      return estimates.serviceTime(id) * serviceTimes + generalPenalty(replica, route.latencyObjective);
     };
-    const best = rankByCost(candidates, predict, parts.random);
+    const best = cheapestReplica(candidates, predictCost, dependencies.random);
     return {
       replica: best.replica,
       home: undefined,
@@ -139,8 +144,8 @@
   const shortlistPlain = (candidates: readonly ReplicaState[]): Shortlist => ({
     replicas: [
       ...new Set([
-        ...pickSome(candidates.filter(isNear), askedPlain.near, parts.random),
-        ...pickSome(candidates, askedPlain.others, parts.random),
+        ...pickRandom(candidates.filter(isLocal), askedPlain.near, dependencies.random),
+        ...pickRandom(candidates, askedPlain.others, dependencies.random),
       ]),
     ],
     keys: [],
@@ -153,12 +158,12 @@
       if (prompt === undefined || admission.service.engine === undefined) return shortlistPlain(candidates);
       return engines.shortlist(prompt, admission, candidates, isWide);
     },
-    choose: ({ prompt }, admission, excluded, wanted, limited) => {
+    choose: ({ prompt }, admission, excluded, preferred, limited) => {
       const candidates = candidatesOf(admission.service.name, excluded, limited);
       if (candidates.length === 0) {
         return usable(admission.service.name, excluded).length === 0 ? "no_replica" : "limited";
       }
-      const among = (wanted ?? []).filter((each) => candidates.includes(each));
+      const among = (preferred ?? []).filter((each) => candidates.includes(each));
       if (prompt === undefined || admission.service.engine === undefined) {
         return choosePlain(admission, among.length > 0 ? among : candidates);
       }
--- a/src/coordination/forwarding/placementTypes.ts
+++ b/src/coordination/forwarding/placementTypes.ts
@@ -1,43 +1,47 @@
-/** What placement decides, whatever kind of replica it decides about. */
+/** Results of placement, for plain replicas and model engines alike. */
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { SharedParts } from "./partSaving.ts";
 
-/** A replica for a request, with what it is to be told. */
+/** The replica chosen for a request, with what is sent along and what was predicted. Durations are milliseconds. */
 export interface PlacementChoice {
   readonly replica: ReplicaState;
-  /** The home of the prompt's deepest shared part, whose owner knows where the part is; nothing if it is chosen. */
+  /**
+   * The home of the prompt's deepest shared part, where all routers expect the part and whose owner knows its holders;
+   * `undefined` if the home itself is chosen.
+   */
   readonly home: ReplicaState | undefined;
   readonly weightsVersion: number | undefined;
   readonly cacheSalt: string | undefined;
+  /** `IP:PORT` of a replica or store to copy cached parts from. */
   readonly fetchFrom: string | undefined;
-  /** What saving its prompt's parts is decided by; nothing where there is no such decision. */
+  /** What the decision to save the prompt's parts depends on; `undefined` if there are none to save. */
   readonly sharedParts: SharedParts | undefined;
-  /** For engines: 0 is the most urgent. */
+  /** For engines only: 0 is the most urgent. */
   readonly priority: number | undefined;
-  /** Its prompt takes longer than the time between two messages to peers. */
+  /** Computing the prompt takes longer than the shortest interval between two messages to a peer. */
   readonly outlastsMessageInterval: boolean;
-  /** The key of a prompt part that an engine is computing, and that is worth waiting for. */
+  /** Key of a prompt part that an engine is computing and that is worth waiting for. */
   readonly awaitedPart: number | undefined;
-  /** Prompt tokens that it is expected to compute. */
+  /** Prompt tokens that the replica is expected to compute. */
   readonly promptTokens: number;
-  /** Predicted time to the beginning of the answer, milliseconds. */
+  /** Predicted time until the answer starts. */
   readonly predictedWait: number;
-  /** The part of it that passes before the replica begins with the request. */
+  /** The part of `predictedWait` that passes before the replica starts on the request. */
   readonly queueWait: number;
 }
 
-/** Why there is no choice. */
+/** Why no replica was chosen. */
 export type PlacementFailure = "no_replica" | "old_weights" | "limited";
 
 /**
- * Replicas with a limit that a choice is made among: `open`, all but those known to have no room now; `none`; `all`, to
- * book a turn where nothing else is left.
+ * Which replicas with a rate limit are candidates: `open`, all but those known to have no room now; `none`; `all`, to
+ * reserve a future grant if no other replica is left.
  */
 export type LimitedCandidates = "open" | "none" | "all";
 
-/** What is worth asking before a request is placed. */
+/** What the owners of replicas are queried for before a request is placed. */
 export interface Shortlist {
   readonly replicas: readonly ReplicaState[];
-  /** Of the prompt's parts. */
+  /** Keys of the prompt's parts. */
   readonly keys: readonly number[];
 }
--- a/src/coordination/forwarding/promptView.ts
+++ b/src/coordination/forwarding/promptView.ts
@@ -1,111 +1,121 @@
-/** Where the parts of a prompt are kept and expected, by the weights that replicas run. */
+/** Where the parts of a prompt are cached and expected, separately for each version of the weights. */
 import type { CacheStore, Prompt } from "../../protocol/forwarding/types.ts";
 import { hash32 } from "../../protocol/prefixLevels.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
-import type { CacheHolders, HeldPrompt } from "./cacheHolders.ts";
+import type { CacheHolders, CachedPrompt } from "./cacheHolders.ts";
 import { reusableParts } from "./cacheHolders.ts";
 import { rendezvousReplica } from "./rendezvousReplica.ts";
 
-/** What views are made of. */
-export interface PromptViewParts {
+export interface PromptViewDependencies {
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
   readonly holders: CacheHolders;
-  /** @returns The store that a part belongs to, if there is one that answers. @param part - Its hash. */
-  readonly store: (part: number) => CacheStore | undefined;
+  /** @returns The store of prompt parts for a part hash; `undefined` if none answers. */
+  readonly findStore: (part: number) => CacheStore | undefined;
 }
 
-/** A prompt as the engines that run one version of the weights may keep it. */
+/** Where a prompt is cached among the engines that run one version of the weights, and in stores. */
 export interface PromptView {
   readonly salt: string;
-  readonly held: ReadonlyMap<string, HeldPrompt>;
-  /** Hash of the deepest part that others may share. */
-  readonly part: number;
-  /** Those that run these weights. */
-  readonly same: readonly ReplicaState[];
-  /** The replica that all routers expect the part at. */
+  /** By replica id or store address. */
+  readonly cached: ReadonlyMap<string, CachedPrompt>;
+  /** Hash of the deepest reusable part. */
+  readonly partHash: number;
+  /** The replicas that run these weights. */
+  readonly sameWeights: readonly ReplicaState[];
+  /** Id of the replica where all routers expect the part, chosen by rendezvous hashing. */
   readonly home: string | undefined;
-  /** The most tokens that can be copied from anywhere. */
-  readonly most: number;
-  /** Tokens of all parts that other requests may have too. */
-  readonly reusable: number;
+  /** The largest number of the prompt's tokens that any single holder has ready for copying. */
+  readonly copyableTokens: number;
+  /** Tokens of all reusable parts. */
+  readonly reusableTokens: number;
 }
 
-interface HeldBy {
+interface CachedAt {
   readonly id: string;
-  readonly held: HeldPrompt;
+  readonly cached: CachedPrompt;
 }
 
-const mostHeld = (held: ReadonlyMap<string, HeldPrompt>): number => {
+const mostCopyableTokens = (cached: ReadonlyMap<string, CachedPrompt>): number => {
   let most = 0;
-  for (const { readyTokens } of held.values()) most = Math.max(most, readyTokens);
+  for (const { readyTokens } of cached.values()) most = Math.max(most, readyTokens);
   return most;
 };
 
-/** See {@link createPromptViews}. */
 export interface PromptViews {
-  /** @param sameWeights - The replicas that run one version of the weights, whatever else they do. */
+  /** @param sameWeights - All replicas that run one version of the weights, available or not. */
   readonly viewPrompt: (prompt: Prompt, salt: string, sameWeights: readonly ReplicaState[]) => PromptView;
   /**
-   * @param own - Tokens that the chosen replica keeps itself.
-   * @returns Where to copy parts from: a replica that is known to keep more, else where they are expected.
+   * @param chosen - Id of the chosen replica.
+   * @param own - Tokens that the chosen replica caches itself.
+   * @returns `IP:PORT` to copy parts from: a replica or store known to hold more, else where they are expected.
    */
-  readonly fetchSource: (view: PromptView, chosen: string, own: number) => string | undefined;
+  readonly findFetchSource: (view: PromptView, chosen: string, own: number) => string | undefined;
 }
 
-/** Makes views of prompts. */
-export const createPromptViews = (parts: PromptViewParts): PromptViews => {
-  const { replicas, holders, clock } = parts;
+export const createPromptViews = (dependencies: PromptViewDependencies): PromptViews => {
+  const { replicas, holders, clock } = dependencies;
 
   const viewPrompt = (prompt: Prompt, salt: string, sameWeights: readonly ReplicaState[]): PromptView => {
-    const held = holders.find(salt, prompt);
-    const shared = reusableParts(prompt);
-    const reusable = shared.reduce((sum, { tokens }) => sum + tokens, 0);
-    const deepest = shared.at(-1) ?? prompt.parts.at(-1);
-    const part = hash32(`${salt} ${deepest?.id ?? ""}`);
-    const home = rendezvousReplica(part, sameWeights)?.entry.id;
-    return { salt, held, part, same: sameWeights, home, most: mostHeld(held), reusable };
+    const cached = holders.find(salt, prompt);
+    const reusable = reusableParts(prompt);
+    const reusableTokens = reusable.reduce((sum, { tokens }) => sum + tokens, 0);
+    const deepest = reusable.at(-1) ?? prompt.parts.at(-1);
+    const partHash = hash32(`${salt} ${deepest?.id ?? ""}`);
+    const home = rendezvousReplica(partHash, sameWeights)?.entry.id;
+    return {
+      salt,
+      cached,
+      partHash,
+      sameWeights,
+      home,
+      copyableTokens: mostCopyableTokens(cached),
+      reusableTokens,
+    };
   };
 
-  /** Copying from a replica that doesn't answer would hold the request up. */
+  /** Copying from a replica that doesn't answer would delay the request. */
   const isSource = (replica: ReplicaState | undefined, now: number): boolean =>
     replica?.isUnreachable === false && !isBackingOff(replica, now);
 
-  /** The replica that is known to keep most of the prompt, if it is more than the chosen one keeps. */
-  const knownSource = (view: PromptView, chosen: string, own: number): HeldBy | undefined => {
+  /** @returns The replica known to cache most of the prompt, if it is more than the chosen one caches. */
+  const knownSource = (view: PromptView, chosen: string, own: number): CachedAt | undefined => {
     const now = clock.monotonic();
-    let best: HeldBy | undefined;
-    for (const [id, held] of view.held) {
-      if (id === chosen || held.readyTokens <= own || !isSource(replicas.get(id), now)) continue;
-      const more = held.readyTokens - (best?.held.readyTokens ?? 0);
-      if (more > 0 || (more === 0 && held.usedAt > (best?.held.usedAt ?? 0))) best = { id, held };
+    let best: CachedAt | undefined;
+    for (const [id, cached] of view.cached) {
+      if (id === chosen || cached.readyTokens <= own || !isSource(replicas.get(id), now)) continue;
+      const more = cached.readyTokens - (best?.cached.readyTokens ?? 0);
+      if (more > 0 || (more === 0 && cached.usedAt > (best?.cached.usedAt ?? 0))) best = { id, cached };
     }
     return best;
   };
 
-  /** The home; for the home itself, the replica that comes next. */
+  /** @returns The home; for the home itself, the next replica in the rendezvous order. */
   const expectedSource = (view: PromptView, chosen: string): string | undefined => {
-    const { part, same, home } = view;
+    const { partHash, sameWeights, home } = view;
     const now = clock.monotonic();
     if (home !== undefined && home !== chosen && isSource(replicas.get(home), now)) return home;
-    const others = same.filter((each) => each.entry.id !== chosen && isSource(each, now));
-    return rendezvousReplica(part, others)?.entry.id;
+    const others = sameWeights.filter((each) => each.entry.id !== chosen && isSource(each, now));
+    return rendezvousReplica(partHash, others)?.entry.id;
   };
 
-  /** The store, where it is known to keep all that can be shared. */
+  /** @returns The store's address, if it is assumed to hold or be receiving all reusable parts. */
   const savedSource = (view: PromptView): string | undefined => {
-    const address = parts.store(view.part)?.address;
+    const address = dependencies.findStore(view.partHash)?.address;
     if (address === undefined) return undefined;
-    return (view.held.get(address)?.tokens ?? 0) >= view.reusable ? address : undefined;
+    return (view.cached.get(address)?.tokens ?? 0) >= view.reusableTokens ? address : undefined;
   };
 
-  /** An engine may have dropped what it is believed to keep; naming a source that isn't needed costs nothing. */
-  const fetchSource = (view: PromptView, chosen: string, own: number): string | undefined => {
-    if (view.reusable === 0) return undefined;
-    const isOwn = own >= view.reusable;
+  /**
+   * Also names the store if the chosen replica is assumed to cache everything: it may have evicted parts, and a source
+   * that isn't needed costs nothing.
+   */
+  const findFetchSource = (view: PromptView, chosen: string, own: number): string | undefined => {
+    if (view.reusableTokens === 0) return undefined;
+    const isOwn = own >= view.reusableTokens;
     const known = isOwn ? undefined : knownSource(view, chosen, own)?.id;
     if (known !== undefined) return replicas.get(known)?.entry.address;
     const saved = savedSource(view);
@@ -114,5 +124,5 @@
     return expected === undefined ? undefined : replicas.get(expected)?.entry.address;
   };
 
-  return { viewPrompt, fetchSource };
+  return { viewPrompt, findFetchSource };
 };
--- a/src/coordination/forwarding/rendezvousReplica.ts
+++ b/src/coordination/forwarding/rendezvousReplica.ts
@@ -1,10 +1,10 @@
 /**
- * Rendezvous hashing over replicas by numbers alone: with a hash of texts for each candidate a choice among 1,000
- * replicas took 2.3 ms.
+ * Rendezvous hashing over replicas. It only mixes numbers that are hashed in advance: hashing a string for each
+ * candidate makes a choice among 1,000 replicas take 2.3 ms.
  */
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 
-/** Mixes two 32-bit numbers so that every bit of either changes about half of the result's (the steps of MurmurHash3). */
+/** Mixes two 32-bit numbers so that each bit of either changes about half of the result's bits (as in MurmurHash3). */
 export const mixHashes = (left: number, right: number): number => {
   let value = Math.imul(left ^ right, 0x85ebca6b);
   value = Math.imul(value ^ (value >>> 13), 0xc2b2ae35);
@@ -12,7 +12,7 @@
   return (value ^ (value >>> 13)) >>> 0;
 };
 
-/** @returns The replica that every router chooses for a key among the same ones; nothing if there are none. */
+/** @returns The replica that every router chooses for a key from the same candidates; `undefined` if there are none. */
 export const rendezvousReplica = (
   key: number,
   candidates: readonly ReplicaState[],
@@ -30,8 +30,8 @@
   return best;
 };
 
-/** @returns The replicas that come first for a key, the first one first. @param count - How many. */
-export const firstReplicas = (
+/** @returns Up to `count` replicas that come first for a key, in order. */
+export const topRendezvousReplicas = (
   key: number,
   candidates: readonly ReplicaState[],
   count: number,
--- a/src/coordination/forwarding/replicaEstimates.ts
+++ b/src/coordination/forwarding/replicaEstimates.ts
@@ -1,29 +1,38 @@
-/** How fast replicas are, learned from the answers that this router passes on. */
-import { assumedPrefillRate, assumedServiceTime, smoothingFactor, fewestRateTokens } from "./constants.ts";
+/** Estimates how fast replicas are from the answers that this router forwards. */
+import { assumedPrefillRate, assumedServiceTime, smoothingFactor, minRateSampleTokens } from "./constants.ts";
 
-/** See {@link createReplicaEstimates}. */
 export interface ReplicaEstimates {
-  /** @returns Prompt tokens that the engine computes in a millisecond. */
+  /** @returns Prompt tokens that the engine computes per millisecond. */
   readonly prefillRate: (replica: string) => number;
-  /** @returns Milliseconds that the replica takes for a request when it has nothing else to do. */
+  /** @returns Average milliseconds that the replica takes for a request. */
   readonly serviceTime: (replica: string) => number;
-  /** An engine had no other request of this router when one came. @param milliseconds - To the first token. */
+  /**
+   * Updates an engine's prefill rate from a request that found it idle.
+   *
+   * @param tokens - Prompt tokens that the engine computed.
+   * @param milliseconds - Time to the first token.
+   */
   readonly learnPrefill: (replica: string, tokens: number, milliseconds: number) => void;
   readonly learnServiceTime: (replica: string, milliseconds: number) => void;
   readonly forget: (replica: string) => void;
 }
 
-const slowestPrefillRate = 1;
+const minPrefillRate = 1;
 
-/** A single slow answer says little: it counts for no more than so many times the average. */
-const longestOutlier = 4;
+/** A single slow answer says little: it counts as at most this many times the average. */
+const maxOutlierFactor = 4;
 
-/** Creates estimates that know nothing. */
+/** Creates estimates that start from the assumed values. */
 export const createReplicaEstimates = (): ReplicaEstimates => {
   const rates = new Map<string, number>();
   const times = new Map<string, number>();
 
-  const average = (values: Map<string, number>, replica: string, value: number, assumed: number): void => {
+  const updateAverage = (
+    values: Map<string, number>,
+    replica: string,
+    value: number,
+    assumed: number,
+  ): void => {
     const before = values.get(replica) ?? assumed;
     values.set(replica, before + (value - before) * smoothingFactor);
   };
@@ -32,13 +41,13 @@
     prefillRate: (replica) => rates.get(replica) ?? assumedPrefillRate,
     serviceTime: (replica) => times.get(replica) ?? assumedServiceTime,
     learnPrefill: (replica, tokens, milliseconds) => {
-      if (tokens < fewestRateTokens) return;
-      const rate = Math.max(slowestPrefillRate, tokens / Math.max(1, milliseconds));
-      average(rates, replica, rate, assumedPrefillRate);
+      if (tokens < minRateSampleTokens) return;
+      const rate = Math.max(minPrefillRate, tokens / Math.max(1, milliseconds));
+      updateAverage(rates, replica, rate, assumedPrefillRate);
     },
     learnServiceTime: (replica, milliseconds) => {
       const before = times.get(replica) ?? assumedServiceTime;
-      average(times, replica, Math.min(milliseconds, before * longestOutlier), assumedServiceTime);
+      updateAverage(times, replica, Math.min(milliseconds, before * maxOutlierFactor), assumedServiceTime);
     },
     forget: (replica) => {
       rates.delete(replica);
--- a/src/coordination/forwarding/resizableSemaphore.ts
+++ b/src/coordination/forwarding/resizableSemaphore.ts
@@ -1,61 +1,67 @@
-/** A number of places that are taken in the order of asking. */
+/** A semaphore whose number of permits may change at any time. */
 
-/** A place, or none. */
-export interface Slot extends AsyncDisposable {
-  /** False if the signal aborted before there was one. */
-  readonly isTaken: boolean;
+/** A permit; disposing of it releases it. */
+export interface Permit extends AsyncDisposable {
+  /** False if the signal aborted before a permit was available. */
+  readonly isAcquired: boolean;
 }
 
-/** See {@link createSlots}. */
-export interface Slots {
-  readonly taken: () => number;
-  /** Waits for a place. @returns The place; disposing of it gives it back. */
-  readonly take: (signal: AbortSignal) => Promise<Slot>;
+export interface ResizableSemaphore {
+  readonly acquiredCount: () => number;
+  /**
+   * Waits for a permit. Waiting callers get permits in the order of their calls.
+   *
+   * @param signal - Cancels the wait.
+   */
+  readonly acquire: (signal: AbortSignal) => Promise<Permit>;
 }
 
-/** @param count - How many places there are; it may change at any time. */
-export const createSlots = (count: () => number): Slots => {
+/**
+ * @param maxPermits - Returns the number of permits. It is read when a permit is acquired or released, so an increase
+ * takes effect for waiting callers at the next release.
+ */
+export const createResizableSemaphore = (maxPermits: () => number): ResizableSemaphore => {
   const waiting: (() => void)[] = [];
-  let taken = 0;
+  let acquired = 0;
 
-  const giveBack = (): void => {
-    taken -= 1;
-    while (taken < count()) {
+  const release = (): void => {
+    acquired -= 1;
+    while (acquired < maxPermits()) {
       const next = waiting.shift();
       if (next === undefined) return;
-      taken += 1;
+      acquired += 1;
       next();
     }
   };
 
-  const slot = (): Slot => ({
-    isTaken: true,
+  const createPermit = (): Permit => ({
+    isAcquired: true,
     [Symbol.asyncDispose]: () => {
-      giveBack();
+      release();
       return Promise.resolve();
     },
   });
 
-  const none: Slot = { isTaken: false, [Symbol.asyncDispose]: () => Promise.resolve() };
+  const notAcquired: Permit = { isAcquired: false, [Symbol.asyncDispose]: () => Promise.resolve() };
 
   return {
-    taken: () => taken,
-    take: async (signal) => {
-      if (signal.aborted) return none;
-      if (taken < count()) {
-        taken += 1;
-        return slot();
+    acquiredCount: () => acquired,
+    acquire: async (signal) => {
+      if (signal.aborted) return notAcquired;
+      if (acquired < maxPermits()) {
+        acquired += 1;
+        return createPermit();
       }
       return new Promise((resolve) => {
         const begin = (): void => {
           signal.removeEventListener("abort", leave);
-          resolve(slot());
+          resolve(createPermit());
         };
         const leave = (): void => {
           const index = waiting.indexOf(begin);
           if (index < 0) return;
           waiting.splice(index, 1);
-          resolve(none);
+          resolve(notAcquired);
         };
         waiting.push(begin);
         signal.addEventListener("abort", leave, { once: true });
--- a/src/coordination/forwarding/sharedParts.ts
+++ b/src/coordination/forwarding/sharedParts.ts
@@ -1,65 +1,69 @@
-/** What is known of a prompt's shared parts when it is sent: for saving them, and for waiting for them. */
+/** Describes a prompt's shared parts for the decisions to save them and to wait for them. */
 import type { CacheStore, EngineCapacity, Prompt } from "../../protocol/forwarding/types.ts";
-import type { CacheHolders, HeldPrompt } from "./cacheHolders.ts";
-import { partWorthWaiting } from "./constants.ts";
+import type { CacheHolders, CachedPrompt } from "./cacheHolders.ts";
+import { minComputingTimeToAwait } from "./constants.ts";
 import type { SharedParts } from "./partSaving.ts";
 import type { PromptView } from "./promptView.ts";
 
 const bitsPerByte = 8;
 
-/** Bits a millisecond in a megabit a second. */
+/** Bits per millisecond in one megabit per second. */
 const bitsPerMegabit = 1_000;
 
-/** @returns Milliseconds that a link takes for a prompt's tokens. */
+/**
+ * @param tokens - Prompt tokens to transfer.
+ * @param megabits - Megabits per second of the link.
+ * @returns Milliseconds that the link takes for the tokens' cached data.
+ */
 export const transferTime = ({ bytesPerToken }: EngineCapacity, tokens: number, megabits: number): number =>
   (tokens * bytesPerToken * bitsPerByte) / (megabits * bitsPerMegabit);
 
-/** What {@link describeShared} looks at. */
-export interface SharedSurroundings {
+export interface SharedPartsContext {
   readonly holders: Pick<CacheHolders, "deepestKey" | "wasUsed">;
   readonly engine: EngineCapacity;
   readonly store: CacheStore | undefined;
-  /** The prompt's weights are the newest: parts of weights that are about to go are not worth a transfer. */
+  /** The weights are the newest; parts computed with superseded weights are not worth a transfer. */
   readonly isNewest: boolean;
-  /** Prompt tokens that the chosen engine computes in a millisecond. */
-  readonly rate: number;
+  /** Prompt tokens that the chosen engine computes per millisecond. */
+  readonly prefillRate: number;
 }
 
-/** @returns What saving a prompt's parts is decided by; nothing if it shares none. */
-export const describeShared = (
+/** @returns What the decision to save a prompt's parts depends on; `undefined` if none of them is reusable. */
+export const describeSharedParts = (
   prompt: Prompt,
   view: PromptView,
-  { holders, engine, store, isNewest, rate }: SharedSurroundings,
+  { holders, engine, store, isNewest, prefillRate }: SharedPartsContext,
 ): SharedParts | undefined => {
   const key = holders.deepestKey(view.salt, prompt);
   if (key === undefined) return undefined;
-  const isHeld = ([id, held]: readonly [string, HeldPrompt]): boolean =>
-    id !== store?.address && held.tokens >= view.reusable;
+  const isCached = ([id, cached]: readonly [string, CachedPrompt]): boolean =>
+    id !== store?.address && cached.tokens >= view.reusableTokens;
   return {
     store: isNewest ? store : undefined,
     wasUsed: holders.wasUsed(key),
-    isKept: [...view.held].some(isHeld),
-    isSaved: (view.held.get(store?.address ?? "")?.tokens ?? 0) >= view.reusable,
-    computingTime: view.reusable / rate,
-    share: view.reusable / Math.max(1, prompt.tokens),
+    isCached: [...view.cached].some(isCached),
+    isSaved: (view.cached.get(store?.address ?? "")?.tokens ?? 0) >= view.reusableTokens,
+    computingTime: view.reusableTokens / prefillRate,
+    share: view.reusableTokens / Math.max(1, prompt.tokens),
     transferTime: store === undefined ? 0 : transferTime(engine, prompt.tokens, store.linkMegabits),
   };
 };
 
 /**
  * @param isEngine - Whether a holder computes parts itself.
- * @param rate - Prompt tokens that the chosen engine computes in a millisecond.
- * @returns The key of a part that an engine is computing, where computing it again takes longer than a short wait.
+ * @param prefillRate - Prompt tokens that the chosen engine computes per millisecond.
+ * @returns Key of the deepest part that an engine is computing; `undefined` if the chosen engine would not gain enough
+ * time by waiting for it.
  */
-export const findAwaited = (
+export const findAwaitedPart = (
   view: PromptView,
   isEngine: (holder: string) => boolean,
-  rate: number,
+  prefillRate: number,
 ): number | undefined => {
-  let awaited: HeldPrompt | undefined;
-  for (const [holder, held] of view.held) {
-    if (isEngine(holder) && held.tokens > (awaited?.tokens ?? view.most)) awaited = held;
+  let awaited: CachedPrompt | undefined;
+  for (const [holder, cached] of view.cached) {
+    if (isEngine(holder) && cached.tokens > (awaited?.tokens ?? view.copyableTokens)) awaited = cached;
   }
-  const gained = (awaited?.tokens ?? 0) - view.most;
-  return gained / rate > partWorthWaiting ? awaited?.computing : undefined;
+  const tokensSaved = (awaited?.tokens ?? 0) - view.copyableTokens;
+  return tokensSaved / prefillRate > minComputingTimeToAwait ? awaited?.computingKey : undefined;
 };
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -1,4 +1,4 @@
-/** Brings one engine to the weights wanted: empties it for a moment, gives the order, and sees it done. */
+/** Changes the weights of one engine: drains it for a moment, sends the order, and polls until the load is finished. */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { EngineStatus, WeightsTarget } from "../../protocol/forwarding/types.ts";
@@ -14,22 +14,21 @@
 import { withTimeLimit } from "../timeLimit.ts";
 import type { ConfigurationState } from "./configurationState.ts";
 import {
-  changingTime,
-  changeRetryPause,
-  drainBeforeLoad,
+  changingTimeout,
+  changeRetryDelay,
+  drainTimeBeforeLoad,
   drainPollInterval,
-  firstLoadPoll,
+  firstLoadPollDelay,
   loadPollInterval,
-  longestLoad,
+  loadTimeLimit,
   orderTimeout,
 } from "./constants.ts";
-import { createLoadPace } from "./weightsLoadConcurrency.ts";
+import { createWeightsLoadConcurrency } from "./weightsLoadConcurrency.ts";
 import type { RouterPeers } from "./routerPeers.ts";
-import { createSlots } from "./resizableSemaphore.ts";
+import { createResizableSemaphore } from "./resizableSemaphore.ts";
 import type { ForwardingBounds } from "./types.ts";
 
-/** What changes work with. */
-export interface WeightsChangeParts {
+export interface WeightsChangeDependencies {
   readonly replicas: ReplicaTable;
   readonly configuration: ConfigurationState;
   readonly client: ReplicaClient;
@@ -37,23 +36,27 @@
   readonly bounds: Pick<ForwardingBounds, "weights">;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** Tells this process from every other. */
+  /** Identifies this process uniquely among all lease holders. */
   readonly holder: string;
-  /** Ends all changes. */
+  /** Cancels all changes. */
   readonly signal: AbortSignal;
-  /** Whether orders may be given at this moment. */
+  /** @returns Whether orders may be sent at this moment. */
   readonly mayOrder: (tenure: Tenure) => boolean;
 }
 
-/** See {@link createWeightsChange}. */
 export interface WeightsChange {
-  /** @returns The newest weights of a model of the replica's that it does not run. */
-  readonly missing: (replica: ReplicaState) => WeightsTarget | undefined;
-  /** When the last order was sent, milliseconds on the monotonic clock. */
+  /** @returns The newest wanted weights of one of the replica's models that it does not run yet, if there are any. */
+  readonly missingWeights: (replica: ReplicaState) => WeightsTarget | undefined;
+  /** @returns When the last order was sent, milliseconds on the monotonic clock. */
   readonly lastOrderAt: () => number;
-  /** How many engines may load at once. */
-  readonly mostLoads: () => number;
-  /** Resolves when the replica runs them, or can't be brought to them now. */
+  /** @returns How many engines may load at the same time. */
+  readonly maxSimultaneousLoads: () => number;
+  /**
+   * Changes a replica to the newest wanted weights. Failures are logged, not thrown.
+   *
+   * @param tenure - The tenure of the lease under which the order is sent.
+   * @returns Resolves when the replica runs them, or when the change can't be made now.
+   */
   readonly change: (tenure: Tenure, replica: ReplicaState) => Promise<void>;
 }
 
@@ -62,16 +65,15 @@
 const runsTarget = ({ weights, isChanging }: EngineStatus, target: WeightsTarget): boolean =>
   !isChanging && (weights.get(target.model) ?? 0) >= target.version;
 
-/** Creates what changes the engines of a table. */
-export const createWeightsChange = (parts: WeightsChangeParts): WeightsChange => {
-  const { replicas, configuration, client, peers, clock, signal } = parts;
-  const pace = createLoadPace(parts.bounds);
+export const createWeightsChange = (dependencies: WeightsChangeDependencies): WeightsChange => {
+  const { replicas, configuration, client, peers, clock, signal } = dependencies;
+  const concurrency = createWeightsLoadConcurrency(dependencies.bounds);
   const countEngines = (): number => replicas.all().filter(({ weights }) => weights.size > 0).length;
-  const mostLoads = (): number => pace.limit(countEngines());
-  const loads = createSlots(mostLoads);
+  const maxSimultaneousLoads = (): number => concurrency.limit(countEngines());
+  const loads = createResizableSemaphore(maxSimultaneousLoads);
   let lastOrderAt = Number.NEGATIVE_INFINITY;
 
-  const missing = ({ weights, entry }: ReplicaState): WeightsTarget | undefined => {
+  const missingWeights = ({ weights, entry }: ReplicaState): WeightsTarget | undefined => {
     if (entry.isDraining) return undefined;
     for (const [model, version] of weights) {
       const wanted = configuration.wantedWeights(model);
@@ -85,36 +87,36 @@
     peers.tellChanging(replica.entry.id, until);
   };
 
-  const limited = <T>(call: (limit: AbortSignal) => Promise<T>): Promise<T> =>
+  const withOrderTimeout = <T>(call: (limit: AbortSignal) => Promise<T>): Promise<T> =>
     withTimeLimit(clock, signal, orderTimeout, call);
 
-  /** What one incarnation says counts for no other: its weights and its number of orders began anew. */
+  /** Rejects the status of another incarnation, whose weights and number of accepted orders started anew. */
   const readStatus = async ({ entry }: ReplicaState): Promise<EngineStatus> => {
-    const status = await limited((limit) => client.readStatus(entry, limit));
-    if (isOfAnother(entry, status)) throw upstreamError("the engine started again", "leaving", "sent");
+    const status = await withOrderTimeout((limit) => client.readStatus(entry, limit));
+    if (isOfAnother(entry, status)) throw upstreamError("the engine has restarted", "leaving", "sent");
     return status;
   };
 
-  /** Work that ends in time is not cut off from its weights. */
+  /** Gives running requests time to end on the weights that they started with. */
   const drain = async (replica: ReplicaState): Promise<void> => {
-    setChanging(replica, clock.monotonic() + changingTime);
-    const end = clock.monotonic() + drainBeforeLoad;
+    setChanging(replica, clock.monotonic() + changingTimeout);
+    const deadline = clock.monotonic() + drainTimeBeforeLoad;
     do {
-      // Peers need the first pause to hear of it.
+      // The first pause gives peers time to receive the update.
       await pause(clock, drainPollInterval, signal);
-    } while (totalRequests(replica) > 0 && clock.monotonic() < end && !signal.aborted);
+    } while (totalRequests(replica) > 0 && clock.monotonic() < deadline && !signal.aborted);
   };
 
   const awaitLoad = async (replica: ReplicaState, target: WeightsTarget): Promise<boolean> => {
-    const end = clock.monotonic() + longestLoad;
-    await pause(clock, firstLoadPoll, signal);
-    while (clock.monotonic() < end && !signal.aborted) {
-      // An engine that doesn't answer is asked again until the time is over.
+    const deadline = clock.monotonic() + loadTimeLimit;
+    await pause(clock, firstLoadPollDelay, signal);
+    while (clock.monotonic() < deadline && !signal.aborted) {
+      // An engine that doesn't answer is polled again until the time limit.
       const status = await readStatus(replica).catch(() => undefined);
       if (status !== undefined && runsTarget(status, target)) return true;
       if (replicas.get(replica.entry.id) === undefined) return false;
-      if (replica.changingUntil < clock.monotonic() + changingTime / 2) {
-        setChanging(replica, clock.monotonic() + changingTime);
+      if (replica.changingUntil < clock.monotonic() + changingTimeout / 2) {
+        setChanging(replica, clock.monotonic() + changingTimeout);
       }
       await pause(clock, loadPollInterval, signal);
     }
@@ -126,7 +128,7 @@
     peers.tellWeights(entry.id, model, version);
   };
 
-  const giveOrder = async (
+  const sendOrder = async (
     tenure: Tenure,
     replica: ReplicaState,
     target: WeightsTarget,
@@ -137,14 +139,14 @@
       replica: entry,
       target,
       running: "keep",
-      holder: parts.holder,
-      // Offsets begin at 0, and an order without a number is refused.
+      holder: dependencies.holder,
+      // Log offsets start at 0, and an order without a number is refused.
       fencingNumber: tenure.fencingNumber + 1,
       acceptedOrders,
     } as const;
     lastOrderAt = clock.monotonic();
-    const outcome = await limited((limit) => client.order(order, limit));
-    parts.metrics.count(metricNames.orders, 1, { outcome });
+    const outcome = await withOrderTimeout((limit) => client.order(order, limit));
+    dependencies.metrics.count(metricNames.orders, 1, { outcome });
     const { model, version } = target;
     writeLog("ordered", { replica: entry.id, model, version, fence: order.fencingNumber, outcome });
     return outcome === "accepted" || outcome === "already";
@@ -152,35 +154,35 @@
 
   const load = async (tenure: Tenure, replica: ReplicaState): Promise<void> => {
     const status = await readStatus(replica);
-    const target = missing(replica);
+    const target = missingWeights(replica);
     if (target === undefined) return;
     if (runsTarget(status, target)) {
       noteDone(replica, target);
       return;
     }
-    const simultaneous = loads.taken();
-    // Asked last: this process may have been paused until now.
-    if (!parts.mayOrder(tenure)) return;
+    const simultaneous = loads.acquiredCount();
+    // Checked last, since this process may have been paused until now.
+    if (!dependencies.mayOrder(tenure)) return;
     const orderedAt = clock.monotonic();
-    const isUnderWay = await giveOrder(tenure, replica, target, status.acceptedOrders);
-    if ((isUnderWay || status.isChanging) && (await awaitLoad(replica, target))) {
+    const isAccepted = await sendOrder(tenure, replica, target, status.acceptedOrders);
+    if ((isAccepted || status.isChanging) && (await awaitLoad(replica, target))) {
       noteDone(replica, target);
-      pace.note(clock.monotonic() - orderedAt, Math.max(1, simultaneous, loads.taken()));
-    } else await pause(clock, changeRetryPause, signal);
+      concurrency.noteLoad(clock.monotonic() - orderedAt, Math.max(1, simultaneous, loads.acquiredCount()));
+    } else await pause(clock, changeRetryDelay, signal);
   };
 
   return {
-    missing,
-    mostLoads,
+    missingWeights,
+    maxSimultaneousLoads,
     lastOrderAt: () => lastOrderAt,
     change: async (tenure, replica) => {
       try {
         await drain(replica);
-        await using slot = await loads.take(signal);
-        if (slot.isTaken) await load(tenure, replica);
+        await using permit = await loads.acquire(signal);
+        if (permit.isAcquired) await load(tenure, replica);
       } catch (error) {
         writeLog("change_failed", { replica: replica.entry.id, reason: String(error) });
-        await pause(clock, changeRetryPause, signal);
+        await pause(clock, changeRetryDelay, signal);
       } finally {
         setChanging(replica, clock.monotonic());
       }
--- a/src/coordination/forwarding/weightsLoadConcurrency.ts
+++ b/src/coordination/forwarding/weightsLoadConcurrency.ts
@@ -1,76 +1,83 @@
 /**
- * How many engines load new weights at once: as many as the bound on old weights asks for, more while loads are as
- * fast as ever, and fewer once they slow each other down, since the source of the weights has a limit that nobody
- * tells.
+ * Adaptive limit on the number of engines that load new weights at the same time: as many as the bound on old weights
+ * requires, more while loads stay fast, and fewer once they slow each other down, since the capacity of the source of
+ * the weights is not known.
  */
 import {
   assumedLoadTime,
   smoothingFactor,
-  drainBeforeLoad,
-  fewestLoads,
-  loadSlowdown,
-  rollOutShares,
+  drainTimeBeforeLoad,
+  minSimultaneousLoads,
+  slowLoadFactor,
+  rollOutTimeShares,
 } from "./constants.ts";
 import type { ForwardingBounds } from "./types.ts";
 
-/** See {@link createLoadPace}. */
-export interface LoadPace {
-  /** @param engines - All that have to be brought over. @returns Loads at once. */
+export interface WeightsLoadConcurrency {
+  /**
+   * @param engines - Number of engines that take part in a roll-out.
+   * @returns Maximum number of simultaneous loads.
+   */
   readonly limit: (engines: number) => number;
   /**
-   * An engine has loaded.
+   * Records a finished load.
    *
-   * @param milliseconds - From the order to the end.
-   * @param simultaneous - Loads that were under way with it at most, itself included.
+   * @param milliseconds - Time from the order to the end of the load.
+   * @param simultaneous - Highest number of loads that ran at the same time, this one included.
    */
-  readonly note: (milliseconds: number, simultaneous: number) => void;
+  readonly noteLoad: (milliseconds: number, simultaneous: number) => void;
 }
 
-/** Rounds of loads, all as fast as ever, after which one more at once is tried. */
-const roundsBeforeMore = 2;
+/** Rounds of loads without a slow one after which the limit is raised by one. */
+const roundsBeforeIncrease = 2;
 
-/** Creates a pace that has seen no load. */
-export const createLoadPace = ({ weights }: Pick<ForwardingBounds, "weights">): LoadPace => {
-  let fastest = Number.POSITIVE_INFINITY;
-  let average = assumedLoadTime;
-  /** Loads at once beyond, or short of, those that the bound asks for. */
-  let more = 0;
-  /** The most that are tried, since more were seen to slow each other down. */
-  let bearable = Number.POSITIVE_INFINITY;
-  let fastLoads = 0;
-  let last = fewestLoads;
+/** Creates a limit that assumes {@link assumedLoadTime} until loads are recorded. */
+export const createWeightsLoadConcurrency = ({
+  weights,
+}: Pick<ForwardingBounds, "weights">): WeightsLoadConcurrency => {
+  let fastestTime = Number.POSITIVE_INFINITY;
+  let averageTime = assumedLoadTime;
+  /** Simultaneous loads tried in addition to those that the bound requires. */
+  let extraLoads = 0;
+  /** Upper limit after a slowdown: more loads than this were observed to slow each other down. */
+  let sustainableLoads = Number.POSITIVE_INFINITY;
+  let consecutiveFastLoads = 0;
+  let lastLimit = minSimultaneousLoads;
 
-  /** Engines that are done within a share of the bound where so many load at once. */
-  const within = (engines: number, share: number): number =>
-    Math.round((engines * (average + drainBeforeLoad)) / (weights * share));
+  /** @returns Simultaneous loads with which all engines are done within a share of the bound. */
+  const loadsToFinishWithin = (engines: number, share: number): number =>
+    Math.round((engines * (averageTime + drainTimeBeforeLoad)) / (weights * share));
 
   const noteSlow = (milliseconds: number, simultaneous: number): void => {
-    // Whoever shares a limit takes as much longer as there are too many.
-    const sustained = Math.floor((simultaneous * fastest) / milliseconds);
-    bearable = Math.max(fewestLoads, Math.min(bearable, sustained));
-    more = 0;
-    fastLoads = 0;
+    // Loads that share a bandwidth limit slow down in proportion to their number beyond it.
+    const sustained = Math.floor((simultaneous * fastestTime) / milliseconds);
+    sustainableLoads = Math.max(minSimultaneousLoads, Math.min(sustainableLoads, sustained));
+    extraLoads = 0;
+    consecutiveFastLoads = 0;
   };
 
   const noteFast = (milliseconds: number, simultaneous: number): void => {
-    average += (milliseconds - average) * smoothingFactor;
-    if (simultaneous < last) return;
-    fastLoads += 1;
-    if (fastLoads < last * roundsBeforeMore) return;
-    fastLoads = 0;
-    more += 1;
-    bearable += 1;
+    averageTime += (milliseconds - averageTime) * smoothingFactor;
+    if (simultaneous < lastLimit) return;
+    consecutiveFastLoads += 1;
+    if (consecutiveFastLoads < lastLimit * roundsBeforeIncrease) return;
+    consecutiveFastLoads = 0;
+    extraLoads += 1;
+    sustainableLoads += 1;
   };
 
   return {
     limit: (engines) => {
-      const asked = within(engines, rollOutShares.longest) + more;
-      last = Math.max(fewestLoads, Math.min(asked, within(engines, rollOutShares.shortest), bearable));
-      return last;
+      const required = loadsToFinishWithin(engines, rollOutTimeShares.longest) + extraLoads;
+      lastLimit = Math.max(
+        minSimultaneousLoads,
+        Math.min(required, loadsToFinishWithin(engines, rollOutTimeShares.shortest), sustainableLoads),
+      );
+      return lastLimit;
     },
-    note: (milliseconds, simultaneous) => {
-      fastest = Math.min(fastest, milliseconds);
-      if (milliseconds > fastest * loadSlowdown) noteSlow(milliseconds, simultaneous);
+    noteLoad: (milliseconds, simultaneous) => {
+      fastestTime = Math.min(fastestTime, milliseconds);
+      if (milliseconds > fastestTime * slowLoadFactor) noteSlow(milliseconds, simultaneous);
       else noteFast(milliseconds, simultaneous);
     },
   };
--- a/src/coordination/forwarding/weightsOrders.ts
+++ b/src/coordination/forwarding/weightsOrders.ts
@@ -1,8 +1,9 @@
 /**
- * Brings engines to the weights that the operator wants: one router at a time, by a lease in the platform's log.
+ * Rolls out the weights that the operator wants to all engines. One router at a time does so, elected by a lease in the
+ * platform's log.
  *
- * Engines that are to change get no new work for a moment first, two load at once, and what was named meanwhile is
- * loaded instead of what has been overtaken.
+ * Engines are drained for a moment before they load, a limited number of them loads at the same time, and each loads
+ * the newest weights published by then, not superseded ones.
  */
 import { randomUUID } from "node:crypto";
 import type { LogService } from "../../protocol/LogService.ts";
@@ -14,71 +15,72 @@
 import { startLease } from "../leases/lease.ts";
 import { createLeaseHistory } from "../leases/leaseHistory.ts";
 import type { LeaseView, Tenure } from "../leases/types.ts";
-import { drainingShare, fewestLoads, leastServingShare, rollOutIntervals } from "./constants.ts";
+import { drainingShare, minSimultaneousLoads, minServingShare, rollOutPollIntervals } from "./constants.ts";
 import type { ForwardingBounds } from "./types.ts";
-import type { WeightsChangeParts } from "./weightsChange.ts";
+import type { WeightsChangeDependencies } from "./weightsChange.ts";
 import { createWeightsChange } from "./weightsChange.ts";
 
-/** What orders work with. */
-export interface WeightsOrdersDependencies extends Omit<WeightsChangeParts, "signal" | "mayOrder"> {
+export interface WeightsOrdersDependencies extends Omit<WeightsChangeDependencies, "signal" | "mayOrder"> {
   readonly log: LogService;
   readonly epochs: Pick<EpochSource, "current">;
   readonly bounds: ForwardingBounds;
+  /** @returns Whether this router may acquire the lease. */
   readonly isCandidate: () => boolean;
 }
 
-/** Runs until it is disposed of. */
+/** Runs until it is disposed of; releases the lease then. */
 export interface WeightsOrders extends AsyncDisposable {
+  /** @returns The lease as an operator sees it. */
   readonly view: () => LeaseView;
 }
 
 const leaseName = "weights";
 
-/** Starts to seek the lease and to give orders while it is held. */
-export const startWeightsOrders = (parts: WeightsOrdersDependencies): WeightsOrders => {
-  const { replicas, clock, bounds } = parts;
-  const stop = new AbortController();
+/** Starts to acquire the lease, and to send orders while it is held. */
+export const startWeightsOrders = (dependencies: WeightsOrdersDependencies): WeightsOrders => {
+  const { replicas, clock, bounds } = dependencies;
+  const stopping = new AbortController();
   const tasks = new Map<string, Promise<void>>();
   const lease = startLease({
-    ...parts,
+    ...dependencies,
     name: leaseName,
     history: createLeaseHistory(clock),
     duration: () => bounds.lease,
-    epoch: parts.epochs.current,
+    epoch: dependencies.epochs.current,
   });
 
   /**
-   * Engines that don't compare fencing numbers must not see two holders close together: a holder waits until
-   * the last one's orders are a lease's duration away. Before the first tenure of all there was no other, and a
-   * holder that gives the lease back has waited itself.
+   * Engines that don't compare fencing numbers must not get orders of two holders close together, so a new holder waits
+   * until the previous one's orders are a lease duration old. It need not wait in the very first tenure, or after a
+   * holder that released the lease, since that one waited itself.
    */
   const mayOrder = (tenure: Tenure): boolean => {
-    if (stop.signal.aborted || !tenure.isValid()) return false;
-    const isAlone = tenure.fencingNumber === 0 || tenure.followsRelease;
-    return isAlone || clock.monotonic() >= tenure.beganAt + bounds.lease;
+    if (stopping.signal.aborted || !tenure.isValid()) return false;
+    const hasNoPredecessor = tenure.fencingNumber === 0 || tenure.followsRelease;
+    return hasNoPredecessor || clock.monotonic() >= tenure.beganAt + bounds.lease;
   };
 
-  /** Between the last order and giving the lease back. */
-  const rest = async (): Promise<void> => {
+  /** Waits until the last order is a lease duration old, before the lease is released. */
+  const waitAfterLastOrder = async (): Promise<void> => {
     const since = clock.monotonic() - lastOrderAt();
     if (lease.tenure() !== undefined) await pause(clock, Math.max(0, bounds.lease - since));
   };
-  const { missing, mostLoads, change, lastOrderAt } = createWeightsChange({
-    ...parts,
-    signal: stop.signal,
+  const { missingWeights, maxSimultaneousLoads, change, lastOrderAt } = createWeightsChange({
+    ...dependencies,
+    signal: stopping.signal,
     mayOrder,
   });
 
-  /** Those that load, and those that are emptied meanwhile so that a place never waits. */
-  const mostChanging = (): number => {
-    const loads = mostLoads();
-    return loads + Math.max(fewestLoads, Math.ceil(loads * drainingShare));
+  /** Engines that load, and those that drain meanwhile so that the next load can start at once. */
+  const maxChanging = (): number => {
+    const loads = maxSimultaneousLoads();
+    return loads + Math.max(minSimultaneousLoads, Math.ceil(loads * drainingShare));
   };
 
   const mayStartIn = (service: string): boolean => {
     const serving = replicas.serving(service);
     const changing = serving.filter(({ entry }) => tasks.has(entry.id)).length;
-    return serving.length <= 1 || serving.length - changing - 1 >= serving.length * leastServingShare;
+    return serving.length <= 1 || serving.length - changing - 1 >= serving.length * minServingShare;
   };
 
   const start = async (tenure: Tenure, replica: ReplicaState): Promise<void> => {
@@ -86,28 +88,32 @@
     tasks.delete(replica.entry.id);
   };
 
-  /** @returns Whether any engine runs other weights than wanted. */
+  /** @returns Whether any reachable engine lacks wanted weights. */
   const startChanges = (tenure: Tenure): boolean => {
-    const behind = replicas
+    const outdated = replicas
       .all()
-      // One that can't be reached would hold a place among those that load until it is given up.
+      // An unreachable engine would block one of the simultaneous loads until it is given up.
       .filter((replica) => !replica.isUnreachable && !isBackingOff(replica, clock.monotonic()))
-      .filter((replica) => missing(replica) !== undefined)
+      .filter((replica) => missingWeights(replica) !== undefined)
       .sort((left, right) => totalRequests(left) - totalRequests(right));
-    for (const replica of behind) {
+    for (const replica of outdated) {
       const { id, service } = replica.entry;
-      if (tasks.size >= mostChanging() || tasks.has(id) || !mayStartIn(service)) continue;
+      if (tasks.size >= maxChanging() || tasks.has(id) || !mayStartIn(service)) continue;
       tasks.set(id, start(tenure, replica));
     }
-    return behind.length > 0;
+    return outdated.length > 0;
   };
 
   const run = async (): Promise<void> => {
-    while (!stop.signal.aborted) {
+    while (!stopping.signal.aborted) {
       const tenure = lease.tenure();
       const isBusy = tenure !== undefined && mayOrder(tenure) && startChanges(tenure);
-      const ofHolder = isBusy ? rollOutIntervals.busy : rollOutIntervals.idle;
-      await pause(clock, tenure === undefined ? rollOutIntervals.withoutLease : ofHolder, stop.signal);
+      const holderInterval = isBusy ? rollOutPollIntervals.busy : rollOutPollIntervals.idle;
+      await pause(
+        clock,
+        tenure === undefined ? rollOutPollIntervals.withoutLease : holderInterval,
+        stopping.signal,
+      );
     }
     await Promise.all(tasks.values());
   };
@@ -116,13 +122,13 @@
   return {
     view: lease.view,
     [Symbol.asyncDispose]: async () => {
-      stop.abort();
+      stopping.abort();
       await task;
-      await rest();
+      await waitAfterLastOrder();
       await lease[Symbol.asyncDispose]();
     },
   };
 };
 
-/** @returns A name that tells this process from every other. */
+/** @returns A name for lease records that is unique to this process. */
 export const createHolderName = (router: string): string => `${router}/${randomUUID()}`;
