--- a/src/coordination/forwarding/constants.ts
+++ b/src/coordination/forwarding/constants.ts
@@ -56,11 +56,11 @@
 /** In a data centre with few routers, one of this many performs a duty for the others. */
 export const routersPerDutyHolder = 5;
 
-/** Updates that occur within this time share a message. */
-export const updateBatchingDelay = 10;
+/** An update is delayed by this time before it is sent, so that updates in quick succession share a message. */
+export const updateDelay = 10;
 
 /** The same where there are many routers: in a roll-out over 55 engines each message goes to 194 peers. */
-export const largeFleetUpdateBatchingDelay = 40;
+export const largeFleetUpdateDelay = 40;
 
 /** Updates about weights and weights changes are repeated for this long, since messages get lost. */
 export const updateRepetitionTime = 1_500;
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -18,7 +18,7 @@
 import type { ConfigurationState } from "./configurationState.ts";
 import { createBackoffExchange } from "../replicaReports/backoffExchange.ts";
 import { storeReaders } from "../storeReading/constants.ts";
-import { updateBatchingDelay, largeFleetUpdateBatchingDelay, peerMessageIntervals } from "./constants.ts";
+import { updateDelay, largeFleetUpdateDelay, peerMessageIntervals } from "./constants.ts";
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { createPeerTable } from "./peerTable.ts";
 import type { Audience } from "./routerNews.ts";
@@ -223,10 +223,7 @@
 
   /** Tells news to everybody, together with what else there is to tell in a moment. */
   const sendSoon = (): void => {
-    callOffNews ??= clock.after(
-      peers.isLarge() ? largeFleetUpdateBatchingDelay : updateBatchingDelay,
-      sendAll,
-    );
+    callOffNews ??= clock.after(peers.isLarge() ? largeFleetUpdateDelay : updateDelay, sendAll);
   };
 
   const isDue = (group: PeerGroup): boolean => {
