--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -92,7 +92,9 @@
     // A grant expires: if this process was paused since, the capacity may be granted to another request by now.
     const sendBefore = Math.min(deadline, grant?.until ?? deadline);
     const maySend = (): boolean =>
-      requestAdmission.isKeyValid(request) && clock.monotonic() < sendBefore && !quarantine.isHeld(request);
+      requestAdmission.isKeyValid(request) &&
+      clock.monotonic() < sendBefore &&
+      !quarantine.isQuarantined(request);
     const abandon = run.mayRepeat && run.hasAttemptsLeft() ? () => stopper.stop("silent") : undefined;
     try {
       const plan = { request, admission, choice, deadline, lastEventId, maySend, abandon };
@@ -145,7 +147,8 @@
   ): RequestError => {
     if (run.stopper.reason() === "deadline") return failures.deadlineExceeded(run.mayHaveRun(), failure);
     if (run.mayHaveRun()) return failures.outcomeUnknown(failure);
-    if (quarantine.isHeld(run.request)) return failures.quarantined(quarantine.comeBackAfter(run.request));
+    if (quarantine.isQuarantined(run.request))
+      return failures.quarantined(quarantine.comeBackAfter(run.request));
     if (search.wasLimited()) return grants.refuse(run);
     const retryAfter = availability.retryAfter(run.admission.service.name);
     if (retryAfter !== undefined) {
@@ -169,7 +172,7 @@
     const search = createGrantSearch();
     // Checked before each attempt, also one that resumes a stream: the previous one may have shown that the request
     // crashes replicas.
-    while (!quarantine.isHeld(run.request) && !search.isExhausted()) {
+    while (!quarantine.isQuarantined(run.request) && !search.isExhausted()) {
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
       const known = owners.isNeeded() ? await queryOwners(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
--- a/src/coordination/forwarding/enginePlacement.ts
+++ b/src/coordination/forwarding/enginePlacement.ts
@@ -19,7 +19,7 @@
 import type { LoadPolicy } from "./loadPolicy.ts";
 import type { PartSaving } from "./partSaving.ts";
 import { pickRandom } from "./pickRandom.ts";
-import { askedReplicas, askedVersions } from "../replicaOwners/constants.ts";
+import { queriedReplicas, queriedVersions } from "../replicaOwners/constants.ts";
 import { topRendezvousReplicas } from "./rendezvousReplica.ts";
 import type { PlacementChoice, PlacementFailure, Shortlist } from "./placementTypes.ts";
 import type { PromptView, PromptViewDependencies } from "./promptView.ts";
@@ -138,19 +138,19 @@
   const shortlist: EnginePlacement["shortlist"] = (prompt, admission, candidates, isWide = false) => {
     const { versionOf, viewOf } = createViews(prompt, admission);
     const versions = [...new Set(candidates.map(versionOf))].sort((left, right) => right - left);
-    const others = isWide ? askedReplicas.wide : askedReplicas.others;
+    const others = isWide ? queriedReplicas.wide : queriedReplicas.others;
     const selected = new Set<ReplicaState>();
     const keys = new Set<number>();
-    for (const version of versions.slice(0, askedVersions)) {
+    for (const version of versions.slice(0, queriedVersions)) {
       const view = viewOf(version);
       const sameVersion = candidates.filter((each) => versionOf(each) === version);
       const holders = sameVersion.filter(({ entry }) => view.cached.has(entry.id));
       // Routers report a part's holders to the owner of its home, even while the home gets no work itself.
       const home = replicas.get(view.home ?? "");
       if (home !== undefined) selected.add(home);
-      for (const each of topRendezvousReplicas(view.partHash, sameVersion, askedReplicas.homes))
+      for (const each of topRendezvousReplicas(view.partHash, sameVersion, queriedReplicas.homes))
         selected.add(each);
-      for (const each of pickRandom(holders, askedReplicas.holders, random)) selected.add(each);
+      for (const each of pickRandom(holders, queriedReplicas.holders, random)) selected.add(each);
       for (const each of pickRandom(sameVersion, others, random)) selected.add(each);
       for (const key of dependencies.holders.keysOf(view.salt, prompt)) keys.add(key);
     }
--- a/src/coordination/forwarding/forwarder.ts
+++ b/src/coordination/forwarding/forwarder.ts
@@ -61,7 +61,7 @@
 
   /** Rejects a quarantined request. Cheap while nothing is quarantined. */
   const checkQuarantine = async ({ request }: ForwardRun): Promise<void> => {
-    const wait = await quarantine.ask(request);
+    const wait = await quarantine.admit(request);
     if (wait === undefined) return;
     metrics.count(metricNames.heldBack);
     throw failures.quarantined(wait);
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -8,7 +8,7 @@
 import type { Clock } from "../clock.ts";
 import type { Availability } from "../replicaReports/availability.ts";
 import { isAvoided } from "../replicaReports/backoff.ts";
-import { askedPlain } from "../replicaOwners/constants.ts";
+import { queriedPlainReplicas } from "../replicaOwners/constants.ts";
 import { failurePenaltyShare, remotePenalty } from "./constants.ts";
 import type { EnginePlacement } from "./enginePlacement.ts";
 import { limitPenalty } from "../replicaLimits/constants.ts";
@@ -144,8 +144,8 @@
   const shortlistPlain = (candidates: readonly ReplicaState[]): Shortlist => ({
     replicas: [
       ...new Set([
-        ...pickRandom(candidates.filter(isLocal), askedPlain.near, dependencies.random),
-        ...pickRandom(candidates, askedPlain.others, dependencies.random),
+        ...pickRandom(candidates.filter(isLocal), queriedPlainReplicas.near, dependencies.random),
+        ...pickRandom(candidates, queriedPlainReplicas.others, dependencies.random),
       ]),
     ],
     keys: [],
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -17,7 +17,7 @@
 import { wholeTokens } from "../../state/forwarding/replicaState.ts";
 import type { ConfigurationState } from "./configurationState.ts";
 import { createBackoffExchange } from "../replicaReports/backoffExchange.ts";
-import { storeReaders } from "../storeReading/constants.ts";
+import { storeReaderCount } from "../storeReading/constants.ts";
 import { updateDelay, largeFleetUpdateDelay, peerMessageIntervals } from "./constants.ts";
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { createPeerTable } from "./peerTable.ts";
@@ -187,7 +187,8 @@
    */
   const takesDuties = (): boolean => !hasSteppedDown && configuration.readAge() < dependencies.maxReadAge();
 
-  const readerNames = (): readonly string[] => peers.dutyHolders(readingDuty, storeReaders, !takesDuties());
+  const readerNames = (): readonly string[] =>
+    peers.dutyHolders(readingDuty, storeReaderCount, !takesDuties());
 
   const compose = (work: RouterMessage["work"], audience: Audience): Omit<RouterMessage, "echo"> => {
     const now = clock.monotonic();
@@ -296,7 +297,7 @@
       return names.filter((name) => readers.includes(name));
     },
     isLarge: peers.isLarge,
-    isReader: () => peers.isDutyHolder(readingDuty, storeReaders, !takesDuties()),
+    isReader: () => peers.isDutyHolder(readingDuty, storeReaderCount, !takesDuties()),
     readers: () => {
       const names = new Set(readerNames());
       return peers.all().filter(({ name }) => names.has(name));
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -63,7 +63,7 @@
       beforeDispatch: ensureClaimed,
       onMayHaveRun: () => {
         state.mayHaveRun = true;
-        state.hasContinuedQuarantined ||= dependencies.quarantine.isHeld(job);
+        state.hasContinuedQuarantined ||= dependencies.quarantine.isQuarantined(job);
       },
     };
     try {
