--- a/src/coordination/crashes/crashWatch.ts
+++ b/src/coordination/crashes/crashMonitor.ts
@@ -13,7 +13,7 @@
 import { crashGathering } from "./constants.ts";
 
 /** What watching works with. */
-export interface CrashWatchParts {
+export interface CrashMonitorDependencies {
   readonly replicas: Pick<ReplicaTable, "get">;
   readonly client: Pick<ReplicaClient, "tryConnection">;
   readonly clock: Clock;
@@ -21,16 +21,21 @@
   readonly onCrash: (crash: ReplicaCrash) => void;
 }
 
-/** See {@link createCrashWatch}. */
-export interface CrashWatch {
+/** See {@link createCrashMonitor}. */
+export interface CrashMonitor {
   /** The connection of a request that was in flight at a replica broke. */
-  readonly noteBroken: (replica: ReplicaState, suspect: Suspect) => void;
+  readonly noteBrokenConnection: (replica: ReplicaState, suspect: Suspect) => void;
 }
 
 const writeLog = createLogger("replicas");
 
 /** Creates a watch. */
-export const createCrashWatch = ({ replicas, client, clock, onCrash }: CrashWatchParts): CrashWatch => {
+export const createCrashMonitor = ({
+  replicas,
+  client,
+  clock,
+  onCrash,
+}: CrashMonitorDependencies): CrashMonitor => {
   /** By id of a replica that is being tried: its broken requests. */
   const gathered = new Map<string, Suspect[]>();
 
@@ -52,7 +57,7 @@
   };
 
   return {
-    noteBroken: (replica, suspect) => {
+    noteBrokenConnection: (replica, suspect) => {
       if (!mayCrash(replica)) return;
       const known = gathered.get(replica.entry.id);
       known?.push(suspect);
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -84,7 +84,7 @@
     // A turn that was granted long ago, before this process stood still, may be another request's by now.
     const latest = Math.min(deadline, turn?.until ?? deadline);
     const mayLeave = (): boolean =>
-      admit.isKeyValid(request) && clock.monotonic() < latest && !quarantine.isHeld(request);
+      admit.isKeyValid(request) && clock.monotonic() < latest && !quarantine.isQuarantined(request);
     const abandon = run.mayRepeat && run.hasAttemptsLeft() ? () => stopper.stop("silent") : undefined;
     try {
       const plan = { request, admission, choice, deadline, lastEventId, mayLeave, abandon };
@@ -127,7 +127,8 @@
   ): RequestError => {
     if (run.stopper.reason() === "deadline") return failures.late(run.mayHaveRun(), failure);
     if (run.mayHaveRun()) return failures.unknown(failure);
-    if (quarantine.isHeld(run.request)) return failures.heldBack(quarantine.comeBackAfter(run.request));
+    if (quarantine.isQuarantined(run.request))
+      return failures.heldBack(quarantine.comeBackAfter(run.request));
     if (search.wasLimited()) return turns.refuse(run);
     const retryAfter = availability.retryAfter(run.admission.service.name);
     if (retryAfter !== undefined) {
@@ -150,7 +151,7 @@
     let isWide = false;
     const search = createTurnSearch();
     // Each attempt, one that resumes a stream too: the one before may have shown that it crashes replicas.
-    while (!quarantine.isHeld(run.request) && !search.isOver()) {
+    while (!quarantine.isQuarantined(run.request) && !search.isOver()) {
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
       const known = owners.isNeeded() ? await consult(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -9,7 +9,7 @@
 import { createLogger } from "../../state/log.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import { createCrashWatch } from "../crashes/crashWatch.ts";
+import { createCrashMonitor } from "../crashes/crashMonitor.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
 import type { ReplicaLimits } from "../replicaLimits/replicaLimits.ts";
 import type { ReplicaOwners } from "../replicaOwners/replicaOwners.ts";
@@ -158,7 +158,7 @@
     reports: owners.reports,
     estimates,
     health,
-    crashes: createCrashWatch({ replicas, client, clock, onCrash: quarantine.noteCrash }),
+    crashes: createCrashMonitor({ replicas, client, clock, onCrash: quarantine.noteCrash }),
     quarantine,
     saving,
     metrics,
--- a/src/coordination/forwarding/enginePlacement.ts
+++ b/src/coordination/forwarding/enginePlacement.ts
@@ -19,7 +19,7 @@
 import type { LoadPolicy } from "./loadPolicy.ts";
 import type { PartSaving } from "./partSaving.ts";
 import { pickSome } from "./pickSome.ts";
-import { askedReplicas, askedVersions } from "../replicaOwners/constants.ts";
+import { queriedReplicas, queriedVersions } from "../replicaOwners/constants.ts";
 import { firstReplicas } from "./rendezvousReplica.ts";
 import type { PlacementChoice, PlacementFailure, Shortlist } from "./placementTypes.ts";
 import type { PromptView, PromptViewParts } from "./promptView.ts";
@@ -134,18 +134,18 @@
   const shortlist: EnginePlacement["shortlist"] = (prompt, admission, candidates, isWide = false) => {
     const { versionOf, viewOf } = viewsOf(prompt, admission);
     const versions = [...new Set(candidates.map(versionOf))].sort((left, right) => right - left);
-    const others = isWide ? askedReplicas.wide : askedReplicas.others;
+    const others = isWide ? queriedReplicas.wide : queriedReplicas.others;
     const asked = new Set<ReplicaState>();
     const keys = new Set<number>();
-    for (const version of versions.slice(0, askedVersions)) {
+    for (const version of versions.slice(0, queriedVersions)) {
       const view = viewOf(version);
       const same = candidates.filter((each) => versionOf(each) === version);
       const holders = same.filter(({ entry }) => view.held.has(entry.id));
       // Its owner is told of the part's holders, also while it gets no work itself.
       const home = replicas.get(view.home ?? "");
       if (home !== undefined) asked.add(home);
-      for (const each of firstReplicas(view.part, same, askedReplicas.homes)) asked.add(each);
-      for (const each of pickSome(holders, askedReplicas.holders, random)) asked.add(each);
+      for (const each of firstReplicas(view.part, same, queriedReplicas.homes)) asked.add(each);
+      for (const each of pickSome(holders, queriedReplicas.holders, random)) asked.add(each);
       for (const each of pickSome(same, others, random)) asked.add(each);
       for (const key of parts.holders.keysOf(view.salt, prompt)) keys.add(key);
     }
--- a/src/coordination/forwarding/forwarder.ts
+++ b/src/coordination/forwarding/forwarder.ts
@@ -56,7 +56,7 @@
 
   /** Costs nothing but a look where nothing is held back. */
   const checkQuarantine = async ({ request }: ForwardRun): Promise<void> => {
-    const wait = await quarantine.ask(request);
+    const wait = await quarantine.admit(request);
     if (wait === undefined) return;
     metrics.count(metricNames.heldBack);
     throw failures.heldBack(wait);
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -8,7 +8,7 @@
 import type { Clock } from "../clock.ts";
 import type { Availability } from "../replicaReports/availability.ts";
 import { isAvoided } from "../replicaReports/backoff.ts";
-import { askedPlain } from "../replicaOwners/constants.ts";
+import { queriedPlainReplicas } from "../replicaOwners/constants.ts";
 import { failurePenaltyShare, remotePenalty } from "./constants.ts";
 import type { EnginePlacement } from "./enginePlacement.ts";
 import { scarcity } from "../replicaLimits/constants.ts";
@@ -139,8 +139,8 @@
   const shortlistPlain = (candidates: readonly ReplicaState[]): Shortlist => ({
     replicas: [
       ...new Set([
-        ...pickSome(candidates.filter(isNear), askedPlain.near, parts.random),
-        ...pickSome(candidates, askedPlain.others, parts.random),
+        ...pickSome(candidates.filter(isNear), queriedPlainReplicas.near, parts.random),
+        ...pickSome(candidates, queriedPlainReplicas.others, parts.random),
       ]),
     ],
     keys: [],
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -17,7 +17,7 @@
 import { wholeTokens } from "../../state/forwarding/replicaState.ts";
 import type { ConfigurationState } from "./configurationState.ts";
 import { createBackoffExchange } from "../replicaReports/backoffExchange.ts";
-import { storeReaders } from "../storeReading/constants.ts";
+import { storeReaderCount } from "../storeReading/constants.ts";
 import { newsGathering, newsGatheringOfMany, peerIntervals } from "./constants.ts";
 import type { Peer, PeerTable } from "./peerTable.ts";
 import { createPeerTable } from "./peerTable.ts";
@@ -184,7 +184,8 @@
    */
   const takesDuties = (): boolean => !standsDown && configuration.readAge() < parts.longestReadAge();
 
-  const readerNames = (): readonly string[] => peers.dutyHolders(readingDuty, storeReaders, !takesDuties());
+  const readerNames = (): readonly string[] =>
+    peers.dutyHolders(readingDuty, storeReaderCount, !takesDuties());
 
   const compose = (work: RouterMessage["work"], audience: Audience): Omit<RouterMessage, "echo"> => {
     const now = clock.monotonic();
@@ -293,7 +294,7 @@
       return names.filter((name) => readers.includes(name));
     },
     isLarge: peers.isLarge,
-    isReader: () => peers.isAmong(readingDuty, storeReaders, !takesDuties()),
+    isReader: () => peers.isAmong(readingDuty, storeReaderCount, !takesDuties()),
     readers: () => {
       const names = new Set(readerNames());
       return peers.all().filter(({ name }) => names.has(name));
--- a/src/coordination/requests/attempt.ts
+++ b/src/coordination/requests/attempt.ts
@@ -15,7 +15,7 @@
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { Assignment, AttemptReport, Scheduler, Work } from "../scheduling/Scheduler.ts";
 import { blamesRequest, provesNotRun } from "./attemptFailures.ts";
 import type { AttemptCanceller } from "./attemptCanceller.ts";
@@ -31,7 +31,7 @@
   /** The connection to an engine. */
   readonly connect: (engine: EngineReplica) => ModelEngine;
   readonly canceller: AttemptCanceller;
-  readonly crashes: EngineCrashWatch;
+  readonly crashes: EngineCrashMonitor;
 }
 
 /** Where pieces come from. */
@@ -150,7 +150,10 @@
     if (!(error instanceof UpstreamError) || error.fault !== "closed_early") return;
     const incarnation = state.report.incarnation ?? incarnationBefore;
     const hasBegun = state.report.firstTokenAfter !== undefined;
-    await parts.crashes.noteBroken(engine, incarnation, { fingerprint: plan.fingerprint, hasBegun });
+    await parts.crashes.noteBrokenConnection(engine, incarnation, {
+      fingerprint: plan.fingerprint,
+      hasBegun,
+    });
   };
 
   const dispatch = async (): Promise<EngineAnswer> => {
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -60,7 +60,7 @@
       beforeDispatch: claimOnce,
       onMayHaveRun: () => {
         state.mayHaveRun = true;
-        state.hasGoneOnHeld ||= parts.quarantine.isHeld(job);
+        state.hasGoneOnHeld ||= parts.quarantine.isQuarantined(job);
       },
     };
     try {
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -82,7 +82,7 @@
 
 /** A request that crashes the engines that run it is turned away at once; costs a look where nothing is held back. */
 const checkQuarantine = async ({ parts, job }: RunScope): Promise<void> => {
-  const wait = await parts.quarantine.ask(job);
+  const wait = await parts.quarantine.admit(job);
   if (wait === undefined) return;
   parts.metrics.count(metricNames.heldBack);
   throw refusals.heldBack(wait / millisecondsPerSecond);
@@ -93,7 +93,7 @@
  * a part goes on once all the same: whole, it shows that the crashes had another cause.
  */
 const mayGoOn = ({ parts, job, state }: RunScope): boolean =>
-  !parts.quarantine.isHeld(job) || (!state.hasGoneOnHeld && hasBegun(state.answer));
+  !parts.quarantine.isQuarantined(job) || (!state.hasGoneOnHeld && hasBegun(state.answer));
 
 /** Waits before the next attempt; throws `RequestError` where there is to be none. */
 const prepareRetry = async (scope: RunScope, error: unknown): Promise<void> => {
--- a/src/coordination/requests/completionRunner.ts
+++ b/src/coordination/requests/completionRunner.ts
@@ -2,8 +2,8 @@
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
-import { noEngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
+import { noEngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { fingerprintOfJob } from "./fingerprint.ts";
@@ -26,7 +26,7 @@
   "canceller" | "retryBudget" | "random" | "crashes" | "quarantine" | "fingerprintOf"
 > {
   /** Without these no request is held back. */
-  readonly crashes?: EngineCrashWatch;
+  readonly crashes?: EngineCrashMonitor;
   readonly quarantine?: QuarantineChecks<CompletionJob>;
   /** Without it retries are a share of successes. */
   readonly retryBudget?: RetryBudget;
@@ -75,7 +75,7 @@
   const { clock, metrics } = given;
   const parts: CompletionRunParts = {
     ...given,
-    crashes: given.crashes ?? noEngineCrashWatch,
+    crashes: given.crashes ?? noEngineCrashMonitor,
     quarantine: given.quarantine ?? noQuarantine,
     fingerprintOf: fingerprintOfJob,
     canceller: createAttemptCanceller(clock, given.connect),
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -144,7 +144,7 @@
   );
 
   const isReady = (): boolean =>
-    !shutdown.isUnderWay() && beliefs.knowsReplicas() && beliefs.quarantine.isKnown() && admit.isFresh();
+    !shutdown.isUnderWay() && beliefs.knowsReplicas() && beliefs.quarantine.isReady() && admit.isFresh();
 
   const server = resources.use(
     await startForwardingServer({
