--- a/src/coordination/crashes/LogRecordFeed.test.ts
+++ b/src/coordination/crashes/LogRecordFeed.test.ts
@@ -7,8 +7,8 @@
 
 const stream = "quarantine";
 
-describe("requests that are held back, in the log", () => {
-  it("are the newest of each that was not dropped, whatever else is there", async () => {
+describe("quarantine records in the log", () => {
+  it("are the newest of each key that was not dropped, and skip unreadable records", async () => {
     const log = new FakeLog(createManualClock(0));
     const feed = new LogRecordFeed(log, stream);
     await feed.put("first", { trials: 0, trial: "" });
--- a/src/coordination/crashes/LogRecordFeed.ts
+++ b/src/coordination/crashes/LogRecordFeed.ts
@@ -1,4 +1,4 @@
-/** Records with keys in a stream of the log service, of which the newest of each key counts. */
+/** Keyed records in a stream of the log service; the newest record of each key is the valid one. */
 import { z } from "zod";
 import type { LogService } from "../../protocol/LogService.ts";
 import { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
@@ -18,7 +18,7 @@
 
 const writeLog = createLogger("quarantine");
 
-/** @returns Nothing for a record that is none of these: the log holds what any version has written. */
+/** @returns No record if the data doesn't match the schema: other versions may have written to the stream. */
 const decode = ({ offset, data }: LogRecord): readonly FeedRecord<QuarantineRecord>[] => {
   try {
     const { key, value } = recordSchema.parse(JSON.parse(data));
@@ -29,7 +29,7 @@
   }
 };
 
-/** Requests that are held back, as the log service keeps them. */
+/** The quarantine records in the log service. */
 export class LogRecordFeed extends RecordFeed<QuarantineRecord> {
   private readonly log: LogService;
   private readonly stream: string;
--- a/src/coordination/crashes/constants.ts
+++ b/src/coordination/crashes/constants.ts
@@ -1,88 +1,93 @@
-/** Limits of finding replicas that crash, and requests that crash them. Durations are milliseconds. */
+/** Limits of crash detection and of the quarantine of requests that crash replicas. Durations are milliseconds. */
 
 /**
- * From the first connection that a replica broke until it is tried with a new one: the resets of a process that ended
- * reached a router within 7 ms of one another, and the port is closed by then.
+ * Delay from the first broken connection to a replica until a new connection is tried. The resets of a process that
+ * ended reach a router within 7 ms of one another, and the port is closed by then.
  */
-export const crashGathering = 25;
+export const crashProbeDelay = 25;
 
-/** An engine that doesn't answer is asked again after these times whether it is another incarnation. */
-export const engineReadDelays = [50, 150, 300, 500] as const;
+/** Delays before each repeated read of the incarnation of an engine that does not answer. */
+export const incarnationReadRetryDelays = [50, 150, 300, 500] as const;
 
-/** Longest wait for its answer. */
-export const engineReadPatience = 300;
+/** Timeout of one such read. */
+export const incarnationReadTimeout = 300;
 
 /**
- * Replicas that a request may crash, with no answer in between, before it is sent to none any more. Fewer would hold
- * back requests that ran beside a crash by chance; each further one costs a replica and all that runs there.
+ * Number of replicas that crash with a request in flight, with no answer in between, before the request is quarantined.
+ * A lower threshold would quarantine requests that were in flight beside a crash by chance; each further crash costs a
+ * replica and everything that runs there.
  */
-export const mostCrashes = 3;
+export const crashThreshold = 3;
 
 /**
- * From the moment at which a request has crashed that many until it is decided which of those in flight is the cause:
- * routers learn of one crash 30 ms apart, and tell one another in a few milliseconds. It is not sent meanwhile.
+ * Delay from the moment at which a request reaches the threshold until the cause is chosen among the suspects: routers
+ * detect one crash up to 30 ms apart, and notify one another within a few milliseconds. The request is not sent meanwhile.
  */
-export const settleTime = 150;
+export const decisionDelay = 150;
 
 /**
- * A request that is held back is tried so often, by one router of all: the way back for one that was held back by
- * chance. Three more runs are what the cause of the crashes may have; one is left for routers that hear too late.
+ * Trials of a quarantined request, over all routers: a trial that succeeds releases a request that was quarantined by
+ * chance. The cause of the crashes may run at most three more times; one of these runs is left for routers that learn of
+ * the quarantine too late.
  */
-export const mostTrials = 2;
+export const maxTrials = 2;
 
-/** From holding a request back until its first trial, and from there to the next: crashes beside it are over by then. */
+/** Delays from the quarantine to the first trial, and from one trial to the next: crashes beside it are over by then. */
 export const trialDelays = { first: 1_000, next: 30_000 } as const;
 
-/** Longest wait for the store to say whose trial it is: an answer that is held back otherwise comes at once. */
-export const claimPatience = 300;
+/**
+ * Longest wait for the store to decide which router makes a trial. A quarantined request that can't be a trial is refused
+ * at once.
+ */
+export const claimTimeout = 300;
 
-/** After a trial that could not be agreed on with the other routers, the store being out of reach. */
+/** Delay before the next trial where this one could not be claimed, for example because the store is unreachable. */
 export const claimRetryDelay = 5_000;
 
-/** A request is held back for so long: engines and weights are replaced within a day, and may bear it then. */
-export const quarantineTime = 86_400_000;
+/** Time after which a request is released: engines and weights are replaced within a day, and may survive it then. */
+export const quarantineDuration = 86_400_000;
 
-/** Requests whose part in crashes is remembered, those of the newest crashes; a few hundred bytes each. */
-export const mostSuspects = 4_096;
+/** Number of remembered suspects, those of the newest crashes; a few hundred bytes each. */
+export const maxSuspects = 4_096;
 
-/** Requests that are held back at once, the newest; a few hundred bytes each. */
-export const mostHeld = 1_024;
+/** Number of requests quarantined at once, the newest; a few hundred bytes each. */
+export const maxQuarantined = 1_024;
 
-/** Requests named in one datagram: it stays below what links carry in one piece. */
-export const mostNamed = 50;
+/** Keeps a datagram small enough to be sent without IP fragmentation. */
+export const maxFingerprintsPerMessage = 50;
 
 /**
- * Crashes that come within so short a time share a message: when 20 replicas of a deployment of 195 routers go at
- * once, each router takes 200 messages and not 4,000, at 0.1 to 0.3 ms each.
+ * Crashes within this interval share a message: when 20 replicas of a deployment of 195 routers crash at once, each
+ * router receives 200 messages instead of 4,000, at 0.1 to 0.3 ms each.
  */
-export const crashNewsGathering = 20;
+export const crashBatchInterval = 20;
 
 /**
- * An answer that clears a request is told after a time between these, by chance, and not at all where another router
- * told it first: a popular one is answered everywhere at once.
+ * An answer that clears a request is announced after a random delay in this range, and not at all if another router
+ * announces it first: a popular request is answered by many routers at once.
  */
-export const answerNewsDelays = { shortest: 20, longest: 120 } as const;
+export const answerAnnouncementDelays = { shortest: 20, longest: 120 } as const;
 
-/** What routers tell of crashes is sent once more after this time: datagrams get lost. */
-export const tellingAgain = 300;
+/** Delay before each message is sent a second time, since datagrams get lost. */
+export const retransmissionDelay = 300;
 
-/** Messages that are known when they come again. */
-export const mostMessagesKnown = 4_096;
+/** Number of received messages that are remembered to detect duplicates. */
+export const maxKnownMessages = 4_096;
 
-/** Between two looks at what the store has not taken yet. */
-export const recordInterval = 1_000;
+/** Interval of checks for changes that the store has not accepted yet, and of retries of the first read. */
+export const maintenanceInterval = 1_000;
 
-/** A router that has seen none of the crashes writes the record if nobody else has, after so long. */
-export const otherWriterDelay = 3_000;
+/** A router that saw none of the crashes writes a record after this delay unless another router has written it. */
+export const fallbackWriterDelay = 3_000;
 
-/** Peers that hold back other requests for so long: the store says who is right. */
-export const differenceTime = 500;
+/** How long a peer's digest must differ before the store is read to resolve the difference. */
+export const digestMismatchGrace = 500;
 
-/** Between two reads because of such a difference; doubles as long as they change nothing. */
-export const differenceDelays = { first: 1_000, longest: 16_000 } as const;
+/** Between two reads because of such a difference; the delay doubles as long as reads change nothing. */
+export const digestMismatchReadDelays = { first: 1_000, longest: 16_000 } as const;
 
-/** A router that starts waits no longer for the first read of what is held back before it serves. */
-export const firstReadPatience = 1_000;
+/** Longest time for which a starting router waits for its first read of the quarantine before it serves. */
+export const firstReadTimeout = 1_000;
 
-/** What a caller is told to wait while it is being decided what has caused crashes. */
-export const undecidedComeBack = 250;
+/** Retry-after given to callers while the cause of crashes is undecided, and at least to all that are quarantined. */
+export const undecidedRetryAfter = 250;
--- a/src/coordination/crashes/crashEvidence.ts
+++ b/src/coordination/crashes/crashEvidence.ts
@@ -1,42 +1,41 @@
 /**
- * Which requests were in flight at replicas when these crashed, without an answer since. One of several that were at
- * the same replicas is the cause: once one is held back for a crash, that crash counts against no other.
+ * Tracks which requests were in flight at replicas that crashed, and have not been answered since. Of several requests
+ * in flight at the same crash one is the cause: once one of them is quarantined, that crash counts against no other.
  */
 import type { Suspect } from "../../protocol/forwarding/crashMessage.ts";
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
-import { mostCrashes, mostSuspects } from "./constants.ts";
+import { crashThreshold, maxSuspects } from "./constants.ts";
 
-/** See {@link createCrashEvidence}. */
 export interface CrashEvidence {
   readonly isEmpty: () => boolean;
   /**
-   * Requests were in flight at a replica when it crashed; one that is known already counts once.
+   * Records the requests that were in flight at a replica when it crashed. The same request and replica count once.
    *
-   * @param isOwn - At this router.
+   * @param isOwn - Whether they were in flight from this router.
    */
   readonly note: (replica: string, suspects: readonly Suspect[], isOwn: boolean) => void;
   readonly isSuspected: (fingerprint: Fingerprint) => boolean;
-  /** @returns Whether this router had it in flight at one of the crashes. */
+  /** @returns Whether this router had the request in flight at one of the crashes. */
   readonly isOwn: (fingerprint: Fingerprint) => boolean;
   /**
-   * @returns Whether a request was at so many crashes that it is to be held back, one of them at least with none in
-   * flight that is held back already: of two causes at the same replicas the second shows itself at the next crash.
+   * @returns Whether a request has reached the threshold for quarantine, and at least one of its crashes is not explained
+   * by another quarantined request. Of two causes at the same replicas, the second is therefore found at its next crash.
    */
   readonly isCause: (fingerprint: Fingerprint) => boolean;
-  /** @returns At how many replicas it was when they crashed. */
+  /** @returns The number of replicas that crashed with the request in flight. */
   readonly crashesOf: (fingerprint: Fingerprint) => number;
-  /** It was answered, or is forgotten. */
+  /** Forgets a request, for example once it has been answered. */
   readonly clear: (fingerprint: Fingerprint) => void;
-  /** @returns The likeliest of the causes that are not held back yet; nothing if there is none. */
+  /** @returns The likeliest cause that is not quarantined yet; `undefined` if there is none. */
   readonly likeliestCause: () => Fingerprint | undefined;
 }
 
-/** By replica: whether its answer had begun. */
+/** By replica: whether the answer had begun. */
 type Crashes = Map<string, boolean>;
 
-/** @param isHeld - Whether a request is held back. */
-export const createCrashEvidence = (isHeld: (fingerprint: Fingerprint) => boolean): CrashEvidence => {
-  /** The one of the newest crash comes last. */
+/** @param isQuarantined - Whether a request is quarantined. */
+export const createCrashEvidence = (isQuarantined: (fingerprint: Fingerprint) => boolean): CrashEvidence => {
+  /** Ordered by the newest crash of each request, oldest first. */
   const crashes = new Map<Fingerprint, Crashes>();
   const byReplica = new Map<string, Set<Fingerprint>>();
   const own = new Set<Fingerprint>();
@@ -53,7 +52,7 @@
 
   const dropOldest = (): void => {
     const oldest = crashes.keys().next();
-    if (crashes.size > mostSuspects && oldest.done !== true) clear(oldest.value);
+    if (crashes.size > maxSuspects && oldest.done !== true) clear(oldest.value);
   };
 
   const add = (replica: string, { fingerprint, hasBegun }: Suspect): void => {
@@ -71,19 +70,20 @@
 
   const isExplained = (replica: string, fingerprint: Fingerprint): boolean => {
     for (const other of byReplica.get(replica) ?? []) {
-      if (other !== fingerprint && isHeld(other)) return true;
+      if (other !== fingerprint && isQuarantined(other)) return true;
     }
     return false;
   };
 
+  /** @returns For each crash that no quarantined request explains: whether the answer had begun. */
   const unexplained = (fingerprint: Fingerprint): readonly boolean[] => {
     const known = [...(crashes.get(fingerprint) ?? [])];
     return known.filter(([replica]) => !isExplained(replica, fingerprint)).map(([, hasBegun]) => hasBegun);
   };
 
-  /** More crashes speak against a request, and answers that had begun for it. */
-  const rank = (found: readonly boolean[]): number =>
-    found.length - found.filter(Boolean).length / (found.length + 1);
+  /** A request with more crashes ranks higher; among equals, one with fewer answers that had begun. */
+  const rank = (begun: readonly boolean[]): number =>
+    begun.length - begun.filter(Boolean).length / (begun.length + 1);
 
   return {
     isEmpty: () => crashes.size === 0,
@@ -95,16 +95,16 @@
     },
     isOwn: (fingerprint) => own.has(fingerprint),
     isSuspected: (fingerprint) => crashes.has(fingerprint),
-    isCause: (fingerprint) => crashesOf(fingerprint) >= mostCrashes && unexplained(fingerprint).length > 0,
+    isCause: (fingerprint) => crashesOf(fingerprint) >= crashThreshold && unexplained(fingerprint).length > 0,
     crashesOf,
     clear,
     likeliestCause: () => {
       let likeliest: { readonly fingerprint: Fingerprint; readonly rank: number } | undefined;
       for (const [fingerprint, { size }] of crashes) {
-        if (size < mostCrashes || isHeld(fingerprint)) continue;
-        const found = unexplained(fingerprint);
-        if (rank(found) <= (likeliest?.rank ?? 0)) continue;
-        likeliest = { fingerprint, rank: rank(found) };
+        if (size < crashThreshold || isQuarantined(fingerprint)) continue;
+        const begun = unexplained(fingerprint);
+        if (rank(begun) <= (likeliest?.rank ?? 0)) continue;
+        likeliest = { fingerprint, rank: rank(begun) };
       }
       return likeliest?.fingerprint;
     },
--- a/src/coordination/crashes/crashMonitor.test.ts
+++ b/src/coordination/crashes/crashMonitor.test.ts
@@ -5,7 +5,7 @@
 import type { ConnectionTrial } from "../../protocol/forwarding/ReplicaClient.ts";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { createManualClock } from "../manualClock.ts";
-import { crashGathering } from "./constants.ts";
+import { crashProbeDelay } from "./constants.ts";
 import { createCrashMonitor } from "./crashMonitor.ts";
 import type { ReplicaCrash, Suspect } from "../../protocol/forwarding/crashMessage.ts";
 
@@ -20,7 +20,7 @@
   if (replica === undefined) throw new Error("a replica is missing");
   const state: { trial: ConnectionTrial; tries: number } = { trial: "refused", tries: 0 };
   const crashes: ReplicaCrash[] = [];
-  const watch = createCrashMonitor({
+  const monitor = createCrashMonitor({
     replicas,
     client: {
       tryConnection: () => {
@@ -31,39 +31,39 @@
     clock,
     onCrash: (crash) => crashes.push(crash),
   });
-  const pass = async (): Promise<void> => {
-    clock.advanceTo(clock.monotonic() + crashGathering);
-    for (let turn = 0; turn < 5; turn += 1) await settled();
+  const advance = async (): Promise<void> => {
+    clock.advanceTo(clock.monotonic() + crashProbeDelay);
+    for (let round = 0; round < 5; round += 1) await settled();
   };
-  return { replicas, replica, state, crashes, watch, pass };
+  return { replicas, replica, state, crashes, monitor, advance };
 };
 
-describe("watching for crashes", () => {
-  it("tells all that was in flight at once, after one try", async () => {
-    const { replica, state, crashes, watch, pass } = create();
-    watch.noteBrokenConnection(replica, first);
-    watch.noteBrokenConnection(replica, second);
-    await pass();
+describe("the crash monitor", () => {
+  it("reports all requests that were in flight at once, after one probe", async () => {
+    const { replica, state, crashes, monitor, advance } = create();
+    monitor.noteBrokenConnection(replica, first);
+    monitor.noteBrokenConnection(replica, second);
+    await advance();
     expect([crashes, state.tries]).toEqual([[{ replica: "a", suspects: [first, second] }], 1]);
   });
 
-  it("tells nothing of a replica that only broke a connection, nor of one that was cut off", async () => {
+  it("reports no crash of a replica that only broke a connection, nor of one that was cut off", async () => {
     for (const trial of ["made", "silent"] as const) {
-      const { replica, state, crashes, watch, pass } = create();
+      const { replica, state, crashes, monitor, advance } = create();
       state.trial = trial;
-      watch.noteBrokenConnection(replica, first);
-      await pass();
+      monitor.noteBrokenConnection(replica, first);
+      await advance();
       expect(crashes).toEqual([]);
     }
   });
 
-  it("tells nothing of one that leaves or has left", async () => {
-    const { replicas, replica, crashes, watch, pass } = create();
-    watch.noteBrokenConnection(replica, first);
+  it("reports no crash of a replica that drains or has left", async () => {
+    const { replicas, replica, crashes, monitor, advance } = create();
+    monitor.noteBrokenConnection(replica, first);
     replicas.markDraining("a");
-    await pass();
-    watch.noteBrokenConnection(replica, first);
-    await pass();
+    await advance();
+    monitor.noteBrokenConnection(replica, first);
+    await advance();
     expect(crashes).toEqual([]);
   });
 });
--- a/src/coordination/crashes/crashUpdates.ts
+++ b/src/coordination/crashes/crashUpdates.ts
@@ -1,79 +1,83 @@
-/** Tells the other routers what this one has learned of crashes, twice, since datagrams get lost. */
+/** Exchanges crash updates with the other routers. Each message is sent twice, since datagrams get lost. */
 import type { DatagramAddress, DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { CrashMessage, ReplicaCrash } from "../../protocol/forwarding/crashMessage.ts";
 import { decodeCrashMessage, encodeCrashMessage } from "../../protocol/forwarding/crashMessage.ts";
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { Clock } from "../clock.ts";
 import {
-  answerNewsDelays,
-  crashNewsGathering,
-  mostMessagesKnown,
-  mostNamed,
-  tellingAgain,
+  answerAnnouncementDelays,
+  crashBatchInterval,
+  maxKnownMessages,
+  maxFingerprintsPerMessage,
+  retransmissionDelay,
 } from "./constants.ts";
 
-/** What telling works with. */
-export interface CrashNewsParts {
+export interface CrashUpdatesDependencies {
   readonly link: DatagramLink;
   readonly clock: Clock;
-  /** @returns The other routers that may be serving, silent ones included. */
+  /** @returns The other routers that may be serving, unreachable ones included. */
   readonly others: () => readonly { readonly at: DatagramAddress }[];
-  /** Takes each message once: what was said of a crash must not be said anew after an answer. */
-  readonly take: (message: CrashMessage) => void;
-  /** A number from 0 to 1. */
+  /** Called once for each message: a duplicate must not report a crash again that an answer has cleared since. */
+  readonly onMessage: (message: CrashMessage) => void;
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** See {@link createCrashNews}. */
-export interface CrashNews extends AsyncDisposable {
-  /** Tells with other crashes of the same moment. */
-  readonly tellCrash: (crash: ReplicaCrash) => void;
-  readonly tellHeld: (fingerprint: Fingerprint) => void;
-  /** Tells in a moment, unless another router does first. */
-  readonly tellAnswered: (fingerprint: Fingerprint) => void;
+export interface CrashUpdates extends AsyncDisposable {
+  /** Announces a crash, in one message with others that follow shortly. */
+  readonly announceCrash: (crash: ReplicaCrash) => void;
+  readonly announceQuarantined: (fingerprint: Fingerprint) => void;
+  /** Announces an answer after a short delay, unless another router does so first. */
+  readonly announceAnswered: (fingerprint: Fingerprint) => void;
 }
 
-/** Message numbers of a process begin somewhere below this one. */
-const numberOrigins = 2 ** 48;
+/** Each process numbers its messages from a random start below this bound. */
+const firstNumberBound = 2 ** 48;
 
-/** @returns The items in pieces that fit into a datagram. */
-const inPieces = <T>(items: readonly T[]): readonly (readonly T[])[] =>
-  Array.from({ length: Math.ceil(items.length / mostNamed) }, (_, index) =>
-    items.slice(index * mostNamed, (index + 1) * mostNamed),
+/** @returns The items in chunks that fit into a datagram. */
+const splitIntoChunks = <T>(items: readonly T[]): readonly (readonly T[])[] =>
+  Array.from({ length: Math.ceil(items.length / maxFingerprintsPerMessage) }, (_, index) =>
+    items.slice(index * maxFingerprintsPerMessage, (index + 1) * maxFingerprintsPerMessage),
   );
 
-/** @returns Crashes in groups that fit into a datagram; what is too much for one is cut. */
-const inGroups = (crashes: readonly ReplicaCrash[]): readonly (readonly ReplicaCrash[])[] => {
-  const cut = crashes.flatMap(({ replica, suspects }) =>
-    inPieces(suspects).map((piece) => ({ replica, suspects: piece })),
+/** @returns Crashes in batches that fit into a datagram; a crash with too many suspects is split. */
+const batchCrashes = (crashes: readonly ReplicaCrash[]): readonly (readonly ReplicaCrash[])[] => {
+  const chunks = crashes.flatMap(({ replica, suspects }) =>
+    splitIntoChunks(suspects).map((chunk) => ({ replica, suspects: chunk })),
   );
-  const groups: ReplicaCrash[][] = [];
-  let named = mostNamed;
-  for (const crash of cut) {
-    named += crash.suspects.length;
-    if (named <= mostNamed) groups.at(-1)?.push(crash);
+  const batches: ReplicaCrash[][] = [];
+  let count = maxFingerprintsPerMessage;
+  for (const crash of chunks) {
+    count += crash.suspects.length;
+    if (count <= maxFingerprintsPerMessage) batches.at(-1)?.push(crash);
     else {
-      groups.push([crash]);
-      named = crash.suspects.length;
+      batches.push([crash]);
+      count = crash.suspects.length;
     }
   }
-  return groups;
+  return batches;
 };
 
-/** Takes what others tell until it is disposed of. */
-export const createCrashNews = ({ link, clock, others, take, random }: CrashNewsParts): CrashNews => {
-  const calledOff = new Set<() => void>();
+/** Receives the messages of other routers until it is disposed of. */
+export const createCrashUpdates = ({
+  link,
+  clock,
+  others,
+  onMessage,
+  random,
+}: CrashUpdatesDependencies): CrashUpdates => {
+  const cancellations = new Set<() => void>();
   const known = new Set<number>();
   const crashes: ReplicaCrash[] = [];
   const answered = new Set<Fingerprint>();
-  let number = Math.floor(random() * numberOrigins);
+  let number = Math.floor(random() * firstNumberBound);
 
-  const later = (delay: number, act: () => void): void => {
-    const callOff = clock.after(delay, () => {
-      calledOff.delete(callOff);
-      act();
+  const schedule = (delay: number, task: () => void): void => {
+    const cancel = clock.after(delay, () => {
+      cancellations.delete(cancel);
+      task();
     });
-    calledOff.add(callOff);
+    cancellations.add(cancel);
   };
 
   const sendAll = (datagram: Buffer): void => {
@@ -88,51 +92,52 @@
   const send = (message: CrashMessage): void => {
     const datagram = encodeCrashMessage(message);
     sendAll(datagram);
-    later(tellingAgain, () => sendAll(datagram));
+    schedule(retransmissionDelay, () => sendAll(datagram));
   };
 
   const sendCrashes = (): void => {
-    for (const group of inGroups(crashes.splice(0))) {
-      send({ kind: "crash", number: nextNumber(), crashes: group });
+    for (const batch of batchCrashes(crashes.splice(0))) {
+      send({ kind: "crash", number: nextNumber(), crashes: batch });
     }
   };
 
   const sendAnswered = (): void => {
-    for (const fingerprints of inPieces([...answered])) {
+    for (const fingerprints of splitIntoChunks([...answered])) {
       send({ kind: "answered", number: nextNumber(), fingerprints });
     }
     answered.clear();
   };
 
-  /** @returns Whether a message has come before. */
-  const isKnown = (message: CrashMessage): boolean => {
+  /** @returns Whether a message is a duplicate. */
+  const isDuplicate = (message: CrashMessage): boolean => {
     if (known.has(message.number)) return true;
     known.add(message.number);
     const oldest = known.values().next();
-    if (known.size > mostMessagesKnown && oldest.done !== true) known.delete(oldest.value);
+    if (known.size > maxKnownMessages && oldest.done !== true) known.delete(oldest.value);
     return false;
   };
 
   link.receive((datagram) => {
     const message = decodeCrashMessage(datagram);
-    if (message === undefined || isKnown(message)) return;
+    if (message === undefined || isDuplicate(message)) return;
     if (message.kind === "answered") message.fingerprints.forEach((each) => answered.delete(each));
-    take(message);
+    onMessage(message);
   });
 
   return {
-    tellCrash: (crash) => {
-      if (crashes.length === 0) later(crashNewsGathering, sendCrashes);
+    announceCrash: (crash) => {
+      if (crashes.length === 0) schedule(crashBatchInterval, sendCrashes);
       crashes.push(crash);
     },
-    tellHeld: (fingerprint) => send({ kind: "held", number: nextNumber(), fingerprints: [fingerprint] }),
-    tellAnswered: (fingerprint) => {
-      const { shortest, longest } = answerNewsDelays;
-      if (answered.size === 0) later(shortest + random() * (longest - shortest), sendAnswered);
+    announceQuarantined: (fingerprint) =>
+      send({ kind: "held", number: nextNumber(), fingerprints: [fingerprint] }),
+    announceAnswered: (fingerprint) => {
+      const { shortest, longest } = answerAnnouncementDelays;
+      if (answered.size === 0) schedule(shortest + random() * (longest - shortest), sendAnswered);
       answered.add(fingerprint);
     },
     [Symbol.asyncDispose]: () => {
-      for (const callOff of calledOff) callOff();
+      for (const cancel of cancellations) cancel();
       return Promise.resolve();
     },
   };
--- a/src/coordination/crashes/digestCheck.ts
+++ b/src/coordination/crashes/digestCheck.ts
@@ -1,33 +1,31 @@
 /**
- * Finds out that a router has missed what others decided, by what their messages say of the requests that they hold
- * back: it was cut off then, or a datagram was lost. The store is read only then.
+ * Detects that a router has missed a decision of others, because it was cut off or a datagram was lost, by the digests of
+ * quarantined requests in its peers' messages. The store is read only after such a difference.
  */
 import type { Clock } from "../clock.ts";
-import { differenceDelays, differenceTime } from "./constants.ts";
+import { digestMismatchReadDelays, digestMismatchGrace } from "./constants.ts";
 
-/** What checking works with. */
-export interface RecordsCheckParts {
+export interface DigestCheckDependencies {
   readonly clock: Clock;
-  /** A number from 0 to 1. */
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
-  /** @returns The digest of what this router holds back. */
+  /** @returns The digest of this router's quarantined requests. */
   readonly digest: () => number;
-  /** Takes everything that the store knows. */
+  /** Applies all records that the store has. */
   readonly read: () => Promise<boolean>;
 }
 
-/** See {@link createRecordsCheck}. */
-export interface RecordsCheck {
-  /** A peer holds back what has this digest. */
+export interface DigestCheck {
+  /** Records the digest of a peer's quarantined requests. */
   readonly notePeerDigest: (digest: number) => void;
 }
 
 /** Creates a check that has seen no difference. */
-export const createRecordsCheck = ({ clock, random, digest, read }: RecordsCheckParts): RecordsCheck => {
-  /** By digest that peers have told and this router does not have: since when. */
-  const different = new Map<number, number>();
+export const createDigestCheck = ({ clock, random, digest, read }: DigestCheckDependencies): DigestCheck => {
+  /** By digest of a peer that differs from this router's: the time since which it has been received. */
+  const mismatches = new Map<number, number>();
   let mayReadAt = Number.NEGATIVE_INFINITY;
-  let delay: number = differenceDelays.first;
+  let delay: number = digestMismatchReadDelays.first;
   let isReading = false;
 
   const readNow = async (): Promise<void> => {
@@ -36,20 +34,22 @@
     await read();
     isReading = false;
     const isChanged = digest() !== before;
-    delay = isChanged ? differenceDelays.first : Math.min(differenceDelays.longest, delay * 2);
+    delay = isChanged
+      ? digestMismatchReadDelays.first
+      : Math.min(digestMismatchReadDelays.longest, delay * 2);
     mayReadAt = clock.monotonic() + delay * (0.5 + random() / 2);
-    different.clear();
+    mismatches.clear();
   };
 
   return {
-    notePeerDigest: (theirs) => {
-      // Those that were cut off together agree with one another: that says nothing of the rest.
-      if (theirs === digest()) return;
+    notePeerDigest: (peerDigest) => {
+      // Routers that were cut off together agree with one another, so a match must not clear mismatches with other peers.
+      if (peerDigest === digest()) return;
       const now = clock.monotonic();
-      const since = different.get(theirs) ?? now;
-      different.set(theirs, since);
-      // What was decided just now is on its way.
-      if (now - since < differenceTime || now < mayReadAt || isReading) return;
+      const since = mismatches.get(peerDigest) ?? now;
+      mismatches.set(peerDigest, since);
+      // A decision made just now is still on its way to some routers.
+      if (now - since < digestMismatchGrace || now < mayReadAt || isReading) return;
       void readNow();
     },
   };
--- a/src/coordination/crashes/engineCrashMonitor.ts
+++ b/src/coordination/crashes/engineCrashMonitor.ts
@@ -1,6 +1,7 @@
 /**
- * Tells engines whose process has ended from those that only broke a connection: one that is back says that it is another
- * incarnation. What was in flight there is told with it, since one of these requests may be the cause.
+ * Distinguishes engines whose process has ended from those that only broke a connection: a restarted engine reports
+ * another incarnation. A crash is reported with the requests that were in flight there, since one of them may be the
+ * cause.
  */
 import type { ReplicaCrash, Suspect } from "../../protocol/forwarding/crashMessage.ts";
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
@@ -9,23 +10,21 @@
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
-import { crashGathering, engineReadDelays, engineReadPatience } from "./constants.ts";
+import { crashProbeDelay, incarnationReadRetryDelays, incarnationReadTimeout } from "./constants.ts";
 
-/** What watching works with. */
 export interface EngineCrashMonitorDependencies {
   readonly connect: (engine: EngineReplica) => Pick<ModelEngine, "readLoad">;
   readonly clock: Clock;
   readonly onCrash: (crash: ReplicaCrash) => void;
 }
 
-/** See {@link createEngineCrashMonitor}. */
 export interface EngineCrashMonitor {
   /**
-   * The connection of a request that was in flight at an engine broke.
+   * Records that the connection of a request in flight at an engine broke.
    *
-   * @param incarnation - The one that it was sent to.
-   * @returns Once it is known whether the engine crashed, or was asked for long enough: what failed there is not sent
-   * elsewhere before, since it would crash one engine after another meanwhile.
+   * @param incarnation - The incarnation that the request was sent to.
+   * @returns A promise that resolves once it is known whether the engine crashed, or all reads of its incarnation have
+   * failed. The failed request is not sent elsewhere before, since it could crash one engine after another meanwhile.
    */
   readonly noteBrokenConnection: (
     engine: EngineReplica,
@@ -34,36 +33,36 @@
   ) => Promise<void>;
 }
 
-/** Where nothing is ever held back. */
+/** For routers without a quarantine. */
 export const noEngineCrashMonitor: EngineCrashMonitor = { noteBrokenConnection: () => Promise.resolve() };
 
 const writeLog = createLogger("engines");
 
-/** Creates a watch. */
+/** Creates a monitor that reads an engine's incarnation after a broken connection. */
 export const createEngineCrashMonitor = ({
   connect,
   clock,
   onCrash,
 }: EngineCrashMonitorDependencies): EngineCrashMonitor => {
-  /** By engine and incarnation that is being judged: its broken requests, and the judgement. */
-  const underWay = new Map<string, { readonly suspects: Suspect[]; readonly judged: Promise<void> }>();
+  /** By engine and incarnation that is being checked: its broken requests, and the end of the check. */
+  const pending = new Map<string, { readonly suspects: Suspect[]; readonly checked: Promise<void> }>();
 
   const readIncarnation = async (engine: EngineReplica): Promise<string | undefined> => {
     try {
-      const load = await withTimeLimit(clock, undefined, engineReadPatience, (limit) =>
+      const load = await withTimeLimit(clock, undefined, incarnationReadTimeout, (limit) =>
         connect(engine).readLoad(limit),
       );
       return load.incarnation;
     } catch (error) {
-      // It may be starting; it is asked again.
+      // The engine may be starting; the read is repeated.
       writeLog("load_unread", { engine: engine.id, reason: String(error) });
       return undefined;
     }
   };
 
-  /** @returns Whether the engine is another incarnation now; one that doesn't say so in time is no proof. */
+  /** @returns Whether the engine is another incarnation now; `false` if it reports none in time. */
   const isReplaced = async (engine: EngineReplica, incarnation: string): Promise<boolean> => {
-    for (const delay of engineReadDelays) {
+    for (const delay of incarnationReadRetryDelays) {
       const now = await readIncarnation(engine);
       if (now !== undefined) return now !== incarnation;
       await pause(clock, delay);
@@ -71,11 +70,11 @@
     return false;
   };
 
-  const judge = async (engine: EngineReplica, incarnation: string, suspects: Suspect[]): Promise<void> => {
-    await pause(clock, crashGathering);
+  const check = async (engine: EngineReplica, incarnation: string, suspects: Suspect[]): Promise<void> => {
+    await pause(clock, crashProbeDelay);
     const replica = `${engine.id} ${incarnation}`;
     const hasCrashed = await isReplaced(engine, incarnation);
-    underWay.delete(replica);
+    pending.delete(replica);
     if (!hasCrashed) return;
     const requests = suspects.map(({ fingerprint }) => fingerprint).join(" ");
     writeLog("crashed", { engine: engine.id, incarnation, requests });
@@ -86,15 +85,15 @@
     noteBrokenConnection: (engine, incarnation, suspect) => {
       if (incarnation === undefined || engine.state === "leaving") return Promise.resolve();
       const key = `${engine.id} ${incarnation}`;
-      const known = underWay.get(key);
+      const known = pending.get(key);
       if (known !== undefined) {
         known.suspects.push(suspect);
-        return known.judged;
+        return known.checked;
       }
       const suspects = [suspect];
-      const judged = judge(engine, incarnation, suspects);
-      underWay.set(key, { suspects, judged });
-      return judged;
+      const checked = check(engine, incarnation, suspects);
+      pending.set(key, { suspects, checked });
+      return checked;
     },
   };
 };
--- a/src/coordination/crashes/quarantine.ts
+++ b/src/coordination/crashes/quarantine.ts
@@ -1,12 +1,13 @@
 /**
- * Holds back requests that crash the replicas that run them, whoever they come through and under whatever id.
+ * Quarantines requests that crash the replicas that run them, whichever router and request id they come with.
  *
- * The load pattern that it answers: a caller sends the same again and again; each run ends a process, and the streams
- * that ran beside it with it. Routers tell one another which requests were in flight at each crash. One that was at
- * three, and answered nowhere since, is sent to no replica any more; where several were at the same replicas, the
- * likeliest cause is, and its crashes count against no other. Any whole answer clears a request at once, so that
- * popular ones, in flight at every crash, are cleared by their next answer somewhere. One that was held back by
- * chance has its way back by a trial, which one router of all makes. The platform's store keeps what was decided.
+ * The load pattern behind it: a caller repeats the same request; each run ends a process, together with all streams that
+ * it served. Routers notify one another which requests were in flight at each crash. A request that was in flight at three
+ * crashes, and has been answered nowhere since, is sent to no replica any more. Where several requests were in flight at
+ * the same replicas, only the likeliest cause is quarantined, and its crashes count against no other. Any complete answer
+ * clears a request at once, so that popular requests, in flight at every crash, are cleared by their next answer at any
+ * router. A request that was quarantined by chance is released by a trial, which a single router makes. The platform's
+ * store keeps the decisions.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { CrashMessage, ReplicaCrash } from "../../protocol/forwarding/crashMessage.ts";
@@ -18,73 +19,71 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
-import { settleTime, undecidedComeBack } from "./constants.ts";
+import { decisionDelay, undecidedRetryAfter } from "./constants.ts";
 import { createCrashEvidence } from "./crashEvidence.ts";
-import { createCrashNews } from "./crashUpdates.ts";
-import { createHeldRequests } from "./quarantinedRequests.ts";
+import { createCrashUpdates } from "./crashUpdates.ts";
+import { createQuarantinedRequests } from "./quarantinedRequests.ts";
 import { createQuarantineRecords } from "./quarantineRecords.ts";
-import { createRecordsCheck } from "./digestCheck.ts";
-import { startRecordsUpkeep } from "./recordsMaintenance.ts";
+import { createDigestCheck } from "./digestCheck.ts";
+import { startRecordsMaintenance } from "./recordsMaintenance.ts";
 import { createTrials } from "./trials.ts";
 
-/** How requests of one interface are told apart. */
+/** Identifies the requests of one interface. */
 export interface RequestIdentity<Request> {
   readonly fingerprintOf: (request: Request) => Fingerprint;
-  /** @returns The id of this try of a caller, for the log. */
+  /** @returns The request id, which differs between retries of a caller; for the log. */
   readonly idOf: (request: Request) => string;
 }
 
-/** Requests that are passed on. */
+/** Identifies requests that are forwarded. */
 const callerRequests: RequestIdentity<CallerRequest> = { fingerprintOf, idOf: ({ id }) => id };
 
-/** What a quarantine works with. */
 export interface QuarantineDependencies {
   readonly link: DatagramLink;
   readonly clock: Clock;
   readonly feed: RecordFeed<QuarantineRecord>;
   readonly epochs: EpochSource;
-  /** @returns The other routers that may be serving, silent ones included. */
+  /** @returns The other routers that may be serving, unreachable ones included. */
   readonly others: () => readonly Pick<LiveRouter, "at">[];
-  /** A number from 0 to 1. */
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** What decisions about requests ask of a quarantine. */
+/** The view of a quarantine that request handling has. */
 export interface QuarantineChecks<Request extends object = CallerRequest> {
-  /** @returns Whether a request must not be sent at this moment. */
+  /** @returns Whether a request must not be sent to a replica now. */
   readonly isQuarantined: (request: Request) => boolean;
   /**
-   * A request is to be passed on; where it is held back and its trial is due, this router may get to make it.
+   * Decides whether a request may be sent. If it is quarantined and a trial is due, this router may claim the trial.
    *
-   * @returns Milliseconds after which it is worth another try; nothing if it may be passed on.
+   * @returns Milliseconds after which the caller should retry; `undefined` if the request may be sent.
    */
   readonly admit: (request: Request) => Promise<number | undefined> | undefined;
-  /** @returns Milliseconds after which a request that is held back is worth another try. */
+  /** @returns Milliseconds after which the caller of a quarantined request should retry. */
   readonly comeBackAfter: (request: Request) => number;
-  /** A replica has answered it whole. */
+  /** Records that a replica has answered a request completely. */
   readonly noteAnswered: (request: Request) => void;
-  /** An attempt of it failed after it was sent: a trial is over then. */
+  /** Records that an attempt failed after it was sent, which ends a trial. */
   readonly noteFailed: (request: Request) => void;
-  /** A replica crashed with requests of this router in flight. */
+  /** Records that a replica crashed with requests of this router in flight. */
   readonly noteCrash: (crash: ReplicaCrash) => void;
 }
 
-/** By which peers find out that they don't hold back the same. */
+/** Lets peers detect that their quarantines differ. */
 export interface QuarantineDigests {
-  /** Of what is held back here. */
+  /** @returns The digest of this router's quarantined requests; 0 if there are none. */
   readonly digest: () => number;
-  /** A peer holds back what has this digest. */
+  /** Records the digest of a peer's quarantined requests. */
   readonly notePeerDigest: (digest: number) => void;
 }
 
-/** See {@link createQuarantine}. */
 export interface Quarantine<Request extends object = CallerRequest>
   extends QuarantineChecks<Request>, QuarantineDigests, AsyncDisposable {
-  /** Whether what the store knows has been read, or was waited for long enough. */
+  /** @returns Whether the store's records have been read, or the timeout of the first read has passed. */
   readonly isReady: () => boolean;
 }
 
-/** Where nothing is ever held back. */
+/** A quarantine that never contains a request. */
 export const noQuarantine: QuarantineChecks<object> & QuarantineDigests = {
   digest: () => 0,
   notePeerDigest: () => undefined,
@@ -96,149 +95,152 @@
   noteCrash: () => undefined,
 };
 
-/** Why a request is held back: by what crashes show, a peer's word, or the store's. */
-type HoldReason = "crashes" | "told" | "recorded";
+/** Why a request was quarantined: by this router's evidence, a peer's announcement, or a record in the store. */
+type QuarantineReason = "crashes" | "told" | "recorded";
 
-/** Why it is held back no more: an answer here, a peer's word, the store's, or for its time. */
+/** Why a request was released: an answer here, a peer's announcement, the store's records, or the end of its time. */
 type ReleaseReason = "answered" | "told" | "recorded" | "lapsed";
 
 const writeLog = createLogger("quarantine");
 
-/** Creates a quarantine of requests that are passed on, which is kept up until it is disposed of. */
-export const createQuarantine = (parts: QuarantineDependencies): Quarantine =>
-  createQuarantineFor(parts, callerRequests);
+/** Creates a quarantine of forwarded requests, which exchanges updates with peers and the store until it is disposed of. */
+export const createQuarantine = (dependencies: QuarantineDependencies): Quarantine =>
+  createQuarantineFor(dependencies, callerRequests);
 
-/** Creates a quarantine of requests of any interface, which is kept up until it is disposed of. */
+/**
+ * Creates a quarantine of the requests of any interface, which exchanges updates with peers and the store until it is
+ * disposed of.
+ */
 export const createQuarantineFor = <Request extends object>(
-  parts: QuarantineDependencies,
-  names: RequestIdentity<Request>,
+  dependencies: QuarantineDependencies,
+  identity: RequestIdentity<Request>,
 ): Quarantine<Request> => {
-  const { clock, random } = parts;
-  const held = createHeldRequests(clock);
-  const evidence = createCrashEvidence(held.has);
+  const { clock, random } = dependencies;
+  const quarantined = createQuarantinedRequests(clock);
+  const evidence = createCrashEvidence(quarantined.has);
   const fingerprints = new WeakMap<Request, Fingerprint>();
-  let callOffDecision: (() => void) | undefined;
+  let cancelDecision: (() => void) | undefined;
 
-  const nameOf = (request: Request): Fingerprint => {
+  const fingerprintFor = (request: Request): Fingerprint => {
     const known = fingerprints.get(request);
     if (known !== undefined) return known;
-    const made = names.fingerprintOf(request);
-    fingerprints.set(request, made);
-    return made;
+    const fingerprint = identity.fingerprintOf(request);
+    fingerprints.set(request, fingerprint);
+    return fingerprint;
   };
 
-  const hold = (fingerprint: Fingerprint, why: HoldReason): void => {
-    if (!held.add(fingerprint, evidence.isOwn(fingerprint))) return;
-    upkeep.keep(fingerprint);
+  const add = (fingerprint: Fingerprint, why: QuarantineReason): void => {
+    if (!quarantined.add(fingerprint, evidence.isOwn(fingerprint))) return;
+    maintenance.keep(fingerprint);
     writeLog("held", { held: fingerprint, crashes: evidence.crashesOf(fingerprint), why });
   };
 
   const decide = (): void => {
-    callOffDecision = undefined;
+    cancelDecision = undefined;
     for (let cause = evidence.likeliestCause(); cause !== undefined; cause = evidence.likeliestCause()) {
       const isOwn = evidence.isOwn(cause);
-      hold(cause, "crashes");
-      // All routers decide at once: that each of 195 told and recorded it would be 75,000 messages for one request.
+      add(cause, "crashes");
+      // All routers decide at once: if each of 195 announced and recorded it, one request would cost 75,000 messages.
       if (!isOwn) continue;
-      news.tellHeld(cause);
+      updates.announceQuarantined(cause);
       void records.write(cause);
     }
   };
 
   const decideSoon = (): void => {
-    callOffDecision ??= clock.after(settleTime, decide);
+    cancelDecision ??= clock.after(decisionDelay, decide);
   };
 
   const release = (fingerprint: Fingerprint, why: ReleaseReason): void => {
     evidence.clear(fingerprint);
-    if (!held.has(fingerprint)) return;
-    held.remove(fingerprint);
+    if (!quarantined.has(fingerprint)) return;
+    quarantined.remove(fingerprint);
     writeLog("released", { held: fingerprint, why });
-    // The crashes that it explained have another cause.
+    // The crashes that this request explained have another cause.
     decideSoon();
   };
 
-  /** The same, and the store is to forget it too. */
-  const end = (fingerprint: Fingerprint, why: ReleaseReason): void => {
-    if (held.has(fingerprint)) upkeep.drop(fingerprint);
+  /** Releases a request and drops its record in the store. */
+  const releaseAndDrop = (fingerprint: Fingerprint, why: ReleaseReason): void => {
+    if (quarantined.has(fingerprint)) maintenance.drop(fingerprint);
     release(fingerprint, why);
   };
 
   const records = createQuarantineRecords({
-    feed: parts.feed,
-    epochs: parts.epochs,
-    held,
-    onHeld: (fingerprint, record, epoch) => {
-      // Released here, and the store has not heard of it.
-      if (upkeep.isDropping(fingerprint)) return;
-      hold(fingerprint, "recorded");
-      held.take(fingerprint, record, epoch);
+    feed: dependencies.feed,
+    epochs: dependencies.epochs,
+    requests: quarantined,
+    onQuarantined: (fingerprint, record, epoch) => {
+      // Released here, and the record is still to be dropped from the store.
+      if (maintenance.isDropping(fingerprint)) return;
+      add(fingerprint, "recorded");
+      quarantined.applyRecord(fingerprint, record, epoch);
     },
     onReleased: (fingerprint) => release(fingerprint, "recorded"),
   });
-  const upkeep = startRecordsUpkeep({
-    held,
+  const maintenance = startRecordsMaintenance({
+    requests: quarantined,
     records,
     clock,
-    epochs: parts.epochs,
-    onLapsed: (each) => end(each, "lapsed"),
+    epochs: dependencies.epochs,
+    onExpired: (each) => releaseAndDrop(each, "lapsed"),
   });
-  const check = createRecordsCheck({ clock, random, digest: held.digest, read: records.read });
-  const trials = createTrials({ held, records, clock, idOf: names.idOf });
+  const digestCheck = createDigestCheck({ clock, random, digest: quarantined.digest, read: records.read });
+  const trials = createTrials({ requests: quarantined, records, clock, idOf: identity.idOf });
 
   const isUndecided = (fingerprint: Fingerprint): boolean =>
-    !held.has(fingerprint) && evidence.isCause(fingerprint);
+    !quarantined.has(fingerprint) && evidence.isCause(fingerprint);
 
   const noteEvidence = ({ replica, suspects }: ReplicaCrash, isOwn: boolean): void => {
     evidence.note(replica, suspects, isOwn);
     if (suspects.some(({ fingerprint }) => isUndecided(fingerprint))) decideSoon();
   };
 
-  const takeNews = (message: CrashMessage): void => {
+  const applyMessage = (message: CrashMessage): void => {
     if (message.kind === "crash") for (const each of message.crashes) noteEvidence(each, false);
-    else if (message.kind === "held") for (const each of message.fingerprints) hold(each, "told");
+    else if (message.kind === "held") for (const each of message.fingerprints) add(each, "told");
     else for (const each of message.fingerprints) release(each, "told");
   };
-  const news = createCrashNews({ ...parts, take: takeNews });
+  const updates = createCrashUpdates({ ...dependencies, onMessage: applyMessage });
 
-  const isHeld = (request: Request): boolean => {
-    if (held.size() === 0 && callOffDecision === undefined) return false;
-    const fingerprint = nameOf(request);
-    return (held.has(fingerprint) || isUndecided(fingerprint)) && !trials.has(request);
+  const isQuarantined = (request: Request): boolean => {
+    if (quarantined.size() === 0 && cancelDecision === undefined) return false;
+    const fingerprint = fingerprintFor(request);
+    return (quarantined.has(fingerprint) || isUndecided(fingerprint)) && !trials.has(request);
   };
 
   const comeBackAfter = (request: Request): number =>
-    Math.max(undecidedComeBack, held.untilChange(nameOf(request)));
+    Math.max(undecidedRetryAfter, quarantined.untilChange(fingerprintFor(request)));
 
-  const answer = async (request: Request): Promise<number | undefined> => {
-    await upkeep.known;
-    if (!isHeld(request) || (await trials.claim(request, nameOf(request)))) return undefined;
-    return isHeld(request) ? comeBackAfter(request) : undefined;
+  const admitLater = async (request: Request): Promise<number | undefined> => {
+    await maintenance.ready;
+    if (!isQuarantined(request) || (await trials.claim(request, fingerprintFor(request)))) return undefined;
+    return isQuarantined(request) ? comeBackAfter(request) : undefined;
   };
 
   return {
-    isReady: upkeep.isKnown,
-    digest: held.digest,
-    notePeerDigest: check.notePeerDigest,
-    isQuarantined: isHeld,
+    isReady: maintenance.isReady,
+    digest: quarantined.digest,
+    notePeerDigest: digestCheck.notePeerDigest,
+    isQuarantined,
     comeBackAfter,
-    admit: (request) => (upkeep.isKnown() && !isHeld(request) ? undefined : answer(request)),
+    admit: (request) => (maintenance.isReady() && !isQuarantined(request) ? undefined : admitLater(request)),
     noteAnswered: (request) => {
-      if (evidence.isEmpty() && held.size() === 0) return;
-      const fingerprint = nameOf(request);
-      if (!evidence.isSuspected(fingerprint) && !held.has(fingerprint)) return;
-      end(fingerprint, "answered");
-      news.tellAnswered(fingerprint);
+      if (evidence.isEmpty() && quarantined.size() === 0) return;
+      const fingerprint = fingerprintFor(request);
+      if (!evidence.isSuspected(fingerprint) && !quarantined.has(fingerprint)) return;
+      releaseAndDrop(fingerprint, "answered");
+      updates.announceAnswered(fingerprint);
     },
     noteFailed: trials.end,
     noteCrash: (crash) => {
       noteEvidence(crash, true);
-      news.tellCrash(crash);
+      updates.announceCrash(crash);
     },
     [Symbol.asyncDispose]: async () => {
-      callOffDecision?.();
-      await news[Symbol.asyncDispose]();
-      await upkeep[Symbol.asyncDispose]();
+      cancelDecision?.();
+      await updates[Symbol.asyncDispose]();
+      await maintenance[Symbol.asyncDispose]();
     },
   };
 };
--- a/src/coordination/crashes/quarantineRecords.ts
+++ b/src/coordination/crashes/quarantineRecords.ts
@@ -1,7 +1,7 @@
 /**
- * What the platform's store keeps of requests that are held back, for routers that start later, for all of them after
- * a common restart, and for those that were cut off when it was decided. Its order of records decides whose trial
- * counts.
+ * Reads and writes the records of quarantined requests in the platform's store. They inform routers that start later, all
+ * routers after a common restart, and routers that were cut off when a request was quarantined. The store's order of
+ * records decides which router makes a trial.
  */
 import { randomBytes } from "node:crypto";
 import { requiresReread } from "../../protocol/errors.ts";
@@ -12,50 +12,49 @@
 import type { EpochSource, StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { createLogger } from "../../state/log.ts";
 import { createRecentMap } from "../../state/recentMap.ts";
-import { mostHeld } from "./constants.ts";
-import type { HeldRequests } from "./quarantinedRequests.ts";
+import { maxQuarantined } from "./constants.ts";
+import type { QuarantinedRequests } from "./quarantinedRequests.ts";
 
-/** What keeping works with. */
-export interface QuarantineRecordsParts {
+export interface QuarantineRecordsDependencies {
   readonly feed: RecordFeed<QuarantineRecord>;
-  readonly held: HeldRequests;
+  readonly requests: QuarantinedRequests;
   readonly epochs: Pick<EpochSource, "current">;
-  /** A request that the store lists as quarantined. */
-  readonly onHeld: (fingerprint: Fingerprint, record: QuarantineRecord, epoch: StoreEpoch) => void;
-  /** One that it knows as such no more. */
+  /** Called for a request that the store lists as quarantined. */
+  readonly onQuarantined: (fingerprint: Fingerprint, record: QuarantineRecord, epoch: StoreEpoch) => void;
+  /** Called for a request that the store no longer lists. */
   readonly onReleased: (fingerprint: Fingerprint) => void;
 }
 
-/** See {@link createQuarantineRecords}. Methods resolve with whether the store could be reached. */
+/** Methods resolve with whether the store could be reached, unless they say otherwise. */
 export interface QuarantineRecords {
-  /** Takes everything that the store knows by now. */
+  /** Applies all records that the store has by now. */
   readonly read: () => Promise<boolean>;
-  /** Records a request that is held back, unless somebody has. */
+  /** Records a quarantined request, unless a router has done so. */
   readonly write: (fingerprint: Fingerprint) => Promise<boolean>;
   readonly drop: (fingerprint: Fingerprint) => Promise<boolean>;
-  /** @returns Whether the next trial of a request is this router's. */
+  /** @returns Whether this router makes the next trial of a request. */
   readonly claimTrial: (fingerprint: Fingerprint) => Promise<boolean>;
 }
 
-const trialNameBytes = 9;
+const trialIdBytes = 9;
 
 const writeLog = createLogger("quarantine");
 
-/** Creates records of which nothing has been read. */
-export const createQuarantineRecords = (parts: QuarantineRecordsParts): QuarantineRecords => {
-  const { feed, held, epochs } = parts;
-  /** Requests whose records this router has dropped: an older copy of the store may list them again. */
-  const dropped = createRecentMap<true>(mostHeld);
+/** Creates access to the records; nothing is read yet. */
+export const createQuarantineRecords = (dependencies: QuarantineRecordsDependencies): QuarantineRecords => {
+  const { feed, requests, epochs } = dependencies;
+  /** Requests whose records this router has dropped: the store may list them again after a return from an older copy. */
+  const dropped = createRecentMap<true>(maxQuarantined);
   let next: StorePosition | undefined;
   let isFailing = false;
   let last: Promise<boolean> = Promise.resolve(true);
 
   const apply = ({ position, key, value }: FeedRecord<QuarantineRecord>): void => {
-    if (value === undefined) parts.onReleased(key);
-    else parts.onHeld(key, value, position.epoch);
+    if (value === undefined) dependencies.onReleased(key);
+    else dependencies.onQuarantined(key, value, position.epoch);
   };
 
-  /** What this router has dropped is dropped again, and not taken from a copy. */
+  /** Drops again the records that this router has dropped before; they may come from an older copy of the store. */
   const applyCopy = async (records: readonly FeedRecord<QuarantineRecord>[]): Promise<void> => {
     records.filter(({ key }) => !dropped.has(key)).forEach(apply);
     for (const { key } of records) if (dropped.has(key)) await feed.drop(key);
@@ -64,15 +63,15 @@
   const readNewest = async (): Promise<StorePosition> => {
     const page = await feed.newest();
     const present = new Set(page.records.map(({ key }) => key));
-    // Records of an earlier epoch may have been lost: they are written again.
-    for (const [fingerprint, { recordedIn }] of held.entries()) {
-      if (recordedIn === page.next.epoch && !present.has(fingerprint)) parts.onReleased(fingerprint);
+    // The store may have lost records of an earlier epoch: those requests stay quarantined and are written again.
+    for (const [fingerprint, { recordedIn }] of requests.entries()) {
+      if (recordedIn === page.next.epoch && !present.has(fingerprint)) dependencies.onReleased(fingerprint);
     }
     await applyCopy(page.records);
     return page.next;
   };
 
-  const readOn = async (): Promise<void> => {
+  const readChanges = async (): Promise<void> => {
     next ??= await readNewest();
     for (;;) {
       const page = await feed.changes(next, 0);
@@ -84,21 +83,21 @@
 
   const readAll = async (): Promise<void> => {
     try {
-      await readOn();
+      await readChanges();
     } catch (error) {
       if (!requiresReread(error)) throw error;
       next = undefined;
-      await readOn();
+      await readChanges();
     }
   };
 
-  /** One after another: records are applied in the store's order. */
-  const inTurn = (act: () => Promise<void>): Promise<boolean> => {
-    const before = last;
+  /** Runs operations one after another, so that records are applied in the store's order. */
+  const enqueue = (operation: () => Promise<void>): Promise<boolean> => {
+    const previous = last;
     const run = async (): Promise<boolean> => {
-      await before;
+      await previous;
       try {
-        await act();
+        await operation();
         isFailing = false;
         return true;
       } catch (error) {
@@ -113,7 +112,7 @@
 
   const write = async (fingerprint: Fingerprint): Promise<void> => {
     await readAll();
-    const known = held.get(fingerprint);
+    const known = requests.get(fingerprint);
     if (known === undefined || known.recordedIn === epochs.current()) return;
     known.recordedIn = await feed.put(fingerprint, known.record);
     dropped.delete(fingerprint);
@@ -125,20 +124,20 @@
   };
 
   return {
-    read: () => inTurn(readAll),
-    write: (fingerprint) => inTurn(() => write(fingerprint)),
-    drop: (fingerprint) => inTurn(() => drop(fingerprint)),
+    read: () => enqueue(readAll),
+    write: (fingerprint) => enqueue(() => write(fingerprint)),
+    drop: (fingerprint) => enqueue(() => drop(fingerprint)),
     claimTrial: async (fingerprint) => {
-      const trial = randomBytes(trialNameBytes).toString("base64url");
-      const isDone = await inTurn(async () => {
+      const trial = randomBytes(trialIdBytes).toString("base64url");
+      const isDone = await enqueue(async () => {
         await write(fingerprint);
-        if (!held.isTrialDue(fingerprint)) return;
-        const { trials } = held.get(fingerprint)?.record ?? { trials: 0 };
+        if (!requests.isTrialDue(fingerprint)) return;
+        const { trials } = requests.get(fingerprint)?.record ?? { trials: 0 };
         await feed.put(fingerprint, { trials: trials + 1, trial });
-        // The first of several that were recorded at once counts.
+        // Of several trials recorded at once, the first one in the store's order counts.
         await readAll();
       });
-      return isDone && held.get(fingerprint)?.record.trial === trial;
+      return isDone && requests.get(fingerprint)?.record.trial === trial;
     },
   };
 };
--- a/src/coordination/crashes/recordsMaintenance.ts
+++ b/src/coordination/crashes/recordsMaintenance.ts
@@ -1,42 +1,45 @@
-/** Keeps the store's records and what a router holds back in step: the first read, and what the store has not taken. */
+/** Keeps the store's records and a router's quarantined requests in step: the first read, and writes still to be made. */
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { firstReadPatience, otherWriterDelay, quarantineTime, recordInterval } from "./constants.ts";
-import type { Held, HeldRequests } from "./quarantinedRequests.ts";
+import {
+  firstReadTimeout,
+  fallbackWriterDelay,
+  quarantineDuration,
+  maintenanceInterval,
+} from "./constants.ts";
+import type { Quarantined, QuarantinedRequests } from "./quarantinedRequests.ts";
 import type { QuarantineRecords } from "./quarantineRecords.ts";
 
-/** What upkeep works with. */
-export interface RecordsUpkeepParts {
-  readonly held: HeldRequests;
+export interface RecordsMaintenanceDependencies {
+  readonly requests: QuarantinedRequests;
   readonly records: QuarantineRecords;
   readonly clock: Clock;
   readonly epochs: EpochSource;
-  /** A request has been held back for as long as one is. */
-  readonly onLapsed: (fingerprint: Fingerprint) => void;
+  /** Called for a request whose quarantine has lasted its full duration. */
+  readonly onExpired: (fingerprint: Fingerprint) => void;
 }
 
-/** See {@link startRecordsUpkeep}. */
-export interface RecordsUpkeep extends AsyncDisposable {
-  /** Whether what the store knows has been read, or was waited for long enough. */
-  readonly isKnown: () => boolean;
-  /** Resolves when that is so. */
-  readonly known: Promise<unknown>;
-  /** Has the store forget a request, as soon as it can be reached. */
+export interface RecordsMaintenance extends AsyncDisposable {
+  /** @returns Whether the store's records have been read, or the timeout of the first read has passed. */
+  readonly isReady: () => boolean;
+  /** Resolves once `isReady` returns true. */
+  readonly ready: Promise<unknown>;
+  /** Drops the record of a request as soon as the store can be reached. */
   readonly drop: (fingerprint: Fingerprint) => void;
-  /** A request is held back again. */
+  /** Cancels a pending drop: the request is quarantined again. */
   readonly keep: (fingerprint: Fingerprint) => void;
-  /** Whether the store has yet to forget a request. */
+  /** @returns Whether the record of a request is still to be dropped. */
   readonly isDropping: (fingerprint: Fingerprint) => boolean;
 }
 
-/** Starts to read and write until it is disposed of. */
-export const startRecordsUpkeep = (parts: RecordsUpkeepParts): RecordsUpkeep => {
-  const { held, records, clock, epochs, onLapsed } = parts;
-  const over = new AbortController();
+/** Starts to read and write records until it is disposed of. */
+export const startRecordsMaintenance = (dependencies: RecordsMaintenanceDependencies): RecordsMaintenance => {
+  const { requests, records, clock, epochs, onExpired } = dependencies;
+  const stop = new AbortController();
   const dropping = new Set<Fingerprint>();
-  let isKnown = false;
+  let isReady = false;
   let epochSince = Number.NEGATIVE_INFINITY;
   epochs.subscribe(() => {
     epochSince = clock.monotonic();
@@ -48,40 +51,41 @@
     }
   };
 
-  /** A router that saw none of the crashes leaves the writing to one that did, which may have ended. */
-  const isToBeWritten = ({ recordedIn, isOwn, since }: Held): boolean =>
+  /** A router that saw none of the crashes writes only after a delay, in case the routers that saw them have ended. */
+  const needsWrite = ({ recordedIn, isOwn, since }: Quarantined): boolean =>
     recordedIn !== epochs.current() &&
-    (isOwn || clock.monotonic() - Math.max(since, epochSince) > otherWriterDelay);
+    (isOwn || clock.monotonic() - Math.max(since, epochSince) > fallbackWriterDelay);
 
-  const keepUp = async (): Promise<void> => {
+  const maintain = async (): Promise<void> => {
     await dropAll();
-    for (const [fingerprint, known] of held.entries()) {
-      if (clock.monotonic() - known.since > quarantineTime) onLapsed(fingerprint);
-      else if (isToBeWritten(known)) await records.write(fingerprint);
+    for (const [fingerprint, known] of requests.entries()) {
+      if (clock.monotonic() - known.since > quarantineDuration) onExpired(fingerprint);
+      else if (needsWrite(known)) await records.write(fingerprint);
     }
   };
 
-  const look = async (): Promise<void> => {
-    while (!over.signal.aborted) {
-      await pause(clock, recordInterval, over.signal);
-      if (dropping.size > 0 || held.size() > 0) await keepUp();
+  const run = async (): Promise<void> => {
+    while (!stop.signal.aborted) {
+      await pause(clock, maintenanceInterval, stop.signal);
+      if (dropping.size > 0 || requests.size() > 0) await maintain();
     }
   };
 
   const readFirst = async (): Promise<void> => {
-    while (!over.signal.aborted && !(await records.read())) await pause(clock, recordInterval, over.signal);
+    while (!stop.signal.aborted && !(await records.read()))
+      await pause(clock, maintenanceInterval, stop.signal);
   };
 
   const waitForFirst = async (): Promise<void> => {
-    await Promise.race([readFirst(), pause(clock, firstReadPatience, over.signal)]);
-    isKnown = true;
+    await Promise.race([readFirst(), pause(clock, firstReadTimeout, stop.signal)]);
+    isReady = true;
   };
-  const known = waitForFirst();
-  const looking = look();
+  const ready = waitForFirst();
+  const running = run();
 
   return {
-    isKnown: () => isKnown,
-    known,
+    isReady: () => isReady,
+    ready,
     isDropping: (fingerprint) => dropping.has(fingerprint),
     keep: (fingerprint) => {
       dropping.delete(fingerprint);
@@ -91,8 +95,8 @@
       void dropAll();
     },
     [Symbol.asyncDispose]: async () => {
-      over.abort();
-      await Promise.all([known, looking]);
+      stop.abort();
+      await Promise.all([ready, running]);
     },
   };
 };
--- a/src/coordination/crashes/trials.ts
+++ b/src/coordination/crashes/trials.ts
@@ -1,45 +1,43 @@
-/** The few requests that may be sent although what they ask is held back: the way back for what was held by chance. */
+/** The few quarantined requests that may be sent all the same, to release those that were quarantined by chance. */
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { claimPatience, claimRetryDelay } from "./constants.ts";
-import type { HeldRequests } from "./quarantinedRequests.ts";
+import { claimTimeout, claimRetryDelay } from "./constants.ts";
+import type { QuarantinedRequests } from "./quarantinedRequests.ts";
 import type { QuarantineRecords } from "./quarantineRecords.ts";
 
-/** What trials are made with. */
-export interface TrialsParts<Request> {
-  readonly held: HeldRequests;
+export interface TrialsDependencies<Request> {
+  readonly requests: QuarantinedRequests;
   readonly records: Pick<QuarantineRecords, "claimTrial">;
   readonly clock: Clock;
   /** @returns The id of a request, for the log. */
   readonly idOf: (request: Request) => string;
 }
 
-/** See {@link createTrials}. */
 export interface Trials<Request extends object> {
-  /** Whether a request is a trial that is under way. */
+  /** @returns Whether a request is a trial under way. */
   readonly has: (request: Request) => boolean;
-  /** @returns Whether a request is the next trial of what it asks; the store knows of it then. */
+  /** @returns Whether a request is the next trial of its fingerprint; the trial is recorded in the store then. */
   readonly claim: (request: Request, fingerprint: Fingerprint) => Promise<boolean>;
-  /** One that failed at a replica is not sent to another. */
+  /** Ends a trial: a trial that failed at one replica is not sent to another. */
   readonly end: (request: Request) => void;
 }
 
 const writeLog = createLogger("quarantine");
 
-/** Creates trials of which none is under way. */
+/** Creates trials; none is under way. */
 export const createTrials = <Request extends object>({
-  held,
+  requests,
   records,
   clock,
   idOf,
-}: TrialsParts<Request>): Trials<Request> => {
+}: TrialsDependencies<Request>): Trials<Request> => {
   const underWay = new WeakSet<Request>();
   const claiming = new Set<Fingerprint>();
 
-  const claimInTime = (fingerprint: Fingerprint): Promise<boolean> =>
-    Promise.race([records.claimTrial(fingerprint), pause(clock, claimPatience).then(() => false)]);
+  const claimWithTimeout = (fingerprint: Fingerprint): Promise<boolean> =>
+    Promise.race([records.claimTrial(fingerprint), pause(clock, claimTimeout).then(() => false)]);
 
   return {
     has: (request) => underWay.has(request),
@@ -47,10 +45,10 @@
       underWay.delete(request);
     },
     claim: async (request, fingerprint) => {
-      const known = held.get(fingerprint);
-      if (known === undefined || claiming.has(fingerprint) || !held.isTrialDue(fingerprint)) return false;
+      const known = requests.get(fingerprint);
+      if (known === undefined || claiming.has(fingerprint) || !requests.isTrialDue(fingerprint)) return false;
       claiming.add(fingerprint);
-      const isClaimed = await claimInTime(fingerprint);
+      const isClaimed = await claimWithTimeout(fingerprint);
       claiming.delete(fingerprint);
       if (!isClaimed) {
         known.trialFrom = Math.max(known.trialFrom, clock.monotonic() + claimRetryDelay);
