--- a/src/coordination/crashes/quarantine.ts
+++ b/src/coordination/crashes/quarantine.ts
@@ -31,7 +31,7 @@
 /** Identifies the requests of one interface. */
 export interface RequestIdentity<Request> {
   readonly fingerprintOf: (request: Request) => Fingerprint;
-  /** @returns The request id, which differs between retries of a caller; for the log. */
+  /** @returns The request id, for the log; a retry of the caller may have another one. */
   readonly idOf: (request: Request) => string;
 }
 
--- a/src/coordination/replicaOwners/constants.ts
+++ b/src/coordination/replicaOwners/constants.ts
@@ -1,52 +1,52 @@
 /** Limits of asking the owners of replicas. Durations are milliseconds. */
 
-/** How many of those that come first for a replica are tried as its owner; with all of them silent nobody is asked. */
-export const ownersTried = 3;
+/** Candidates for the owner of a replica, in rank order; with all of them unreachable no owner is asked. */
+export const maxOwnerCandidates = 3;
 
-/** Between two looks at which routers are live: a lost owner shows by its silence before. */
-export const memberInterval = 250;
+/** Interval of reading the list of live routers: a lost owner is noticed earlier, by its missing answers. */
+export const membersRefreshInterval = 250;
 
 /**
- * An owner that did not answer in time is passed over for so long; doubles with each further silence. A datagram that
- * is lost costs a moment with two owners, of which each knows a part of the work.
+ * Time for which an owner is skipped after an answer that did not come in time; doubles with each further timeout. After
+ * a lost datagram there are two owners for a moment, each of which knows a part of the work.
  */
-export const silentOwnerTimes = { first: 500, longest: 8_000 } as const;
+export const unreachableOwnerTimes = { first: 500, longest: 8_000 } as const;
 
 /**
- * Longest wait for an answer: so many times what answers took of late, between two bounds. A round trip in a data
- * centre takes under 1 ms; small VMs answer after up to a tenth of a second's share of their processor.
+ * Timeout of an answer: a multiple of the average recent answer time, within two bounds. A round trip in a data centre
+ * takes under 1 ms; small VMs with a limited share of a processor may answer only after up to a tenth of a second.
  */
-export const answerPatience = { factor: 4, shortest: 8, longest: 40 } as const;
+export const answerTimeout = { factor: 4, shortest: 8, longest: 40 } as const;
 
-/** Until answers have shown otherwise: how long one takes. */
-export const assumedAnswerTime = 3;
+/** Expected time of an answer until answers have been received. */
+export const initialAnswerTime = 3;
 
-/** Part of a new observation in the average time of an answer. */
-export const answerTimeGain = 0.1;
+/** Weight of a new observation in the moving average of the answer time. */
+export const answerTimeWeight = 0.1;
 
 /**
- * Replicas that are asked about for one request: homes of its deepest shared part, holders that are known, others at
- * random; and how many others before a request is turned away, since somewhere else it may not be late.
+ * Replicas that are asked about for one request: homes of its deepest shared part, known holders, and random others. The
+ * wide number of random others is used before a request is shed, since another replica may be able to answer it in time.
  */
 export const queriedReplicas = { homes: 2, holders: 1, others: 1, wide: 8 } as const;
 
-/** Versions of the weights of which replicas are asked about: during a roll-out few run the newest. */
+/** Number of weights versions, newest first, whose replicas are asked about: during a roll-out few run the newest. */
 export const queriedVersions = 2;
 
-/** The same for plain services, whose replicas keep nothing: near ones, and others. */
+/** Replicas that are asked about for plain services, whose replicas cache nothing: near ones, and random others. */
 export const queriedPlainReplicas = { near: 1, others: 2 } as const;
 
-/** Ends of prompts and requests that come within so short a time share a report. */
-export const reportGathering = 20;
+/** Prompts computed and requests ended within this interval share a report. */
+export const reportBatchInterval = 20;
 
-/** Between two reports of work that has not changed: what an owner that has just taken over lacks at most. */
-export const reportRepetition = 1_000;
+/** Interval of repeating reports of unchanged work: the longest time for which a new owner lacks them. */
+export const reportRepeatInterval = 1_000;
 
-/** Work that was not reported again for so long is over: two repetitions may get lost. */
-export const reportMemory = 3_200;
+/** Reported work expires unless it is reported again within this time: two repetitions may get lost. */
+export const reportLifetime = 3_200;
 
-/** News of where prompt parts are, in one report at most; older news is left out. */
-export const mostHoldersTold = 40;
+/** Updates on holders of prompt parts in one report; older updates are dropped. */
+export const maxReportedHolders = 40;
 
-/** Holders of one part that an answer names at most. */
-export const holdersNamed = 3;
+/** Holders of one part that an answer lists. */
+export const maxHoldersPerPart = 3;
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -1,4 +1,4 @@
-/** What the owner of replicas knows of them: the work that routers report, and the answers that it gives. */
+/** The state of replicas at their owner: aggregates the work that routers report, and answers their questions. */
 import type {
   AnswerMessage,
   AskMessage,
@@ -19,24 +19,22 @@
 import { takeHolders } from "../forwarding/toldHolders.ts";
 import { preferOthers, preferOthersUntil } from "../replicaReports/backoff.ts";
 import { toldMemory } from "../replicaLimits/constants.ts";
-import { holdersNamed, reportMemory } from "./constants.ts";
+import { maxHoldersPerPart, reportLifetime } from "./constants.ts";
 
-/** What an owner works with. */
-export interface OwnedReplicasParts {
+export interface OwnedReplicasDependencies {
   readonly replicas: ReplicaTable;
   readonly holders: Pick<CacheHolders, "noteKey" | "holdersOf">;
-  /** @returns The stores of prompt parts that the configuration names. */
+  /** @returns The configured cache stores, which keep prompt parts. */
   readonly cacheStores: () => readonly CacheStore[];
   readonly clock: Clock;
 }
 
-/** See {@link createOwnedReplicas}. */
 export interface OwnedReplicas extends AsyncDisposable {
-  readonly takeWork: (message: WorkMessage) => void;
+  readonly applyWork: (message: WorkMessage) => void;
   readonly answer: (message: AskMessage) => AnswerMessage;
 }
 
-/** A router's last report of a replica. */
+/** The last report of one router about a replica. */
 interface Reported {
   readonly incarnation: string;
   readonly sequence: number;
@@ -44,26 +42,26 @@
   readonly computedTokens: number;
 }
 
-/** A router's work as it reports it to owners is kept apart from what it tells all peers. */
-const tellerOf = (router: string): string => `${router} as reported`;
+/** The source of a router's work as it reports it to owners, apart from the work that it announces to all peers. */
+const reportSourceOf = (router: string): string => `${router} as reported`;
 
-/** What an owner answered, in the table of a router that is not the owner. */
-export const answersTeller = "as answered";
+/** The source of an owner's answers, in the table of a router that is not the owner. */
+export const ownerAnswersSource = "as answered";
 
-/** Whoever asks hears the limit from the replica itself if nobody has for long. */
-const tellRecentLimit = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
+/** @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself. */
+const recentLimitOf = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
   limit === undefined || now - limit.heardAt > toldMemory ? undefined : tellWord(limit, now);
 
-/** A teller that has none at a replica any more. */
+/** The work of a source without any at a replica. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
 
-/** Creates an owner's knowledge; work that is reported no longer is let go until it is disposed of. */
-export const createOwnedReplicas = (parts: OwnedReplicasParts): OwnedReplicas => {
-  const { replicas, holders, clock } = parts;
-  /** By replica and router. */
+/** Creates the owner's state; work that is no longer reported expires until the state is disposed of. */
+export const createOwnedReplicas = (dependencies: OwnedReplicasDependencies): OwnedReplicas => {
+  const { replicas, holders, clock } = dependencies;
+  /** By replica and router: the last report. */
   const reported = new Map<ReplicaKey, Map<string, Reported>>();
 
-  const takeReport = (message: WorkMessage, report: WorkReport): void => {
+  const applyReport = (message: WorkMessage, report: WorkReport): void => {
     const { name, incarnation, sequence } = message;
     const { replica: key, computedTokens } = report;
     const state = replicas.getByKey(key);
@@ -75,62 +73,62 @@
     if (isSameProcess && sequence <= before.sequence) return;
     ofReplica.set(name, { incarnation, sequence, reportedAt: clock.monotonic(), computedTokens });
     state.reportedTokens += isSameProcess ? Math.max(0, computedTokens - before.computedTokens) : 0;
-    replicas.noteWorkAt(answersTeller, key, noWork);
-    replicas.noteWorkAt(tellerOf(name), key, report);
-    // Whoever can't reach it may be cut off itself: the owner looks before it believes.
+    replicas.noteWorkAt(ownerAnswersSource, key, noWork);
+    replicas.noteWorkAt(reportSourceOf(name), key, report);
+    // The reporting router may be cut off itself: the owner tries a connection before it marks the replica unreachable.
     if (report.isUnreachable) state.isSuspected = true;
     if (report.isBackingOff) preferOthers(state, clock.monotonic());
     if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
   };
 
-  const forgetOld = (): void => {
-    const oldest = clock.monotonic() - reportMemory;
+  const expireReports = (): void => {
+    const oldest = clock.monotonic() - reportLifetime;
     for (const [key, ofReplica] of reported) {
       for (const [name, { reportedAt }] of ofReplica) {
         if (reportedAt >= oldest) continue;
         ofReplica.delete(name);
-        replicas.noteWorkAt(tellerOf(name), key, noWork);
+        replicas.noteWorkAt(reportSourceOf(name), key, noWork);
       }
       if (ofReplica.size === 0) reported.delete(key);
     }
-    callOff = clock.after(reportMemory / 2, forgetOld);
+    cancel = clock.after(reportLifetime / 2, expireReports);
   };
-  let callOff = clock.after(reportMemory / 2, forgetOld);
+  let cancel = clock.after(reportLifetime / 2, expireReports);
 
-  const describe = (state: ReplicaState, asker: string): ReplicaReport => {
-    // What an owner before this one had answered would be told on for good, and keep everybody away.
-    replicas.noteWorkAt(answersTeller, replicaKeyOf(state.entry.id), noWork);
-    const work = workWithout(state, tellerOf(asker));
+  const reportOn = (state: ReplicaState, asker: string): ReplicaReport => {
+    // Answers of an earlier owner would otherwise be passed on forever, and keep all routers away from the replica.
+    replicas.noteWorkAt(ownerAnswersSource, replicaKeyOf(state.entry.id), noWork);
+    const work = workWithout(state, reportSourceOf(asker));
     return {
       replica: replicaKeyOf(state.entry.id),
       requests: work.requests,
       promptTokens: work.promptTokens.map((tokens) => Math.max(0, Math.round(tokens))),
       ejectedFor: Math.max(0, Math.round(preferOthersUntil(state) - clock.monotonic())),
-      limit: tellRecentLimit(state, clock.monotonic()),
+      limit: recentLimitOf(state, clock.monotonic()),
     };
   };
 
   return {
-    takeWork: (message) => {
-      for (const report of message.reports) takeReport(message, report);
-      takeHolders(message.holders, parts);
+    applyWork: (message) => {
+      for (const report of message.reports) applyReport(message, report);
+      takeHolders(message.holders, dependencies);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
       number,
       reports: keys.flatMap((key) => {
         const state = replicas.getByKey(key);
-        return state === undefined ? [] : [describe(state, name)];
+        return state === undefined ? [] : [reportOn(state, name)];
       }),
       holders: wanted.flatMap((part): readonly ToldHolder[] =>
         holders
           .holdersOf(part)
-          .slice(0, holdersNamed)
+          .slice(0, maxHoldersPerPart)
           .map(({ holder, isReady }) => ({ part, replica: replicaKeyOf(holder), isReady })),
       ),
     }),
     [Symbol.asyncDispose]: () => {
-      callOff();
+      cancel();
       return Promise.resolve();
     },
   };
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -1,9 +1,9 @@
 /**
- * Asks the owners of a few replicas what they know, right before a request is placed.
+ * Asks the owners of a few replicas for their current state, right before a request is placed.
  *
- * The load pattern that it answers: where two hundred routers each have two or three requests a second, what they
- * could tell one another is seconds old, and each sends its work where others have just sent theirs. In a simulated
- * calm load with 195 routers 44 % of first tokens came in time without it.
+ * The load pattern behind it: where two hundred routers each have two or three requests a second, periodic updates between
+ * them are seconds old, and each router sends its work where others have just sent theirs. Without the queries, only 44 %
+ * of first tokens come in time in a simulated calm load with 195 routers.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { AnswerMessage } from "../../protocol/forwarding/ownerMessage.ts";
@@ -12,64 +12,62 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createAnswerTimes } from "../answerTimes.ts";
 import type { Clock } from "../clock.ts";
-import { answerPatience, answerTimeGain, assumedAnswerTime } from "./constants.ts";
+import { answerTimeout, answerTimeWeight, initialAnswerTime } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
 
-/** What asking works with. */
-export interface ConsultationParts {
+export interface OwnerQueriesDependencies {
   readonly name: string;
   readonly link: DatagramLink;
   readonly owners: Owners;
   readonly clock: Clock;
-  /** Takes what an owner knows. @returns The replicas that it has told of. */
-  readonly take: (answer: AnswerMessage) => readonly ReplicaState[];
-  /** Lets go of what owners answered of replicas before: it is of another time, or this router is the owner now. */
-  readonly lapse: (replicas: readonly ReplicaState[]) => void;
+  /** Applies the answer of an owner. @returns The replicas that it reports. */
+  readonly applyAnswer: (answer: AnswerMessage) => readonly ReplicaState[];
+  /** Discards earlier answers about replicas: they are outdated, or this router is the owner now. */
+  readonly invalidate: (replicas: readonly ReplicaState[]) => void;
 }
 
-/** See {@link createConsultation}. */
-export interface Consultation {
+export interface OwnerQueries {
   /**
-   * @param keys - Of the prompt's parts.
-   * @returns Those of the replicas whose state is known now, because their owners answered or are this router.
+   * @param keys - Keys of the prompt's parts.
+   * @returns The replicas whose state is known now, because their owners answered or this router is the owner.
    */
   readonly ask: (
     replicas: readonly ReplicaState[],
     keys: readonly number[],
   ) => Promise<readonly ReplicaState[]>;
-  /** An answer has come. */
-  readonly hear: (answer: AnswerMessage) => void;
+  /** Handles the answer of an owner. */
+  readonly receiveAnswer: (answer: AnswerMessage) => void;
 }
 
-/** What one owner was asked. */
-interface Asked {
+/** What one owner is asked for a question. */
+interface OwnerQuestion {
   readonly owner: LiveRouter;
   readonly replicas: readonly ReplicaState[];
 }
 
-/** One question to several owners. */
+/** One question about several replicas, asked of each of their owners. */
 interface Question {
   readonly askedAt: number;
-  /** Owners that have not answered, by the number of what they were asked. */
-  readonly waiting: Map<number, Asked>;
+  /** The owners that have not answered yet, by message number. */
+  readonly waiting: Map<number, OwnerQuestion>;
   readonly known: ReplicaState[];
   readonly finish: () => void;
 }
 
-/** Questions given up whose answers are still recognised. */
-const mostLate = 100;
+/** Number of timed-out questions whose late answers are still recognised. */
+const maxTimedOut = 100;
 
-/** Creates a router's way to ask. */
-export const createConsultation = (parts: ConsultationParts): Consultation => {
-  const { name, link, owners, clock } = parts;
+/** Creates the queries of one router. */
+export const createOwnerQueries = (dependencies: OwnerQueriesDependencies): OwnerQueries => {
+  const { name, link, owners, clock } = dependencies;
   const open = new Map<number, Question>();
-  /** Asked and given up; a late answer shows that the owner lives. */
-  const late = new Map<number, LiveRouter>();
+  /** Timed-out questions by number: a late answer shows that the owner is reachable. */
+  const timedOut = new Map<number, LiveRouter>();
   let number = 0;
   const times = createAnswerTimes({
-    assumed: assumedAnswerTime,
-    gain: answerTimeGain,
-    patience: answerPatience,
+    assumed: initialAnswerTime,
+    gain: answerTimeWeight,
+    patience: answerTimeout,
   });
 
   const groupByOwner = (replicas: readonly ReplicaState[], known: ReplicaState[]) => {
@@ -83,54 +81,57 @@
     return byOwner;
   };
 
-  const giveUp = (question: Question): void => {
+  const expire = (question: Question): void => {
     for (const [key, { owner, replicas }] of question.waiting) {
-      parts.lapse(replicas);
+      dependencies.invalidate(replicas);
       open.delete(key);
-      late.set(key, owner);
-      owners.noteSilence(owner.name);
+      timedOut.set(key, owner);
+      owners.noteTimeout(owner.name);
     }
-    const oldest = late.size > mostLate ? late.keys().next().value : undefined;
-    if (oldest !== undefined) late.delete(oldest);
+    const oldest = timedOut.size > maxTimedOut ? timedOut.keys().next().value : undefined;
+    if (oldest !== undefined) timedOut.delete(oldest);
     question.finish();
   };
 
-  const ask: Consultation["ask"] = (replicas, keys) =>
+  const ask: OwnerQueries["ask"] = (replicas, keys) =>
     new Promise((resolve) => {
       const known: ReplicaState[] = [];
       const byOwner = groupByOwner(replicas, known);
-      parts.lapse(known);
+      dependencies.invalidate(known);
       if (byOwner.size === 0) {
         resolve(known);
         return;
       }
       const finish = (): void => {
-        callOff();
+        cancel();
         resolve(known);
       };
       const question: Question = { askedAt: clock.monotonic(), waiting: new Map(), known, finish };
-      const callOff = clock.after(times.patience(), () => giveUp(question));
+      const cancel = clock.after(times.patience(), () => expire(question));
       for (const [owner, owned] of byOwner) {
         number += 1;
         question.waiting.set(number, { owner, replicas: owned });
         open.set(number, question);
-        const wanted = owned.map(({ entry }) => replicaKeyOf(entry.id));
-        link.send(owner.at, encodeOwnerMessage({ kind: "ask", name, number, replicas: wanted, parts: keys }));
+        const keysOfReplicas = owned.map(({ entry }) => replicaKeyOf(entry.id));
+        link.send(
+          owner.at,
+          encodeOwnerMessage({ kind: "ask", name, number, replicas: keysOfReplicas, parts: keys }),
+        );
       }
     });
 
-  const hear = (answer: AnswerMessage): void => {
+  const receiveAnswer = (answer: AnswerMessage): void => {
     const question = open.get(answer.number);
-    const owner = question?.waiting.get(answer.number)?.owner ?? late.get(answer.number);
-    late.delete(answer.number);
+    const owner = question?.waiting.get(answer.number)?.owner ?? timedOut.get(answer.number);
+    timedOut.delete(answer.number);
     if (owner !== undefined) owners.noteAnswer(owner.name);
     if (question === undefined) return;
     open.delete(answer.number);
     question.waiting.delete(answer.number);
     times.note(clock.monotonic() - question.askedAt);
-    question.known.push(...parts.take(answer));
+    question.known.push(...dependencies.applyAnswer(answer));
     if (question.waiting.size === 0) question.finish();
   };
 
-  return { ask, hear };
+  return { ask, receiveAnswer };
 };
--- a/src/coordination/replicaOwners/replicaOwners.test.ts
+++ b/src/coordination/replicaOwners/replicaOwners.test.ts
@@ -9,7 +9,7 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createCacheHolders } from "../forwarding/cacheHolders.ts";
 import { createManualClock } from "../manualClock.ts";
-import { answerPatience, reportMemory, reportRepetition, silentOwnerTimes } from "./constants.ts";
+import { answerTimeout, reportLifetime, reportRepeatInterval, unreachableOwnerTimes } from "./constants.ts";
 import { createReplicaOwners } from "./replicaOwners.ts";
 
 const engineIds = ["engine-0", "engine-1", "engine-2"] as const;
@@ -79,7 +79,7 @@
   const ask = async (router: (typeof routers)[number], id: string, keys: readonly number[] = []) => {
     let known: readonly ReplicaState[] | undefined;
     void router.owners.ask([router.replica(id)], keys).then((answered) => (known = answered));
-    await run(answerPatience.longest + 5);
+    await run(answerTimeout.longest + 5);
     if (known === undefined) throw new Error("the question is still open");
     return known.length > 0;
   };
@@ -94,7 +94,7 @@
     }
   });
 
-  it("tell whoever asks of work that others began a moment ago", async () => {
+  it("report work to an asker that others began a moment ago", async () => {
     const { others, ask, run } = create(12);
     const [first, second] = others("engine-0");
     if (first === undefined || second === undefined) throw new Error("routers are missing");
@@ -115,7 +115,7 @@
     expect(totalRequests(first.replica("engine-0"))).toEqual(1);
   });
 
-  it("tell where parts are computed and kept", async () => {
+  it("report where prompt parts are computed and kept", async () => {
     const { others, ask, run } = create(12);
     const [first, second] = others("engine-0");
     if (first === undefined || second === undefined) throw new Error("routers are missing");
@@ -125,7 +125,7 @@
     expect(second.holders.holdersOf(17)).toEqual([{ holder: "engine-0", isReady: true }]);
   });
 
-  it("are passed over once they are silent, and nobody waits for them longer than the limit", async () => {
+  it("are skipped while unreachable, and no router waits for them longer than the timeout", async () => {
     const { network, others, ownerOf, ask, run } = create(12);
     const owner = ownerOf("engine-0");
     const [first, second] = others("engine-0");
@@ -134,15 +134,15 @@
     network.freeze(owner.self.port);
     expect(await ask(first, "engine-0")).toEqual(false);
     expect(await ask(second, "engine-0")).toEqual(false);
-    // The next one is told with the next repetition, and answers.
-    await run(silentOwnerTimes.first / 4);
+    // The next candidate receives the repeated report, and answers.
+    await run(unreachableOwnerTimes.first / 4);
     first.owners.reports.noteChange(first.replica("engine-0"));
     await run(60);
     expect(await ask(second, "engine-0")).toEqual(true);
     expect(totalRequests(second.replica("engine-0"))).toEqual(1);
   });
 
-  it("that start anew know the work again after one repetition", async () => {
+  it("that restart know the work again after one repeated report", async () => {
     const { others, ownerOf, ask, run, start } = create(12);
     const owner = ownerOf("engine-0");
     const [first, second] = others("engine-0");
@@ -150,12 +150,12 @@
     first.begin("engine-0", 4_000);
     await run(2);
     start(owner.self, "process-again");
-    await run(reportRepetition + 10);
+    await run(reportRepeatInterval + 10);
     await ask(second, "engine-0");
     expect(totalRequests(second.replica("engine-0"))).toEqual(1);
   });
 
-  it("look themselves before they believe that a replica can't be reached", async () => {
+  it("try a connection themselves before they mark a replica unreachable that others report so", async () => {
     const { others, ownerOf, run } = create(12);
     const [first] = others("engine-0");
     if (first === undefined) throw new Error("a router is missing");
@@ -166,7 +166,7 @@
     expect([state.isSuspected, state.isUnreachable]).toEqual([true, false]);
   });
 
-  it("don't tell on what another owner had answered them before they took over", async () => {
+  it("don't pass on answers of an earlier owner after they took over", async () => {
     const { network, others, ownerOf, ask, run } = create(12);
     const owner = ownerOf("engine-0");
     const [first, ...rest] = others("engine-0");
@@ -177,9 +177,9 @@
     first.end("engine-0", 4_000);
     await run(50);
     network.freeze(owner.self.port);
-    // All find the owner silent; the next one in the order answers from then on.
+    // All find the owner unreachable; the next candidate answers from then on.
     for (const router of rest) await ask(router, "engine-0");
-    await run(reportMemory * 2);
+    await run(reportLifetime * 2);
     for (const router of rest) {
       await ask(router, "engine-0");
       await ask(router, "engine-0");
@@ -187,7 +187,7 @@
     }
   });
 
-  it("forget the work of a router that reports no more", async () => {
+  it("drop the work of a router that no longer reports", async () => {
     const { network, others, ownerOf, run } = create(12);
     const [first] = others("engine-0");
     if (first === undefined) throw new Error("a router is missing");
@@ -195,12 +195,12 @@
     await run(2);
     expect(totalRequests(ownerOf("engine-0").replica("engine-0"))).toEqual(1);
     network.freeze(first.self.port);
-    await run(reportMemory * 2);
+    await run(reportLifetime * 2);
     expect(totalRequests(ownerOf("engine-0").replica("engine-0"))).toEqual(0);
   });
 });
 
-/** A step of a random schedule. */
+/** One step of a random schedule. */
 const step = fc.oneof(
   fc.record({ kind: fc.constant("begin" as const), router: fc.nat(11), engine: fc.nat(2) }),
   fc.record({ kind: fc.constant("end" as const), router: fc.nat(11), engine: fc.nat(2) }),
@@ -214,7 +214,7 @@
 );
 
 describe("owners of replicas under random schedules", () => {
-  it("never keep anybody waiting, and in the end know exactly the work that there is", async () => {
+  it("never exceed the timeout, and finally know exactly the work in progress", async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 40 }), async (steps) => {
         const { network, routers, run, clock } = create(12);
@@ -227,7 +227,7 @@
           if (each.kind === "begin") router.begin(id, tokens);
           else if (each.kind === "end" && router.replica(id).requests > 0) router.end(id, tokens);
           else if (each.kind === "ask") {
-            const question = { until: clock.monotonic() + answerPatience.longest };
+            const question = { until: clock.monotonic() + answerTimeout.longest };
             open.add(question);
             void router.owners.ask([router.replica(id)], []).then(() => {
               open.delete(question);
@@ -239,14 +239,14 @@
           else if (each.kind === "loss") network.lostOfEach = each.every;
           else if (each.kind === "noLoss") network.lostOfEach = 0;
           else if (each.kind === "run") await run(each.milliseconds);
-          // What is answered at once is answered before the clock moves.
+          // Lets immediate answers arrive before the clock advances.
           await settled();
         }
-        // Calm again: what is known is what there is, nothing twice and nothing that has ended.
+        // After the faults end, the owners know each request once, and none that has ended.
         network.lostOfEach = 0;
         network.delay = 1;
         for (const { self } of routers) network.thaw(self.port);
-        await run(silentOwnerTimes.longest + 2 * reportMemory);
+        await run(unreachableOwnerTimes.longest + 2 * reportLifetime);
         expect(open.size).toEqual(0);
         for (const id of engineIds) {
           const owner = routers.find(({ owners, replica }) => owners.isOwn(replica(id)));
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -1,9 +1,9 @@
 /**
- * Every replica has one router that answers for it, and whoever places a request asks the owners of a few replicas
- * first: so placement knows the work at each replica as of now, however many routers there are, and messages grow
- * with the requests and not with the square of the routers.
+ * Every replica has an owner, a router that aggregates the work of all routers there. A router that places a request first
+ * asks the owners of a few replicas. Placement so knows the current work at each of them, however many routers there are,
+ * and the number of messages grows with the requests, not with the square of the routers.
  *
- * With few routers everybody tells everybody (see `routerPeers.ts`), and nobody is asked.
+ * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is asked.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { AnswerMessage } from "../../protocol/forwarding/ownerMessage.ts";
@@ -18,13 +18,12 @@
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
 import { takeHolders } from "../forwarding/toldHolders.ts";
 import type { RouterPeers } from "../forwarding/routerPeers.ts";
-import { createConsultation } from "./ownerQueries.ts";
-import { answersTeller, createOwnedReplicas, noWork } from "./ownedReplicas.ts";
+import { createOwnerQueries } from "./ownerQueries.ts";
+import { ownerAnswersSource, createOwnedReplicas, noWork } from "./ownedReplicas.ts";
 import { createOwners } from "./owners.ts";
 import type { WorkReports } from "./workReports.ts";
 import { createWorkReports } from "./workReports.ts";
 
-/** What asking and answering work with. */
 export interface ReplicaOwnersDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
@@ -32,17 +31,21 @@
   readonly replicas: ReplicaTable;
   readonly holders: Pick<CacheHolders, "noteKey" | "holdersOf">;
   readonly peers: Pick<RouterPeers, "isLarge" | "serving">;
-  /** @returns The stores of prompt parts that the configuration names. */
+  /** @returns The configured cache stores, which keep prompt parts. */
   readonly cacheStores: () => readonly CacheStore[];
 }
 
-/** See {@link createReplicaOwners}. */
 export interface ReplicaOwners extends AsyncDisposable {
-  /** Whether there are so many routers that owners are asked. */
+  /** @returns Whether there are enough routers for owners to be asked. */
   readonly isNeeded: () => boolean;
-  /** Whether this router answers for a replica. */
+  /** @returns Whether this router is the owner of a replica. */
   readonly isOwn: (replica: ReplicaState) => boolean;
-  /** @returns Those of the replicas whose state is known now. */
+  /**
+   * Asks the owners of replicas for their state.
+   *
+   * @param keys - Keys of the prompt's parts.
+   * @returns The replicas whose state is known now.
+   */
   readonly ask: (
     replicas: readonly ReplicaState[],
     keys: readonly number[],
@@ -50,7 +53,7 @@
   readonly reports: Pick<WorkReports, "noteBegin" | "noteChange" | "noteHolder">;
 }
 
-/** @returns Prompt tokens that all routers have had computed at a replica, as far as this one can know. */
+/** @returns An estimate of the prompt tokens that a replica has computed for all routers. */
 export const countComputedTokens = (
   replica: ReplicaState | undefined,
   owners: Pick<ReplicaOwners, "isNeeded" | "isOwn">,
@@ -59,13 +62,13 @@
   if (replica === undefined) return 0;
   const { computedTokens, reportedTokens } = replica;
   if (owners.isNeeded() && owners.isOwn(replica)) return computedTokens + reportedTokens;
-  // Other routers compute there as much as this one, on average.
+  // Assumes that other routers have as much computed there as this one, on average.
   return computedTokens * peers.countLive();
 };
 
-/** Starts to ask and answer, until it is disposed of. */
-export const createReplicaOwners = (parts: ReplicaOwnersDependencies): ReplicaOwners => {
-  const { self, link, clock, replicas, holders, peers } = parts;
+/** Creates the queries, answers and work reports of one router; they are active until disposed of. */
+export const createReplicaOwners = (dependencies: ReplicaOwnersDependencies): ReplicaOwners => {
+  const { self, link, clock, replicas, holders, peers } = dependencies;
   const { name, dataCentre, incarnation, address, port } = self;
   const resources = createResourceStack();
   const owners = createOwners({
@@ -74,20 +77,20 @@
     clock,
   });
   const owned = resources.use(
-    createOwnedReplicas({ replicas, holders, cacheStores: parts.cacheStores, clock }),
+    createOwnedReplicas({ replicas, holders, cacheStores: dependencies.cacheStores, clock }),
   );
   const reports = resources.use(
     createWorkReports({ name, incarnation, link, owners, replicas, clock, isNeeded: peers.isLarge }),
   );
 
-  const take = (answer: AnswerMessage): readonly ReplicaState[] => {
+  const applyAnswer = (answer: AnswerMessage): readonly ReplicaState[] => {
     const now = clock.monotonic();
-    takeHolders(answer.holders, parts);
+    takeHolders(answer.holders, dependencies);
     return answer.reports.flatMap((report) => {
       const state = replicas.getByKey(report.replica);
       if (state === undefined) return [];
-      replicas.replaceWorkAt(answersTeller, report.replica, report);
-      // The owner looks after replicas that can't be reached; it has looked since this router found one so.
+      replicas.replaceWorkAt(ownerAnswersSource, report.replica, report);
+      // The owner monitors unreachable replicas, and has checked this one since this router marked it unreachable.
       if (report.ejectedFor === 0 && now >= state.ejectedUntil) state.isUnreachable = false;
       state.ejectedUntil = Math.max(state.ejectedUntil, now + report.ejectedFor);
       if (report.limit !== undefined) noteToldLimit(state, report.limit, now);
@@ -95,23 +98,23 @@
     });
   };
 
-  const lapse = (told: readonly ReplicaState[]): void => {
-    for (const { entry } of told) replicas.noteWorkAt(answersTeller, replicaKeyOf(entry.id), noWork);
+  const invalidate = (outdated: readonly ReplicaState[]): void => {
+    for (const { entry } of outdated) replicas.noteWorkAt(ownerAnswersSource, replicaKeyOf(entry.id), noWork);
   };
 
-  const consultation = createConsultation({ name, link, owners, clock, take, lapse });
+  const queries = createOwnerQueries({ name, link, owners, clock, applyAnswer, invalidate });
 
   link.receive((datagram, from) => {
     const message = decodeOwnerMessage(datagram);
-    if (message?.kind === "work") owned.takeWork(message);
-    else if (message?.kind === "answer") consultation.hear(message);
+    if (message?.kind === "work") owned.applyWork(message);
+    else if (message?.kind === "answer") queries.receiveAnswer(message);
     else if (message !== undefined) link.send(from, encodeOwnerMessage(owned.answer(message)));
   });
 
   return {
     isNeeded: peers.isLarge,
     isOwn: (replica) => owners.isSelf(owners.ownerOf(replica)),
-    ask: consultation.ask,
+    ask: queries.ask,
     reports,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -1,6 +1,6 @@
 /**
- * Tells owners of this router's work: a request that begins at once, since the next decision about its replica may
- * come within a millisecond; what ends, and parts that are computed, gathered for a moment.
+ * Reports this router's work to owners: a new request at once, since the next decision about its replica may come within a
+ * millisecond; ended requests and computed prompt parts in batches.
  */
 import type { WorkMessage, WorkReport } from "../../protocol/forwarding/ownerMessage.ts";
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
@@ -13,28 +13,31 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { wholeTokens } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
-import { mostHoldersTold, reportGathering, reportRepetition } from "./constants.ts";
+import { maxReportedHolders, reportBatchInterval, reportRepeatInterval } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
 
-/** What telling works with. */
-export interface WorkReportsParts {
+export interface WorkReportsDependencies {
   readonly name: string;
   readonly incarnation: string;
   readonly link: DatagramLink;
   readonly owners: Owners;
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
-  /** Whether there are so many routers that owners are told instead of everybody. */
+  /** @returns Whether there are enough routers for work to be reported to owners instead of all peers. */
   readonly isNeeded: () => boolean;
 }
 
-/** See {@link createWorkReports}. */
 export interface WorkReports extends AsyncDisposable {
-  /** A request of this router has just been sent to a replica. */
+  /** Reports that a request of this router has just been sent to a replica. */
   readonly noteBegin: (replica: ReplicaState) => void;
-  /** A prompt was computed, or a request has ended. */
+  /** Reports that a prompt was computed or a request has ended. */
   readonly noteChange: (replica: ReplicaState) => void;
-  /** A replica, or a store for the sake of what is sent to a replica, computes or keeps a part. */
+  /**
+   * Reports that a replica or a cache store computes or keeps a prompt part.
+   *
+   * @param replica - The replica whose owner gets the report.
+   * @param holder - That replica, or the store that keeps the part for requests to it.
+   */
   readonly noteHolder: (replica: ReplicaState, part: number, holder: string, isReady: boolean) => void;
 }
 
@@ -43,7 +46,7 @@
   readonly holders: ToldHolder[];
 }
 
-const reportOf = (replica: ReplicaState, now: number): WorkReport => ({
+const createReport = (replica: ReplicaState, now: number): WorkReport => ({
   replica: replicaKeyOf(replica.entry.id),
   requests: replica.requests,
   promptTokens: wholeTokens(replica.promptTokens),
@@ -53,29 +56,29 @@
   limit: replica.limit && tellWord(replica.limit, now),
 });
 
-/** Starts to tell owners, until it is disposed of. */
-export const createWorkReports = (parts: WorkReportsParts): WorkReports => {
-  const { name, incarnation, link, owners, replicas, clock, isNeeded } = parts;
+/** Starts to report to owners until it is disposed of. */
+export const createWorkReports = (dependencies: WorkReportsDependencies): WorkReports => {
+  const { name, incarnation, link, owners, replicas, clock, isNeeded } = dependencies;
   const pending = new Map<string, Pending>();
   let sequence = 0;
-  let callOffFlush: (() => void) | undefined;
+  let cancelFlush: (() => void) | undefined;
 
-  const send = (owner: LiveRouter, told: readonly Pending[]): void => {
+  const send = (owner: LiveRouter, reported: readonly Pending[]): void => {
     sequence += 1;
     const message: WorkMessage = {
       kind: "work",
       name,
       incarnation,
       sequence,
-      reports: told.map(({ replica }) => reportOf(replica, clock.monotonic())),
-      holders: told.flatMap(({ holders }) => holders).slice(-mostHoldersTold),
+      reports: reported.map(({ replica }) => createReport(replica, clock.monotonic())),
+      holders: reported.flatMap(({ holders }) => holders).slice(-maxReportedHolders),
     };
     link.send(owner.at, encodeOwnerMessage(message));
   };
 
   const flush = (): void => {
-    callOffFlush?.();
-    callOffFlush = undefined;
+    cancelFlush?.();
+    cancelFlush = undefined;
     const byOwner = new Map<LiveRouter, Pending[]>();
     for (const each of pending.values()) {
       const owner = owners.ownerOf(each.replica);
@@ -85,10 +88,10 @@
       else known.push(each);
     }
     pending.clear();
-    for (const [owner, told] of byOwner) send(owner, told);
+    for (const [owner, reported] of byOwner) send(owner, reported);
   };
 
-  const pend = (replica: ReplicaState): Pending => {
+  const addPending = (replica: ReplicaState): Pending => {
     const { id } = replica.entry;
     const known = pending.get(id) ?? { replica, holders: [] };
     pending.set(id, known);
@@ -96,37 +99,37 @@
   };
 
   const flushSoon = (): void => {
-    callOffFlush ??= clock.after(reportGathering, flush);
+    cancelFlush ??= clock.after(reportBatchInterval, flush);
   };
 
-  /** For owners that have just taken over, and for reports that got lost. */
+  /** Repeats reports for new owners, and in case earlier reports got lost. */
   const repeat = (): void => {
-    callOffRepeat = clock.after(reportRepetition, repeat);
+    cancelRepeat = clock.after(reportRepeatInterval, repeat);
     if (!isNeeded()) return;
     const busy = replicas.all().filter(({ requests, isUnreachable }) => requests > 0 || isUnreachable);
-    busy.forEach(pend);
+    busy.forEach(addPending);
     if (pending.size > 0) flush();
   };
-  let callOffRepeat = clock.after(reportRepetition, repeat);
+  let cancelRepeat = clock.after(reportRepeatInterval, repeat);
 
   return {
     noteBegin: (replica) => {
       if (!isNeeded()) return;
-      pend(replica);
+      addPending(replica);
       flush();
     },
     noteChange: (replica) => {
       if (!isNeeded()) return;
-      pend(replica);
+      addPending(replica);
       flushSoon();
     },
     noteHolder: (replica, part, holder, isReady) => {
-      pend(replica).holders.push({ part, replica: replicaKeyOf(holder), isReady });
+      addPending(replica).holders.push({ part, replica: replicaKeyOf(holder), isReady });
       flushSoon();
     },
     [Symbol.asyncDispose]: () => {
-      callOffFlush?.();
-      callOffRepeat();
+      cancelFlush?.();
+      cancelRepeat();
       return Promise.resolve();
     },
   };
