--- a/src/coordination/crashes/LogUpdatesLink.ts
+++ b/src/coordination/crashes/LogUpdatesLink.ts
@@ -25,8 +25,8 @@
 export const allRouters: { readonly at: DatagramAddress } = { at: { address: "log", port: 0 } };
 
 /**
- * Age up to which a starting router applies earlier updates, milliseconds: crashes from before its start count towards the
- * threshold.
+ * Age up to which a starting router applies earlier updates, milliseconds: crashes from before its start count
+ * towards the threshold.
  */
 const maxUpdateAge = 600_000;
 
--- a/src/coordination/crashes/constants.ts
+++ b/src/coordination/crashes/constants.ts
@@ -20,24 +20,27 @@
 export const crashThreshold = 3;
 
 /**
- * Delay from the moment at which a request reaches the threshold until the cause is chosen among the suspects: routers
- * detect one crash up to 30 ms apart, and notify one another within a few milliseconds. The request is not sent meanwhile.
+ * Delay from the moment at which a request reaches the threshold until the cause is chosen among the suspects:
+ * routers detect one crash up to 30 ms apart, and notify one another within a few milliseconds. The request is not
+ * sent meanwhile.
  */
 export const decisionDelay = 150;
 
 /**
  * Trials of a quarantined request, over all routers: a trial that succeeds releases a request that was quarantined by
- * chance. The cause of the crashes may run at most three more times; one of these runs is left for routers that learn of
- * the quarantine too late.
+ * chance. The cause of the crashes may run at most three more times; one of these runs is left for routers that learn
+ * of the quarantine too late.
  */
 export const maxTrials = 2;
 
-/** Delays from the quarantine to the first trial, and from one trial to the next: crashes beside it are over by then. */
+/**
+ * Delays from the quarantine to the first trial, and from one trial to the next: crashes beside it are over by then.
+ */
 export const trialDelays = { first: 1_000, next: 30_000 } as const;
 
 /**
- * Longest wait for the store to decide which router makes a trial. A quarantined request that can't be a trial is refused
- * at once.
+ * Longest wait for the store to decide which router makes a trial. A quarantined request that can't be a trial is
+ * refused at once.
  */
 export const claimTimeout = 300;
 
--- a/src/coordination/crashes/crashEvidence.ts
+++ b/src/coordination/crashes/crashEvidence.ts
@@ -18,8 +18,9 @@
   /** @returns Whether this router had the request in flight at one of the crashes. */
   readonly isOwn: (fingerprint: Fingerprint) => boolean;
   /**
-   * @returns Whether a request has reached the threshold for quarantine, and at least one of its crashes is not explained
-   * by another quarantined request. Of two causes at the same replicas, the second is therefore found at its next crash.
+   * @returns Whether a request has reached the threshold for quarantine, and at least one of its crashes is not
+   * explained by another quarantined request. Of two causes at the same replicas, the second is therefore found at
+   * its next crash.
    */
   readonly isCause: (fingerprint: Fingerprint) => boolean;
   /** @returns The number of replicas that crashed with the request in flight. */
--- a/src/coordination/crashes/digestCheck.ts
+++ b/src/coordination/crashes/digestCheck.ts
@@ -1,6 +1,6 @@
 /**
- * Detects that a router has missed a decision of others, because it was cut off or a datagram was lost, by the digests of
- * quarantined requests in its peers' messages. The store is read only after such a difference.
+ * Detects that a router has missed a decision of others, because it was cut off or a datagram was lost, by the
+ * digests of quarantined requests in its peers' messages. The store is read only after such a difference.
  */
 import type { Clock } from "../clock.ts";
 import { digestMismatchReadDelays, digestMismatchGrace } from "./constants.ts";
@@ -43,7 +43,8 @@
 
   return {
     notePeerDigest: (peerDigest) => {
-      // Routers that were cut off together agree with one another, so a match must not clear mismatches with other peers.
+      // Routers that were cut off together agree with one another, so a match must not clear mismatches with other
+      // peers.
       if (peerDigest === digest()) return;
       const now = clock.monotonic();
       const since = mismatches.get(peerDigest) ?? now;
--- a/src/coordination/crashes/quarantine.ts
+++ b/src/coordination/crashes/quarantine.ts
@@ -1,13 +1,13 @@
 /**
  * Quarantines requests that crash the replicas that run them, whichever router and request id they come with.
  *
- * The load pattern behind it: a caller repeats the same request; each run ends a process, together with all streams that
- * it served. Routers notify one another which requests were in flight at each crash. A request that was in flight at three
- * crashes, and has been answered nowhere since, is sent to no replica any more. Where several requests were in flight at
- * the same replicas, only the likeliest cause is quarantined, and its crashes count against no other. Any complete answer
- * clears a request at once, so that popular requests, in flight at every crash, are cleared by their next answer at any
- * router. A request that was quarantined by chance is released by a trial, which a single router makes. The platform's
- * store keeps the decisions.
+ * The load pattern behind it: a caller repeats the same request; each run ends a process, together with all streams
+ * that it served. Routers notify one another which requests were in flight at each crash. A request that was in
+ * flight at three crashes, and has been answered nowhere since, is sent to no replica any more. Where several
+ * requests were in flight at the same replicas, only the likeliest cause is quarantined, and its crashes count
+ * against no other. Any complete answer clears a request at once, so that popular requests, in flight at every crash,
+ * are cleared by their next answer at any router. A request that was quarantined by chance is released by a trial,
+ * which a single router makes. The platform's store keeps the decisions.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { CrashMessage, ReplicaCrash } from "../../protocol/forwarding/crashMessage.ts";
@@ -103,7 +103,10 @@
 
 const writeLog = createLogger("quarantine");
 
-/** Creates a quarantine of forwarded requests, which exchanges updates with peers and the store until it is disposed of. */
+/**
+ * Creates a quarantine of forwarded requests, which exchanges updates with peers and the store until it is disposed
+ * of.
+ */
 export const createQuarantine = (dependencies: QuarantineDependencies): Quarantine =>
   createQuarantineFor(dependencies, callerRequests);
 
--- a/src/coordination/crashes/quarantineRecords.ts
+++ b/src/coordination/crashes/quarantineRecords.ts
@@ -1,7 +1,7 @@
 /**
- * Reads and writes the records of quarantined requests in the platform's store. They inform routers that start later, all
- * routers after a common restart, and routers that were cut off when a request was quarantined. The store's order of
- * records decides which router makes a trial.
+ * Reads and writes the records of quarantined requests in the platform's store. They inform routers that start later,
+ * all routers after a common restart, and routers that were cut off when a request was quarantined. The store's order
+ * of records decides which router makes a trial.
  */
 import { randomBytes } from "node:crypto";
 import { requiresReread } from "../../protocol/errors.ts";
@@ -43,7 +43,9 @@
 /** Creates access to the records; nothing is read yet. */
 export const createQuarantineRecords = (dependencies: QuarantineRecordsDependencies): QuarantineRecords => {
   const { feed, requests, epochs } = dependencies;
-  /** Requests whose records this router has dropped: the store may list them again after a return from an older copy. */
+  /**
+   * Requests whose records this router has dropped: the store may list them again after a return from an older copy.
+   */
   const dropped = createRecentMap<true>(maxQuarantined);
   let next: StorePosition | undefined;
   let isFailing = false;
--- a/src/coordination/crashes/recordsMaintenance.ts
+++ b/src/coordination/crashes/recordsMaintenance.ts
@@ -1,4 +1,6 @@
-/** Keeps the store's records and a router's quarantined requests in step: the first read, and writes still to be made. */
+/**
+ * Keeps the store's records and a router's quarantined requests in step: the first read, and writes still to be made.
+ */
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
 import type { Clock } from "../clock.ts";
--- a/src/coordination/replicaOwners/constants.ts
+++ b/src/coordination/replicaOwners/constants.ts
@@ -7,8 +7,8 @@
 export const membersRefreshInterval = 250;
 
 /**
- * Time for which an owner is skipped after an answer that did not come in time; doubles with each further timeout. After
- * a lost datagram there are two owners for a moment, each of which knows a part of the work.
+ * Time for which an owner is skipped after an answer that did not come in time; doubles with each further timeout.
+ * After a lost datagram there are two owners for a moment, each of which knows a part of the work.
  */
 export const unreachableOwnerTimes = { first: 500, longest: 8_000 } as const;
 
@@ -25,8 +25,9 @@
 export const answerTimeWeight = 0.1;
 
 /**
- * Replicas that are asked about for one request: homes of its deepest shared part, known holders, and random others. The
- * wide number of random others is used before a request is shed, since another replica may be able to answer it in time.
+ * Replicas that are asked about for one request: homes of its deepest shared part, known holders, and random others.
+ * The wide number of random others is used before a request is shed, since another replica may be able to answer it
+ * in time.
  */
 export const queriedReplicas = { homes: 2, holders: 1, others: 1, wide: 8 } as const;
 
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -48,7 +48,9 @@
 /** The source of an owner's answers, in the table of a router that is not the owner. */
 export const ownerAnswersSource = "as answered";
 
-/** @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself. */
+/**
+ * @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself.
+ */
 const recentLimitOf = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
   limit === undefined || now - limit.heardAt > toldMemory ? undefined : tellWord(limit, now);
 
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -1,9 +1,9 @@
 /**
  * Asks the owners of a few replicas for their current state, right before a request is placed.
  *
- * The load pattern behind it: where two hundred routers each have two or three requests a second, periodic updates between
- * them are seconds old, and each router sends its work where others have just sent theirs. Without the queries, only 44 %
- * of first tokens come in time in a simulated calm load with 195 routers.
+ * The load pattern behind it: where two hundred routers each have two or three requests a second, periodic updates
+ * between them are seconds old, and each router sends its work where others have just sent theirs. Without the
+ * queries, only 44 % of first tokens come in time in a simulated calm load with 195 routers.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { AnswerMessage } from "../../protocol/forwarding/ownerMessage.ts";
--- a/src/coordination/replicaOwners/owners.ts
+++ b/src/coordination/replicaOwners/owners.ts
@@ -52,8 +52,8 @@
   let byDataCentre = new Map<string, readonly Member[]>();
   let allMembers: readonly Member[] = [];
   /**
-   * Cached candidates by a replica's hash. They are needed several times for each decision and once for every update about
-   * a part; computing them each time takes 2 to 3 % of a router's processor at 14 requests a second.
+   * Cached candidates by a replica's hash. They are needed several times for each decision and once for every update
+   * about a part; computing them each time takes 2 to 3 % of a router's processor at 14 requests a second.
    */
   let candidatesByHash = new Map<number, readonly LiveRouter[]>();
   let readAt = Number.NEGATIVE_INFINITY;
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -1,7 +1,7 @@
 /**
- * Every replica has an owner, a router that aggregates the work of all routers there. A router that places a request first
- * asks the owners of a few replicas. Placement so knows the current work at each of them, however many routers there are,
- * and the number of messages grows with the requests, not with the square of the routers.
+ * Every replica has an owner, a router that aggregates the work of all routers there. A router that places a request
+ * first asks the owners of a few replicas. Placement therefore knows the current work at each of them, however many
+ * routers there are, and the number of messages grows with the requests, not with the square of the routers.
  *
  * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is asked.
  */
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -1,6 +1,6 @@
 /**
- * Reports this router's work to owners: a new request at once, since the next decision about its replica may come within a
- * millisecond; ended requests and computed prompt parts in batches.
+ * Reports this router's work to owners: a new request at once, since the next decision about its replica may come
+ * within a millisecond; ended requests and computed prompt parts in batches.
  */
 import type { WorkMessage, WorkReport } from "../../protocol/forwarding/ownerMessage.ts";
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
--- a/src/coordination/storeEpochs/constants.ts
+++ b/src/coordination/storeEpochs/constants.ts
@@ -1,38 +1,44 @@
-/** Limits of what follows a new epoch of the platform's store. Durations are milliseconds. */
+/** Limits of the recovery after a new epoch of the platform's store. Durations are milliseconds. */
 
-/** Within which operator and replicas write again what the store has lost. */
-export const recoveryTime = 2_000;
+/** Time within which the operator and the replicas write again the records that the store has lost. */
+export const recoveryDuration = 2_000;
 
-/** Most of the time in which a key may be served after its end, for which reads of a new epoch prove nothing. */
+/**
+ * Upper bound on the time for which reads of a new epoch prove nothing, as a share of the time in which a key may be
+ * served after its end.
+ */
 export const recoveryShare = 0.3;
 
-/** Longest wait of a router that starts for a first message of a peer, from its start. */
+/** Longest time for which a router waits after its start for a first message from a peer. */
 export const joinTimeout = 150;
 
-/** Between two reads of copies that peers' messages ask for. */
+/** Between two reads of copies that peers' messages cause. */
 export const copyReadInterval = 200;
 
-/** Routers that write copies first, one after another. */
-export const copyWriters = 3;
+/** Number of routers that write copies first, one after another. */
+export const firstCopyWriters = 3;
 
-/** Between the first attempts of these. */
+/** Delay between the first attempts of these routers. */
 export const copyWriteInterval = 300;
 
-/** After a write of a copy that failed. */
+/** Delay after a failed write of a copy. */
 export const copyRetryInterval = 500;
 
-/** By how much registrations that are written again are spread, for each router. */
-export const registrationSpread = 10;
+/** Random delay before registering again in a new epoch, up to this time for each router in the deployment. */
+export const registrationSpreadPerRouter = 10;
 
-/** By how much whole reads in a new epoch are spread, for each router, where others read for it; at most in all. */
+/**
+ * Random delay before a whole read in a new epoch by a router that others read for: up to this time for each router
+ * in the deployment, and an upper bound in all.
+ */
 export const rereadSpreadPerRouter = 1;
 export const longestRereadDelay = 500;
 
-/** The registry is longer than the operator's records, and read more slowly. */
+/** Factor on this delay for the registry, which is longer than the operator's records and takes longer to read. */
 export const registryRereadFactor = 8;
 
-/** Between two reads that peers' messages of a newer epoch ask for. */
+/** Between two reads that peers' messages with a newer epoch cause. */
 export const epochReadInterval = 250;
 
-/** By how much a timer may fire early. */
+/** How early a timer may fire. */
 export const timerSlack = 5;
--- a/src/coordination/storeEpochs/operatorRecovery.ts
+++ b/src/coordination/storeEpochs/operatorRecovery.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what the operator published where the store has lost it: routers that know it write copies into a topic of
- * their own, for peers that had not read it and for routers that start before the operator has written it again.
+ * Recovers operator records that the store has lost: routers that know them write copies to a separate topic, for peers
+ * that had not read them, and for routers that start before the operator has written them again.
  */
 import type { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
 import type { FeedPage, OperatorRecord } from "../../protocol/forwarding/types.ts";
@@ -15,43 +15,42 @@
   copyReadInterval,
   copyRetryInterval,
   copyWriteInterval,
-  copyWriters,
-  recoveryTime,
+  firstCopyWriters,
+  recoveryDuration,
 } from "./constants.ts";
 
-/** See {@link createOperatorRecovery}. */
 export interface OperatorRecoveryDependencies {
   readonly self: string;
   /** The topic of copies. */
   readonly copies: RecordFeed<OperatorRecord>;
   readonly configuration: Pick<ConfigurationState, "apply" | "newest" | "versionOf">;
-  /** @returns Names of live routers, this one included. */
+  /** @returns The names of live routers, including this one. */
   readonly live: () => readonly string[];
   readonly clock: Clock;
-  /** A number from 0 to 1. */
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
-  /** Records were read from copies. */
+  /** Called after records have been read from copies. */
   readonly onRecovered: () => void;
 }
 
-/** Works until it is disposed of. */
+/** Recovery of one router, active until it is disposed of. */
 export interface OperatorRecovery extends AsyncDisposable {
-  /** Takes the newest records that the store has. */
+  /** Notes the records of a whole read of the store, and copies those that it lost if its epoch is new. */
   readonly noteNewest: (page: FeedPage<OperatorRecord>) => void;
-  /** Takes records that the store has taken. */
+  /** Notes further records that the store has. */
   readonly noteStored: (page: FeedPage<OperatorRecord>) => void;
-  /** A peer knows something newer than this router. */
+  /** Reads the copies, because a peer knows a newer record than this router. */
   readonly readCopies: () => void;
 }
 
 const writeLog = createLogger("storeEpochs");
 
-/** Creates recovery for one router. */
+/** Creates the recovery of one router. */
 export const createOperatorRecovery = (dependencies: OperatorRecoveryDependencies): OperatorRecovery => {
   const { copies, configuration, clock, random } = dependencies;
   const stop = new AbortController();
-  /** By key, in the epoch of the last whole read. */
-  const stored = new Map<string, number>();
+  /** Newest version by key that the store has in the epoch of the last whole read. */
+  const storedVersions = new Map<string, number>();
   let epoch: StoreEpoch | undefined;
   let copying = Promise.resolve();
   let isReading = false;
@@ -59,21 +58,22 @@
 
   const noteStored = ({ records }: FeedPage<OperatorRecord>): void => {
     for (const { key, value } of records) {
-      if (value !== undefined) stored.set(key, Math.max(stored.get(key) ?? 0, versionOfRecord(value)));
+      if (value !== undefined)
+        storedVersions.set(key, Math.max(storedVersions.get(key) ?? 0, versionOfRecord(value)));
     }
   };
 
-  /** @returns Keys whose newest known record neither the store nor the topic of copies has. */
-  const lostKeys = (copied: ReadonlyMap<string, number>): readonly string[] =>
+  /** @returns Keys whose newest known record is neither in the store nor in the topic of copies. */
+  const lostKeys = (copiedVersions: ReadonlyMap<string, number>): readonly string[] =>
     configuration
       .newest()
       .map(({ key }) => key)
       .filter((key) => {
         const known = configuration.versionOf(key);
-        return known > (stored.get(key) ?? 0) && known > (copied.get(key) ?? 0);
+        return known > (storedVersions.get(key) ?? 0) && known > (copiedVersions.get(key) ?? 0);
       });
 
-  const readNow = async (): Promise<ReadonlyMap<string, number>> => {
+  const readAndApply = async (): Promise<ReadonlyMap<string, number>> => {
     readAt = clock.monotonic();
     const page = await copies.newest();
     configuration.apply(page);
@@ -86,7 +86,7 @@
   };
 
   const copyOnce = async (): Promise<void> => {
-    const keys = lostKeys(await readNow());
+    const keys = lostKeys(await readAndApply());
     for (const { key, record } of configuration.newest()) {
       if (!keys.includes(key)) continue;
       await copies.put(key, record);
@@ -94,11 +94,11 @@
     }
   };
 
-  /** Few routers write first, so that the others find the copies there. */
+  /** Lets few routers write first, so that the others find the copies already written. */
   const writeDelay = (): number => {
     const rank = rendezvousOrder("copies", dependencies.live()).indexOf(dependencies.self);
-    if (rank >= 0 && rank < copyWriters) return rank * copyWriteInterval;
-    return copyWriters * copyWriteInterval + random() * recoveryTime;
+    if (rank >= 0 && rank < firstCopyWriters) return rank * copyWriteInterval;
+    return firstCopyWriters * copyWriteInterval + random() * recoveryDuration;
   };
 
   const copyLost = async (of: StoreEpoch): Promise<void> => {
@@ -117,7 +117,7 @@
   const readCopies = async (): Promise<void> => {
     if (isReading || clock.monotonic() - readAt < copyReadInterval) return;
     isReading = true;
-    await readNow().catch((error: unknown) => writeLog("copies_unread", { reason: String(error) }));
+    await readAndApply().catch((error: unknown) => writeLog("copies_unread", { reason: String(error) }));
     isReading = false;
   };
 
@@ -125,7 +125,7 @@
     noteStored,
     noteNewest: (page) => {
       const isNew = epoch !== undefined && epoch !== page.next.epoch;
-      if (epoch !== page.next.epoch) stored.clear();
+      if (epoch !== page.next.epoch) storedVersions.clear();
       epoch = page.next.epoch;
       noteStored(page);
       if (!isNew) return;
--- a/src/coordination/storeEpochs/recoveryWindow.test.ts
+++ b/src/coordination/storeEpochs/recoveryWindow.test.ts
@@ -13,8 +13,8 @@
   return { clock, epochs, window };
 };
 
-describe("the time after a return of the store", () => {
-  it("leaves proofs from before it valid, and begins proofs again after it", () => {
+describe("the recovery window after a return of the store", () => {
+  it("keeps earlier proofs valid, and allows new ones after its end", () => {
     const { clock, epochs, window } = create();
     window.noteContact();
     clock.advanceTo(9_000);
@@ -23,7 +23,7 @@
     expect(window.remaining()).toEqual(1_500);
   });
 
-  it("goes on from the first of two returns until its time after the second is over", () => {
+  it("extends from the first of two returns to its full duration after the second", () => {
     const { clock, epochs, window } = create();
     window.noteContact();
     clock.advanceTo(9_000);
@@ -33,7 +33,7 @@
     expect([8_999, 9_500, 11_499, 11_500].map(window.allowsProof)).toEqual([true, false, false, true]);
   });
 
-  // Two routers that extend one another's time would never end it.
+  // Guards against two routers that extend one another's window forever.
   it("is not passed on by a router that knows of it from a peer", () => {
     const { window } = create();
     window.extend(800);
@@ -42,7 +42,7 @@
     expect(window.remaining()).toEqual(0);
   });
 
-  it("is not begun again by a peer that reaches the store long after the others", () => {
+  it("is not reopened by a peer that reaches the store long after the others", () => {
     const { clock, epochs, window } = create();
     window.noteContact();
     clock.advanceTo(9_000);
@@ -52,7 +52,7 @@
     expect(window.allowsProof(59_000)).toEqual(true);
   });
 
-  it("keeps a router that starts from proofs until a peer was in contact, for a moment at most", () => {
+  it("denies proofs to a starting router until a peer was in contact, but not beyond the timeout", () => {
     const { clock, window } = create();
     expect(window.allowsProof(1_000)).toEqual(false);
     clock.advanceTo(1_000 + joinTimeout);
--- a/src/coordination/storeEpochs/recoveryWindow.ts
+++ b/src/coordination/storeEpochs/recoveryWindow.ts
@@ -1,28 +1,27 @@
 /**
- * When reads of the store prove that nothing newer was published.
+ * Determines when a read of the store proves that nothing newer was published.
  *
- * After a return from a copy a read finds nothing of what was acknowledged before and lost, until the operator has
- * written it again. A router that starts can't tell whether the store has just returned; its peers can.
+ * After the store returns from an older copy, reads don't find records that it had acknowledged and lost, until the
+ * operator has written them again. A starting router can't know whether the store has just returned; its peers can.
  */
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
 import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
-import { joinTimeout, recoveryShare, recoveryTime } from "./constants.ts";
+import { joinTimeout, recoveryShare, recoveryDuration } from "./constants.ts";
 
-/** See {@link createRecoveryWindow}. */
 export interface RecoveryWindow {
-  /** Whether a read that was sent at a moment proves anything, milliseconds on the monotonic clock. */
+  /** @returns Whether a read that was sent at a time proves anything, milliseconds on the monotonic clock. */
   readonly allowsProof: (at: number) => boolean;
-  /** @returns Milliseconds until this is over, by what this router has seen of the store itself; 0 if it is. */
+  /** @returns Milliseconds until the end of a window that this router has observed itself; 0 if there is none. */
   readonly remaining: () => number;
-  /** Takes what a peer has seen itself; only a router that has just started has to rely on that. */
+  /** Applies the remaining time that a peer has observed itself; only a router that has just started relies on it. */
   readonly extend: (remaining: number) => void;
-  /** A peer has been in contact with this router since it started, or there is none. */
+  /** Records that a peer has been in contact since this router started, or that there is no peer. */
   readonly noteContact: () => void;
 }
 
-/** Where all reads prove something. */
+/** A window that never opens: all reads prove something. */
 export const noRecovery: RecoveryWindow = {
   allowsProof: () => true,
   remaining: () => 0,
@@ -30,7 +29,7 @@
   noteContact: () => undefined,
 };
 
-/** What routers exchange about a store without epochs. */
+/** The epoch-related dependencies for a store without epochs. */
 export const noEpochs = {
   onNewerEpoch: () => undefined,
   epochs: { current: () => unnamedEpoch },
@@ -45,15 +44,15 @@
 ): RecoveryWindow => {
   const startedAt = clock.monotonic();
   let isInContact = false;
-  let hasSeenReturn = false;
+  let hasObservedReturn = false;
   let from = Number.POSITIVE_INFINITY;
   let until = Number.NEGATIVE_INFINITY;
 
   epochs.subscribe(() => {
     const now = clock.monotonic();
-    hasSeenReturn = true;
+    hasObservedReturn = true;
     if (until <= now) from = now;
-    until = now + Math.min(recoveryTime, bounds.keyRevocation * recoveryShare);
+    until = now + Math.min(recoveryDuration, bounds.keyRevocation * recoveryShare);
   });
 
   return {
@@ -61,11 +60,11 @@
       if (!isInContact && clock.monotonic() < startedAt + joinTimeout) return false;
       return at < from || at >= until;
     },
-    remaining: () => (hasSeenReturn ? Math.max(0, until - clock.monotonic()) : 0),
+    remaining: () => (hasObservedReturn ? Math.max(0, until - clock.monotonic()) : 0),
     extend: (remaining) => {
       const now = clock.monotonic();
-      if (hasSeenReturn || remaining === 0 || now > startedAt + recoveryTime) return;
-      // This router has started since the store returned: none of its reads are from before.
+      if (hasObservedReturn || remaining === 0 || now > startedAt + recoveryDuration) return;
+      // This router has started since the store returned, so none of its reads precede the return.
       from = Number.NEGATIVE_INFINITY;
       until = Math.max(until, now + remaining);
     },
--- a/src/coordination/storeEpochs/routerRegistration.ts
+++ b/src/coordination/storeEpochs/routerRegistration.ts
@@ -1,4 +1,4 @@
-/** Registers a router in the platform's store, and again in each epoch. */
+/** Registers a router in the platform's store, once for each epoch of the store. */
 import type { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
 import { presentValues } from "../../protocol/forwarding/RecordFeed.ts";
 import type { RouterEntry } from "../../protocol/forwarding/types.ts";
@@ -6,27 +6,26 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { registrationSpread } from "./constants.ts";
+import { registrationSpreadPerRouter } from "./constants.ts";
 
-/** See {@link startRegistration}. */
 export interface RegistrationDependencies {
   readonly self: RouterEntry;
   readonly feed: RecordFeed<RouterEntry>;
   readonly epochs: EpochSource;
   readonly clock: Clock;
-  /** Milliseconds after an attempt that failed. */
+  /** @returns Milliseconds to wait after a failed attempt. */
   readonly retryInterval: () => number;
-  /** @returns How many routers may be serving. */
+  /** @returns The number of routers that may be serving. */
   readonly countRouters: () => number;
-  /** A number from 0 to 1. */
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
-  /** Takes the routers that the store lists. */
+  /** Called with the routers that the store lists. */
   readonly onListed: (entries: readonly RouterEntry[]) => void;
 }
 
 const writeLog = createLogger("router");
 
-/** Starts to register until it is disposed of. */
+/** Starts to register in each epoch until it is disposed of. */
 export const startRegistration = (dependencies: RegistrationDependencies): AsyncDisposable => {
   const { self, feed, epochs, clock } = dependencies;
   const stop = new AbortController();
@@ -59,7 +58,7 @@
 
   registerLater(0);
   epochs.subscribe(() =>
-    registerLater(dependencies.random() * dependencies.countRouters() * registrationSpread),
+    registerLater(dependencies.random() * dependencies.countRouters() * registrationSpreadPerRouter),
   );
 
   return {
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -6,14 +6,14 @@
 import { pause } from "../clock.ts";
 import { createManualClock } from "../manualClock.ts";
 import type { Peer } from "../forwarding/peerTable.ts";
-import { failuresOutOfReach } from "./constants.ts";
+import { failuresUntilUnreachable } from "./constants.ts";
 import { startStoreReading } from "./storeReading.ts";
 import { StorePosition } from "../../protocol/StorePosition.ts";
 
 const bounds = { keyRevocation: 5_000, drain: 4_000 };
 const readerCount = 3;
 
-/** Routers of one data centre before a store, of which the first few read for the others. */
+/** Routers of one data centre with a store, of which the first few are readers. */
 const create = (count: number, seed = 1) => {
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
@@ -22,7 +22,7 @@
     random = (random * 16_807) % 2_147_483_647;
     return random / 2_147_483_647;
   };
-  /** When each record was published. */
+  /** The time at which each record was published. */
   const published: number[] = [];
   const store = { delay: 2, calls: 0, isDown: false };
   const routers = Array.from({ length: count }, (_, index) => {
@@ -90,12 +90,12 @@
     });
     return { state, reading, port: at.port };
   });
-  const run = async (milliseconds: number, look: () => void = () => undefined): Promise<void> => {
+  const run = async (milliseconds: number, observe: () => void = () => undefined): Promise<void> => {
     const end = clock.monotonic() + milliseconds;
     for (let next = clock.nextTimer(); next !== undefined && next <= end; next = clock.nextTimer()) {
       clock.advanceTo(next);
       await settled();
-      look();
+      observe();
     }
     clock.advanceTo(end);
   };
@@ -103,33 +103,34 @@
   return { clock, network, published, store, routers, run, ages };
 };
 
-/** A key may be served this long after its end, less what a request takes on its way. */
+/** The time for which a key may be served after its end, less the time that a request takes in transit. */
 const longestAge = bounds.keyRevocation - 150;
 
-describe("reading the store for others", () => {
-  it("costs a router that is turned away a few calls, however often peers say that there is something newer", async () => {
+describe("reading the store for other routers", () => {
+  it("limits the reads of a router that the store rejects, however often peers announce newer records", async () => {
     const { clock, store, routers, run } = create(20);
     await run(3_000);
-    const struck = routers.at(-1);
-    if (struck === undefined) throw new Error("There are no routers.");
-    struck.state.isCut = true;
+    const rejected = routers.at(-1);
+    if (rejected === undefined) throw new Error("There are no routers.");
+    rejected.state.isCut = true;
     const before = store.calls;
     const others = await (async () => {
       const seconds = 9;
       for (let message = 0; message < seconds * 20; message += 1) {
-        struck.reading.requestRead();
+        rejected.reading.requestRead();
         await run(50);
       }
       return store.calls - before;
     })();
-    // The three readers make some 0.8 + 0.6 calls a second each; the struck router read 20 times a second.
+    // The three readers make some 0.8 + 0.6 calls a second each; without the limit, the rejected router reads 20
+    // times a second.
     expect(others < 75).toEqual(true);
-    struck.state.isCut = false;
+    rejected.state.isCut = false;
     await run(4_000);
-    expect(clock.monotonic() - struck.state.provenAt < longestAge).toEqual(true);
+    expect(clock.monotonic() - rejected.state.provenAt < longestAge).toEqual(true);
   });
 
-  // Offsets of another epoch may be higher and say nothing.
+  // Guards against comparing offsets of different epochs: those of another epoch may be higher.
   it("proves nothing to a router that knows another epoch of the store", async () => {
     const { routers, run } = create(6);
     await run(3_000);
@@ -147,7 +148,7 @@
     expect(behind.state.provenAt > before).toEqual(true);
   });
 
-  it("costs calls for the readers alone, and keeps everybody's proofs fresh", async () => {
+  it("costs calls by readers only, and keeps the proofs of all routers fresh", async () => {
     const { store, run, ages } = create(31);
     await run(3_000);
     store.calls = 0;
@@ -156,11 +157,11 @@
       oldest = Math.max(oldest, ...ages());
     });
     expect(oldest).toBeLessThan(bounds.keyRevocation * 0.6);
-    // Three readers, each with a read of both kinds of records in 1.5 s or so; all 31 would make 700.
+    // Three readers, each with a read of both kinds of records every 1.5 s or so; all 31 routers would make 700 calls.
     expect(store.calls).toBeLessThan(90);
   });
 
-  it("makes others read on as soon as there is something new", async () => {
+  it("makes other routers read newer records at once", async () => {
     const { published, clock, run, routers } = create(31);
     await run(3_000);
     published.push(clock.monotonic());
@@ -168,25 +169,25 @@
     expect(routers.every(({ state }) => state.offset === 1)).toEqual(true);
   });
 
-  it("goes on with another reader where one is frozen, and alone where all are", async () => {
+  it("continues with another reader if one is frozen, and without readers if all are", async () => {
     const { network, run, routers, clock } = create(31);
     await run(3_000);
     const others = routers.slice(readerCount);
     const oldestOfOthers = (): number =>
       Math.max(...others.map(({ state }) => clock.monotonic() - state.provenAt));
     let oldest = 0;
-    const look = (): void => {
+    const observe = (): void => {
       oldest = Math.max(oldest, oldestOfOthers());
     };
     network.freeze(1);
-    await run(10_000, look);
+    await run(10_000, observe);
     network.freeze(2);
     network.freeze(3);
-    await run(10_000, look);
+    await run(10_000, observe);
     expect(oldest).toBeLessThan(longestAge);
   });
 
-  it("serves a router that is cut off from the store alone", async () => {
+  it("keeps a router fresh that is cut off from the store only", async () => {
     const { run, routers, clock } = create(31);
     const cut = routers[20];
     if (cut === undefined) throw new Error("a router is missing");
@@ -198,26 +199,26 @@
     expect(oldest).toBeLessThan(longestAge);
   });
 
-  it("knows after some failed reads that it doesn't reach the store, and again that it does", async () => {
+  it("considers the store unreachable after some failed reads, and reachable again after it recovers", async () => {
     const { run, routers } = create(31);
     const [reader] = routers;
     if (reader === undefined) throw new Error("a router is missing");
     await run(1_000);
     reader.state.isCut = true;
-    await run(1_500 + failuresOutOfReach * 1_200);
+    await run(1_500 + failuresUntilUnreachable * 1_200);
     expect(reader.reading.reachesStore()).toEqual(false);
     reader.state.isCut = false;
     await run(5_000);
     expect(reader.reading.reachesStore()).toEqual(true);
   });
 
-  it("doesn't storm a store that is away, nor as it comes back", async () => {
+  it("doesn't overload a store that is down, nor when it recovers", async () => {
     const { store, run, ages } = create(31);
     await run(3_000);
     store.isDown = true;
     store.calls = 0;
     await run(9_000);
-    // Each router reads for itself, with growing pauses.
+    // Each router reads for itself, with growing delays.
     expect(store.calls).toBeLessThan(31 * 9 * 2);
     store.isDown = false;
     await run(4_000);
@@ -227,7 +228,7 @@
     expect(store.calls).toBeLessThan(50);
   });
 
-  it("never proves what isn't so, whatever is delayed, lost, frozen or down", async () => {
+  it("never proves freshness wrongly, whatever is delayed, lost, frozen or down", async () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant("publish" as const) }),
       fc.record({ kind: fc.constant("freeze" as const), port: fc.integer({ min: 1, max: 6 }) }),
@@ -245,7 +246,7 @@
         fc.integer({ min: 1, max: 1_000_000 }),
         async (steps, seed) => {
           const { clock, network, published, store, routers, run } = create(6, seed);
-          const look = (): void => {
+          const observe = (): void => {
             for (const { state } of routers) {
               const before = published.filter((at) => at < state.provenAt).length;
               expect(state.offset).toBeGreaterThanOrEqual(before);
@@ -259,13 +260,13 @@
             else if (each.kind === "storeDelay") store.delay = each.delay;
             else if (each.kind === "down") store.isDown = each.isDown;
             else if (each.kind === "loss") network.lostOfEach = each.every;
-            else if (each.kind === "run") await run(each.milliseconds, look);
+            else if (each.kind === "run") await run(each.milliseconds, observe);
             else {
               const router = routers[each.router];
               if (router !== undefined) router.state.isCut = each.isCut;
             }
             await settled();
-            look();
+            observe();
           }
         },
       ),
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -1,9 +1,10 @@
 /**
- * Where there are many routers, a few of each data centre read the platform's store for the others, which ask them
- * how far they have read and how long ago. Who is told nothing in time reads for itself.
+ * In a large deployment a few routers of each data centre, the readers, read the platform's store for the others,
+ * which ask them how far they have read and how long ago. A router without a timely answer reads for itself.
  *
- * What is proved is exact: an answer is counted from when its question was sent, less the age that the reader gives,
- * and holds only for a router that has itself applied all records up to the reader's offset.
+ * An answer is a proof that nothing newer had been published at a given time: the time at which the question was
+ * sent, less the age that the reader reports. It is valid only for a router that has itself applied all records up to
+ * the reader's position.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { ProofAnswer, ReadProgress } from "../../protocol/forwarding/proofMessage.ts";
@@ -14,45 +15,44 @@
 import type { Peer } from "../forwarding/peerTable.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
 import {
-  freshnessInterval,
+  freshnessCheckInterval,
   ownReadAgeShare,
-  ownReadDelays,
+  ownReadRetryDelays,
   ownRegistryAgeShare,
-  failuresOutOfReach,
-  hurryInterval,
+  failuresUntilUnreachable,
+  ownRegistryReadInterval,
   proofInterval,
-  proofPatience,
-  readerAgeShare,
+  proofTimeout,
+  readerReadAgeShare,
   readerRegistryAgeShare,
 } from "./constants.ts";
 
-/** One kind of records, as a router knows them. */
+/** A router's state of one kind of records: the operator's, or the registry. */
 export interface FollowedRecords {
   readonly feed: Pick<FeedFollower, "position" | "check" | "hurry">;
-  /** @returns The position after the last record that changed something; nothing before the first read of an epoch. */
+  /** @returns The position after the last record that changed a decision; `undefined` before the first read. */
   readonly lastChangePosition: () => StorePosition | undefined;
-  /** @returns Milliseconds since everything written before then was known. */
+  /** @returns Milliseconds since the time up to which all records are known. */
   readonly age: () => number;
-  /** Everything written before a moment is known. */
+  /** Records that everything written before a time is known, milliseconds on the monotonic clock. */
   readonly confirm: (at: number) => void;
 }
 
-/** What reading works with. */
 export interface StoreReadingDependencies {
   readonly link: DatagramLink;
   readonly clock: Clock;
   readonly bounds: Pick<ForwardingBounds, "keyRevocation" | "drain">;
-  /** Whether there are so many routers that some read for others. */
+  /** @returns Whether there are enough routers for some to read for others. */
   readonly isEnabled: () => boolean;
-  /** Whether this router reads for others. */
+  /** @returns Whether this router reads for others. */
   readonly isReader: () => boolean;
-  /** @returns The routers of the data centre that read for others. */
+  /** @returns The readers of this router's data centre. */
   readonly readers: () => readonly Peer[];
-  /** Milliseconds since the last read of the operator's records by this router itself was sent. */
+  /** @returns Milliseconds since this router's own last successful read of the operator's records was sent. */
   readonly readAge: () => number;
   readonly operator: FollowedRecords;
   readonly replicas: FollowedRecords;
-  /** A number from 0 to 1. */
+  /** @returns A number from 0 to 1. */
   readonly random: () => number;
 }
 
@@ -61,27 +61,27 @@
   readonly askedAt: number;
 }
 
-/** Question numbers of a process begin somewhere below this one. */
-const numberOrigins = 2 ** 40;
+/** Each process numbers its questions from a random start below this bound. */
+const firstNumberBound = 2 ** 40;
 
-/** See {@link startStoreReading}. */
 export interface StoreReading extends AsyncDisposable {
-  /** Whether this router's own reads reach the store, as far as it has tried. */
+  /** @returns Whether this router's own reads reach the store, as far as it has tried. */
   readonly reachesStore: () => boolean;
   /**
-   * There is something newer than what is known. Read at once, but no sooner after reads that failed than other reads:
-   * every message of every peer says so, and a store that turns this router away was asked several times a second.
+   * Reads newer records that a peer has announced: at once, but after failed reads not before the retry delay. Every
+   * message of every peer announces them, so a store that rejects this router would otherwise get several reads a
+   * second.
    */
   readonly requestRead: () => void;
 }
 
-/** Keeps what is known fresh until it is disposed of. */
-export const startStoreReading = (parts: StoreReadingDependencies): StoreReading => {
-  const { link, clock, bounds, operator, replicas, random } = parts;
-  let number = Math.floor(random() * numberOrigins);
+/** Keeps the known records fresh until it is disposed of. */
+export const startStoreReading = (dependencies: StoreReadingDependencies): StoreReading => {
+  const { link, clock, bounds, operator, replicas, random } = dependencies;
+  let number = Math.floor(random() * firstNumberBound);
   let question: Question | undefined;
   let askedAt = Number.NEGATIVE_INFINITY;
-  let turnOfReader = 0;
+  let readerIndex = 0;
   let isChecking = false;
   let mayCheckAt = Number.NEGATIVE_INFINITY;
   let failures = 0;
@@ -95,14 +95,14 @@
     isChecking = false;
     failures = isDone ? 0 : failures + 1;
     if (!isDone) failedAt = clock.monotonic();
-    const { first, longest } = ownReadDelays;
+    const { first, longest } = ownReadRetryDelays;
     const delay = isDone ? 0 : Math.min(longest, first * 2 ** (failures - 1)) * (0.5 + random() / 2);
     mayCheckAt = clock.monotonic() + delay;
   };
 
   const ask = (): void => {
-    const readers = parts.readers();
-    const reader = readers[turnOfReader % Math.max(1, readers.length)];
+    const readers = dependencies.readers();
+    const reader = readers[readerIndex % Math.max(1, readers.length)];
     if (reader === undefined) return;
     number += 1;
     askedAt = clock.monotonic();
@@ -111,19 +111,19 @@
   };
 
   /** @returns Whether the reader's proof holds for this router too. */
-  const takeProof = (records: FollowedRecords, { position, age }: ReadProgress, since: number): boolean => {
+  const applyProof = (records: FollowedRecords, { position, age }: ReadProgress, since: number): boolean => {
     const known = records.feed.position();
     if (known?.epoch !== position.epoch || known.isBefore(position)) return false;
     records.confirm(since - age);
     return true;
   };
 
-  const takeAnswer = (answer: ProofAnswer): void => {
+  const applyAnswer = (answer: ProofAnswer): void => {
     if (question?.number !== answer.number) return;
     const since = question.askedAt;
     question = undefined;
-    if (!takeProof(operator, answer.operator, since)) void check();
-    if (!takeProof(replicas, answer.replicas, since)) replicas.feed.hurry();
+    if (!applyProof(operator, answer.operator, since)) void check();
+    if (!applyProof(replicas, answer.replicas, since)) replicas.feed.hurry();
   };
 
   const progressOf = ({ lastChangePosition: changedAt, age }: FollowedRecords): ReadProgress | undefined => {
@@ -143,48 +143,49 @@
 
   link.receive((datagram, from) => {
     const message = decodeProofMessage(datagram);
-    if (message?.kind === "answer") takeAnswer(message);
+    if (message?.kind === "answer") applyAnswer(message);
     if (message?.kind !== "question") return;
-    const datagramBack = answer(message.number);
-    if (datagramBack !== undefined) link.send(from, datagramBack);
+    const reply = answer(message.number);
+    if (reply !== undefined) link.send(from, reply);
   });
 
   const askIfDue = (): void => {
     const since = clock.monotonic() - askedAt;
-    const isSilent = question !== undefined && since >= proofPatience;
-    if (isSilent) turnOfReader += 1;
+    const isTimedOut = question !== undefined && since >= proofTimeout;
+    if (isTimedOut) readerIndex += 1;
     const interval = Math.min(proofInterval.longest, bounds.drain * proofInterval.drainShare);
-    if (isSilent || since >= interval) ask();
+    if (isTimedOut || since >= interval) ask();
   };
 
-  const hurryRegistry = (): void => {
-    // Where the router's own reads fail, this one would too.
-    const interval = failures > 0 ? ownReadDelays.longest : hurryInterval;
+  const readRegistry = (): void => {
+    // If the router's own reads of the operator's records fail, a read of the registry would fail too.
+    const interval = failures > 0 ? ownReadRetryDelays.longest : ownRegistryReadInterval;
     if (clock.monotonic() - hurriedAt < interval) return;
     hurriedAt = clock.monotonic();
     replicas.feed.hurry();
   };
 
-  const look = (): void => {
-    callOff = clock.after(freshnessInterval, look);
-    if (!parts.isEnabled()) return;
-    const isReader = parts.isReader();
+  const checkFreshness = (): void => {
+    cancel = clock.after(freshnessCheckInterval, checkFreshness);
+    if (!dependencies.isEnabled()) return;
+    const isReader = dependencies.isReader();
     const registryShare = isReader ? readerRegistryAgeShare : ownRegistryAgeShare;
-    if (replicas.age() > bounds.drain * registryShare) hurryRegistry();
+    if (replicas.age() > bounds.drain * registryShare) readRegistry();
     if (isReader) {
-      if (parts.readAge() > bounds.keyRevocation * readerAgeShare) void check();
+      if (dependencies.readAge() > bounds.keyRevocation * readerReadAgeShare) void check();
       return;
     }
     askIfDue();
     if (operator.age() > bounds.keyRevocation * ownReadAgeShare) void check();
   };
-  let callOff = clock.after(random() * freshnessInterval, look);
+  let cancel = clock.after(random() * freshnessCheckInterval, checkFreshness);
 
   return {
     requestRead: () => void check(),
-    reachesStore: () => failures < failuresOutOfReach || parts.readAge() < clock.monotonic() - failedAt,
+    reachesStore: () =>
+      failures < failuresUntilUnreachable || dependencies.readAge() < clock.monotonic() - failedAt,
     [Symbol.asyncDispose]: () => {
-      callOff();
+      cancel();
       return Promise.resolve();
     },
   };
