--- a/src/coordination/replicaOwners/replicaOwners.test.ts
+++ b/src/coordination/replicaOwners/replicaOwners.test.ts
@@ -71,7 +71,7 @@
   };
   const ownerOf = (id: string) => {
     const owner = routers.find(({ owners, replica }) => owners.isOwn(replica(id)));
-    if (owner === undefined) throw new Error(`nobody owns ${id}`);
+    if (owner === undefined) throw new Error(`no router owns ${id}`);
     return owner;
   };
   const others = (id: string) => routers.filter((router) => router !== ownerOf(id));
@@ -252,7 +252,7 @@
           const owner = routers.find(({ owners, replica }) => owners.isOwn(replica(id)));
           const truth = routers.reduce((sum, { replica }) => sum + replica(id).requests, 0);
           const known = owner?.replica(id);
-          if (known === undefined) throw new Error(`nobody owns ${id}`);
+          if (known === undefined) throw new Error(`no router owns ${id}`);
           expect(totalRequests(known)).toEqual(truth);
           expect((known.promptTokens[3] ?? 0) + (known.peerTotals.promptTokens[3] ?? 0)).toEqual(
             truth * tokens,
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -30,7 +30,10 @@
 /** A router's state of one kind of records: the operator's, or the registry. */
 export interface FollowedRecords {
   readonly feed: Pick<FeedFollower, "position" | "check" | "hurry">;
-  /** @returns The position after the last record that changed a decision; `undefined` before the first read. */
+  /**
+   * @returns The position after the last record that may change a decision; `undefined` before the first read of an
+   * epoch.
+   */
   readonly lastChangePosition: () => StorePosition | undefined;
   /** @returns Milliseconds since the time up to which all records are known. */
   readonly age: () => number;
