--- a/src/coordination/crashes/crashMonitor.ts
+++ b/src/coordination/crashes/crashMonitor.ts
@@ -9,7 +9,7 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { reachProbeTimeout } from "../forwarding/constants.ts";
+import { connectionProbeTimeout } from "../forwarding/constants.ts";
 import { crashProbeDelay } from "./constants.ts";
 
 export interface CrashMonitorDependencies {
@@ -44,7 +44,7 @@
   const probe = async (replica: ReplicaState): Promise<void> => {
     const { entry } = replica;
     await pause(clock, crashProbeDelay);
-    const trial = await client.tryConnection(entry, reachProbeTimeout);
+    const trial = await client.tryConnection(entry, connectionProbeTimeout);
     const suspects = pending.get(entry.id) ?? [];
     pending.delete(entry.id);
     // A router that is cut off from the network gets no response from any replica: only a refusal proves a crash.
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -16,9 +16,9 @@
 import { workWithout } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
-import { preferOthers, preferOthersUntil } from "../replicaReports/backoff.ts";
-import { toldMemory } from "../replicaLimits/constants.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
+import { avoidReplica, avoidReplicaUntil } from "../replicaReports/backoff.ts";
+import { announcedLimitMaxAge } from "../replicaLimits/constants.ts";
 import { maxHoldersPerPart, reportLifetime } from "./constants.ts";
 
 export interface OwnedReplicasDependencies {
@@ -52,7 +52,7 @@
  * @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself.
  */
 const recentLimitOf = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
-  limit === undefined || now - limit.heardAt > toldMemory ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
 
 /** The work of a source without any at a replica. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -79,7 +79,7 @@
     replicas.noteWorkAt(reportSourceOf(name), key, report);
     // The reporting router may be cut off itself: the owner tries a connection before it marks the replica unreachable.
     if (report.isUnreachable) state.isSuspected = true;
-    if (report.isBackingOff) preferOthers(state, clock.monotonic());
+    if (report.isBackingOff) avoidReplica(state, clock.monotonic());
     if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
   };
 
@@ -105,7 +105,7 @@
       replica: replicaKeyOf(state.entry.id),
       requests: work.requests,
       promptTokens: work.promptTokens.map((tokens) => Math.max(0, Math.round(tokens))),
-      ejectedFor: Math.max(0, Math.round(preferOthersUntil(state) - clock.monotonic())),
+      ejectedFor: Math.max(0, Math.round(avoidReplicaUntil(state) - clock.monotonic())),
       limit: recentLimitOf(state, clock.monotonic()),
     };
   };
@@ -113,7 +113,7 @@
   return {
     applyWork: (message) => {
       for (const report of message.reports) applyReport(message, report);
-      takeHolders(message.holders, dependencies);
+      applyAnnouncedHolders(message.holders, dependencies);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -16,7 +16,7 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import type { RouterPeers } from "../forwarding/routerPeers.ts";
 import { createOwnerQueries } from "./ownerQueries.ts";
 import { ownerAnswersSource, createOwnedReplicas, noWork } from "./ownedReplicas.ts";
@@ -85,7 +85,7 @@
 
   const applyAnswer = (answer: AnswerMessage): readonly ReplicaState[] => {
     const now = clock.monotonic();
-    takeHolders(answer.holders, dependencies);
+    applyAnnouncedHolders(answer.holders, dependencies);
     return answer.reports.flatMap((report) => {
       const state = replicas.getByKey(report.replica);
       if (state === undefined) return [];
--- a/src/coordination/scheduling/PredictiveScheduler.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.ts
@@ -22,14 +22,14 @@
   queueInterval,
   shortestRetryAfter,
 } from "./constants.ts";
-import { createComputingShares } from "./computingShares.ts";
-import type { ComputingShares } from "./computingShares.ts";
+import { createComputingShares } from "./prefillBudgets.ts";
+import type { ComputingShares } from "./prefillBudgets.ts";
 import { createEngineEstimates } from "./engineEstimates.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
 import { createHomeConfidence } from "./homeConfidence.ts";
 import type { HomeConfidence } from "./homeConfidence.ts";
-import { createHoldingTimes } from "./holdingTimes.ts";
-import type { HoldingTimes } from "./holdingTimes.ts";
+import { createHoldingTimes } from "./slotHoldingTimes.ts";
+import type { HoldingTimes } from "./slotHoldingTimes.ts";
 import { createOrganisationLimits } from "./organisationLimits.ts";
 import type { OrganisationLimits } from "./organisationLimits.ts";
 import { createPlacement } from "./placement.ts";
@@ -42,7 +42,7 @@
 import type { ShuffleShards } from "./shuffleShards.ts";
 
 /** What a predictive scheduler works with. */
-export interface PredictiveSchedulerParts {
+export interface PredictiveSchedulerDependencies {
   readonly directory: EngineDirectory;
   readonly clock: Clock;
   readonly configuration: () => ConfigurationIndex | undefined;
@@ -99,7 +99,7 @@
   private readonly unsubscribe: () => void;
   private callOffPump: (() => void) | undefined;
 
-  constructor(parts: PredictiveSchedulerParts) {
+  constructor(parts: PredictiveSchedulerDependencies) {
     super();
     const { directory, clock, configuration } = parts;
     const liveRouters = parts.liveRouters ?? (() => 1);
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -2,10 +2,10 @@
 import type { CachePicture } from "../../state/cachePicture.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Affinity } from "./affinity.ts";
-import { createBalance } from "./balance.ts";
+import { createBalance } from "./loadWeights.ts";
 import { compareAllUpTo, maximumWidth, nextInOrder, sampledEngines, wideningLoad } from "./constants.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
-import type { HoldingTimes } from "./holdingTimes.ts";
+import type { HoldingTimes } from "./slotHoldingTimes.ts";
 import type { Work } from "./Scheduler.ts";
 import { firstInOrder } from "./shuffleShards.ts";
 import type { Member, Shard } from "./shuffleShards.ts";
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -24,11 +24,11 @@
   roundTripBetweenDataCentres,
   spillFactor,
 } from "./constants.ts";
-import type { ComputingShares } from "./computingShares.ts";
+import type { ComputingShares } from "./prefillBudgets.ts";
 import type { EngineEstimate } from "./engineEstimate.ts";
 import type { EngineEstimates } from "./engineEstimates.ts";
 import type { HomeConfidence } from "./homeConfidence.ts";
-import type { HoldingTimes } from "./holdingTimes.ts";
+import type { HoldingTimes } from "./slotHoldingTimes.ts";
 import type { PriorityMix } from "./priorityMix.ts";
 import type { Work } from "./Scheduler.ts";
 import type { Shard, ShuffleShards } from "./shuffleShards.ts";
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -2,9 +2,9 @@
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationState } from "../coordination/forwarding/configurationState.ts";
 import {
-  configurationWaitShare,
-  readsBeforeStandingDown,
-  registryPaceShare,
+  configurationLongPollShare,
+  maxReadAgeFactor,
+  registryReadIntervalShare,
 } from "../coordination/forwarding/constants.ts";
 import { followFeed } from "../coordination/forwarding/feedFollower.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
@@ -70,11 +70,11 @@
     registryProvenAt = Math.max(registryProvenAt, at);
   };
 
-  const shortHeldRead = (): number => bounds.keyRevocation * configurationWaitShare;
+  const shortHeldRead = (): number => bounds.keyRevocation * configurationLongPollShare;
 
   /** A router that knows that it doesn't reach the store takes no duties. */
   const longestReadAge = (): number => {
-    if (!peers.isLarge()) return shortHeldRead() * readsBeforeStandingDown;
+    if (!peers.isLarge()) return shortHeldRead() * maxReadAgeFactor;
     return reading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
@@ -82,7 +82,7 @@
 
   const registryPace = (): number => {
     if (isReadFor()) return delegatedRegistryInterval;
-    return bounds.drain * (peers.isLarge() ? readerRegistryIntervalShare : registryPaceShare);
+    return bounds.drain * (peers.isLarge() ? readerRegistryIntervalShare : registryReadIntervalShare);
   };
 
   const retryStretch = (): number => (isReadFor() ? delegatedRetryFactor : 1);
@@ -111,9 +111,9 @@
       feed: platform.operator,
       epochs: platform.epochs,
       clock,
-      wait: () => (peers.isLarge() ? largeFleetLongPoll : shortHeldRead()),
-      retryStretch,
-      pace: () => 0,
+      longPollTimeout: () => (peers.isLarge() ? largeFleetLongPoll : shortHeldRead()),
+      retryDelayFactor: retryStretch,
+      readInterval: () => 0,
       rereadDelay,
       replace: (page) => {
         configuration.apply(page);
@@ -135,9 +135,9 @@
       feed: platform.replicas,
       epochs: platform.epochs,
       clock,
-      wait: () => 0,
-      retryStretch,
-      pace: registryPace,
+      longPollTimeout: () => 0,
+      retryDelayFactor: retryStretch,
+      readInterval: registryPace,
       rereadDelay: () => rereadDelay() * registryRereadFactor,
       replace: registry.replace,
       apply: registry.apply,
--- a/tests/support/schedulingFixture.ts
+++ b/tests/support/schedulingFixture.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
 import { PredictiveScheduler } from "../../src/coordination/scheduling/PredictiveScheduler.ts";
-import type { PredictiveSchedulerParts } from "../../src/coordination/scheduling/PredictiveScheduler.ts";
+import type { PredictiveSchedulerDependencies } from "../../src/coordination/scheduling/PredictiveScheduler.ts";
 import type { Assignment, AttemptReport, Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { checkConfiguration } from "../../src/protocol/configuration/check.ts";
 import type { Configuration } from "../../src/protocol/configuration/schema.ts";
@@ -81,7 +81,7 @@
   readonly maximumRunning?: number;
   readonly standings?: Readonly<Record<string, number>>;
   readonly concurrentRequests?: number;
-  readonly parts?: Partial<PredictiveSchedulerParts>;
+  readonly parts?: Partial<PredictiveSchedulerDependencies>;
 }
 
 /** A piece of work, with what matters to a test. */
