--- a/src/coordination/orders/deploymentOrders.ts
+++ b/src/coordination/orders/deploymentOrders.ts
@@ -1,7 +1,7 @@
 /** Keeps a lease and an order holder for each deployment that the configuration names. */
 import type { LogService } from "../../protocol/LogService.ts";
 import { pause } from "../clock.ts";
-import { orderLease } from "../leases/constants.ts";
+import { orderLeaseName } from "../leases/constants.ts";
 import { startLease } from "../leases/lease.ts";
 import type { LeaseHistory } from "../leases/leaseHistory.ts";
 import type { LeaseView } from "../leases/types.ts";
@@ -36,7 +36,7 @@
     parts.configuration()?.configuration.limits.leaseDuration ?? fallbackDuration;
 
   const startOne = (deployment: string) => {
-    const name = orderLease(deployment);
+    const name = orderLeaseName(deployment);
     const lease = startLease({ ...parts, name, duration, isCandidate: () => parts.isCandidate(name) });
     const holder = startOrderHolder({ ...parts, deployment, lease });
     const end = async (): Promise<void> => {
