--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -108,7 +108,7 @@
       knownTo: history.readTo(),
       certain: history.isCertain(),
       source: this.source,
-      logReadMode: this.logReadMode(),
+      turn: this.logReadMode(),
       logReadMillisecondsAgo: readAt === undefined ? null : Math.round(clock.monotonic() - readAt),
     };
   };
