--- a/src/coordination/leases/fences.test.ts
+++ b/src/coordination/leases/fences.test.ts
@@ -4,7 +4,7 @@
 import { fenceOf } from "./fences.ts";
 
 describe("fences", () => {
-  it("rise with the epoch, whatever the offsets, and with the offset within it", () => {
+  it("rise with the epoch, whatever the offsets, and within an epoch with the offset", () => {
     const epoch = fc.nat({ max: 100_000 });
     const offset = fc.nat({ max: 2 ** 32 - 1 });
     fc.assert(
--- a/src/coordination/leases/lease.test.ts
+++ b/src/coordination/leases/lease.test.ts
@@ -17,38 +17,38 @@
 const duration = 1_000;
 const lease = "orders/levant";
 
-/** What becomes of the next append of one writer. */
-type AppendFate = "taken" | "answeredLate" | "answerLost" | "takenLate" | "refused";
+/** The outcome of the next append of one writer. */
+type AppendOutcome = "taken" | "answeredLate" | "answerLost" | "takenLate" | "refused";
 
-/** One log; each writer sees it through a view of its own, with its own faults. */
+/** One log; each writer reads and appends through a view of its own, which can fail independently. */
 const createLog = () => {
   const records: LogRecord[] = [];
-  /** Answers and effects that are still on their way. */
-  const late: (() => void)[] = [];
+  /** Delayed responses and appends, delivered when the test says so. */
+  const delayed: (() => void)[] = [];
   let earliestOffset = 0;
 
   class View extends LogService {
     outage = false;
-    next: AppendFate = "taken";
+    next: AppendOutcome = "taken";
 
     override append(_stream: string, data: readonly string[]): Promise<AppendedRecords> {
-      const take = (): AppendedRecords => ({
+      const append = (): AppendedRecords => ({
         offsets: data.map((item) => {
           records.push({ offset: records.length, appendedAt: 0, data: item });
           return records.length - 1;
         }),
         epoch: unnamedEpoch,
       });
-      const fate = this.outage ? "refused" : this.next;
+      const outcome = this.outage ? "refused" : this.next;
       this.next = "taken";
-      if (fate === "taken") return Promise.resolve(take());
-      if (fate === "answeredLate") {
-        const taken = take();
-        return new Promise((resolve) => late.push(() => resolve(taken)));
+      if (outcome === "taken") return Promise.resolve(append());
+      if (outcome === "answeredLate") {
+        const appended = append();
+        return new Promise((resolve) => delayed.push(() => resolve(appended)));
       }
-      if (fate === "answerLost") take();
-      if (fate === "takenLate") late.push(take);
-      return Promise.reject(platformError("no answer", "unreachable", fate !== "refused"));
+      if (outcome === "answerLost") append();
+      if (outcome === "takenLate") delayed.push(append);
+      return Promise.reject(platformError("no answer", "unreachable", outcome !== "refused"));
     }
 
     override read(_stream: string, fromOffset: number, limit: number): Promise<LogPage> {
@@ -65,15 +65,15 @@
   return {
     records,
     view: () => new View(),
-    takeLate: () => late.shift()?.(),
-    takeAllLate: () => {
-      for (const take of late.splice(0)) take();
+    deliverDelayed: () => delayed.shift()?.(),
+    deliverAllDelayed: () => {
+      for (const deliver of delayed.splice(0)) deliver();
     },
     expire: () => (earliestOffset = records.length),
   };
 };
 
-/** A clock whose timers stand still while its process is frozen; its time goes on. */
+/** A clock whose timers don't fire while its process is frozen, although its time advances. */
 const createFreezableClock = (clock: ManualClock) => {
   const waiting: (() => void)[] = [];
   const state = { frozen: false };
@@ -90,7 +90,7 @@
 };
 
 const settle = async (): Promise<void> => {
-  for (let turn = 0; turn < 4; turn += 1) await setImmediate();
+  for (let tick = 0; tick < 4; tick += 1) await setImmediate();
 };
 
 const createContender = (name: string, log: ReturnType<typeof createLog>, clock: ManualClock) => {
@@ -131,7 +131,7 @@
       process.resume();
       view.outage = false;
     }
-    log.takeAllLate();
+    log.deliverAllDelayed();
     await Promise.all(contenders.map((item) => item.lease[Symbol.asyncDispose]()));
   };
   return { clock, log, contenders, holders, advance, end };
@@ -146,14 +146,14 @@
   fc.record({
     kind: fc.constant("append" as const),
     who: fc.nat({ max: 2 }),
-    fate: fc.constantFrom<AppendFate>("answeredLate", "answerLost", "takenLate", "refused"),
+    outcome: fc.constantFrom<AppendOutcome>("answeredLate", "answerLost", "takenLate", "refused"),
   }),
   fc.record({ kind: fc.constant("takeLate" as const) }),
   fc.record({ kind: fc.constant("expire" as const) }),
 );
 
 describe("lease", () => {
-  it("never has two holders, and each holder's number is above the last one's", async () => {
+  it("never has two holders, and each holder's fencing number is above the previous one's", async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(action, { maxLength: 30 }), async (actions) => {
         const race = createRace(3);
@@ -174,12 +174,12 @@
               await race.advance(20);
               check();
             }
-          } else if (step.kind === "takeLate") race.log.takeLate();
+          } else if (step.kind === "takeLate") race.log.deliverDelayed();
           else if (step.kind === "expire") race.log.expire();
           else {
             const contender = race.contenders[step.who];
             if (contender === undefined) continue;
-            if (step.kind === "append") contender.view.next = step.fate;
+            if (step.kind === "append") contender.view.next = step.outcome;
             else if (step.kind === "freeze") contender.process.freeze();
             else if (step.kind === "resume") contender.process.resume();
             else contender.view.outage = step.kind === "outage";
@@ -187,13 +187,13 @@
           await settle();
           check();
         }
-        // Whatever happened, one of them holds it again soon after the faults have ended.
+        // Whatever the faults were, a contender holds the lease again soon after they have ended.
         for (const { process, view } of race.contenders) {
           process.resume();
           view.outage = false;
           view.next = "taken";
         }
-        race.log.takeAllLate();
+        race.log.deliverAllDelayed();
         await race.advance(3 * duration);
         expect(race.holders().length).toEqual(1);
         await race.end();
@@ -202,7 +202,7 @@
     );
   });
 
-  it("goes on to hold through an outage that is shorter than the lease, and stops in a longer one", async () => {
+  it("survives an outage of the log that is shorter than the lease, and expires in a longer one", async () => {
     const race = createRace(1);
     await race.advance(100);
     const first = race.contenders[0]?.lease.tenure();
@@ -216,7 +216,7 @@
     await race.end();
   });
 
-  it("resolves a grant whose answer was lost by reading", async () => {
+  it("finds a grant whose response was lost by reading the log", async () => {
     const clock = createManualClock();
     const log = createLog();
     const contender = createContender("router-0", log, clock);
@@ -227,21 +227,21 @@
     await contender.lease[Symbol.asyncDispose]();
   });
 
-  it("counts a tenure from before its append was sent, however late the answer", async () => {
+  it("counts a tenure from before its append was sent, however late the response", async () => {
     const clock = createManualClock();
     const log = createLog();
     const contender = createContender("router-0", log, clock);
     contender.view.next = "answeredLate";
     await settle();
     clock.advanceTo(duration - 1);
-    log.takeAllLate();
+    log.deliverAllDelayed();
     await settle();
     expect(log.records.length).toEqual(1);
     expect(contender.lease.tenure()).toEqual(undefined);
     await contender.lease[Symbol.asyncDispose]();
   });
 
-  it("is given up at once by an orderly end, and taken by another without a wait", async () => {
+  it("is released on disposal, and granted to another contender without waiting for expiry", async () => {
     const race = createRace(2);
     await race.advance(300);
     const [first] = race.holders();
@@ -252,7 +252,7 @@
     await race.end();
   });
 
-  it("hands what a holder noted to the next one, also after a crash", async () => {
+  it("passes a holder's note to the next holder, also after a crash", async () => {
     const race = createRace(2);
     await race.advance(300);
     const [first] = race.holders();
@@ -264,7 +264,7 @@
     await race.end();
   });
 
-  it("is over for a holder that was frozen, before it can act again", async () => {
+  it("has expired for a frozen holder before it can act again", async () => {
     const race = createRace(2);
     await race.advance(300);
     const [frozen] = race.holders();
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -1,9 +1,9 @@
 /**
- * One lease, kept up by one task: contends while this router is a candidate, renews while it holds.
+ * One lease, maintained by one task: it contends while this router is a candidate, and renews while it holds.
  *
- * A tenure counts from before its record was sent, on this process's monotonic clock, and ends a safety share
- * early. A contender waits for the full duration from when it read the last record. So the tenure is over by
- * the time another can begin, however long either process was paused. A new epoch of the store ends every tenure.
+ * A tenure is counted from before its record was sent, on this process's monotonic clock, and ends early by the
+ * safety share. A contender waits for the full duration from when it read the last record. So a tenure has ended
+ * before another can begin, however long either process was paused. A new epoch of the store ends every tenure.
  */
 import { metricNames } from "../../state/constants.ts";
 import { createLogger } from "../../state/log.ts";
@@ -15,25 +15,24 @@
 import type { LeaseLogDependencies } from "./leaseLog.ts";
 import type { LeaseView, Tenure } from "./types.ts";
 
-/** What a lease works with. */
 export interface LeaseDependencies extends LeaseLogDependencies {
-  /** Milliseconds of a tenure without renewal. */
+  /** How long a tenure lasts without renewal, milliseconds. */
   readonly duration: () => number;
-  /** Whether this router should try to get the lease; a holder keeps it all the same. */
+  /** Whether this router should contend for the lease; a holder keeps it regardless. */
   readonly isCandidate: () => boolean;
-  /** @returns The newest epoch of the store; without it the store has none. */
+  /** @returns The newest epoch of the store; absent if the store has no epochs. */
   readonly epoch?: () => StoreEpoch;
 }
 
-/** A lease that is sought or held until it is disposed of. */
+/** A lease that is contended for or held until disposal, which releases it. */
 export interface Lease extends AsyncDisposable {
   readonly name: string;
-  /** The tenure, if there is one at this moment. */
+  /** The present tenure, if this router holds the lease. */
   readonly tenure: () => Tenure | undefined;
   readonly view: () => LeaseView;
 }
 
-interface Held {
+interface HeldLease {
   readonly epoch: StoreEpoch;
   readonly fencingNumber: number;
   readonly beganAt: number;
@@ -45,49 +44,49 @@
 
 const writeLog = createLogger("leases");
 
-const describeHeld = (
-  held: Held | undefined,
+const heldFields = (
+  held: HeldLease | undefined,
   now: number,
 ): Pick<LeaseView, "fencingNumber" | "remaining"> => ({
   fencingNumber: held?.fencingNumber ?? null,
   remaining: held === undefined ? null : Math.max(0, Math.round(held.validUntil - now)),
 });
 
-/** @returns Runs works one after another: two renewals at once would make each other void. */
-const createSequence = () => {
+/** @returns A function that runs operations one after another: concurrent renewals would make each other void. */
+const createSerialRunner = () => {
   let previous: Promise<unknown> = Promise.resolve();
-  return <T>(work: () => Promise<T>): Promise<T> => {
-    const result = previous.then(work);
+  return <T>(operation: () => Promise<T>): Promise<T> => {
+    const result = previous.then(operation);
     previous = result.catch(() => undefined);
     return result;
   };
 };
 
-/** Starts to seek a lease. */
-export const startLease = (parts: LeaseDependencies): Lease => {
-  const { name, holder, history, clock, metrics } = parts;
-  const records = createLeaseLog(parts);
+/** Starts the task that contends for a lease. */
+export const startLease = (dependencies: LeaseDependencies): Lease => {
+  const { name, holder, history, clock, metrics } = dependencies;
+  const log = createLeaseLog(dependencies);
   const stop = new AbortController();
-  let held: Held | undefined;
-  /** Whether the last record before the last own grant was a release. */
+  let held: HeldLease | undefined;
+  /** Whether the last valid record before this process's last grant was a release. */
   let followsRelease = false;
-  const exclusively = createSequence();
+  const runSerially = createSerialRunner();
 
-  const currentEpoch = (): StoreEpoch => parts.epoch?.() ?? unnamedEpoch;
-  const isCurrent = (): boolean => held?.epoch === currentEpoch() && clock.monotonic() < held.validUntil;
-  const isHeldAs = (fencingNumber: number): boolean => held?.fencingNumber === fencingNumber && isCurrent();
+  const currentEpoch = (): StoreEpoch => dependencies.epoch?.() ?? unnamedEpoch;
+  const isHeld = (): boolean => held?.epoch === currentEpoch() && clock.monotonic() < held.validUntil;
+  const isHeldAs = (fencingNumber: number): boolean => held?.fencingNumber === fencingNumber && isHeld();
 
-  const forget = (usualReason: string): void => {
+  const endTenure = (defaultReason: string): void => {
     if (held === undefined) return;
-    const reason = held.epoch === currentEpoch() ? usualReason : "epoch ended";
+    const reason = held.epoch === currentEpoch() ? defaultReason : "epoch ended";
     writeLog("lost", { lease: name, fencingNumber: held.fencingNumber, reason });
     metrics.count(metricNames.leaseLosses);
     held = undefined;
   };
 
-  const begin = (fencingNumber: number, validUntil: number, renewAt: number): void => {
+  const beginTenure = (fencingNumber: number, validUntil: number, renewAt: number): void => {
     if (validUntil <= clock.monotonic()) return;
-    const note = records.head()?.note ?? [];
+    const note = log.head()?.note ?? [];
     held = {
       epoch: history.epoch(),
       fencingNumber,
@@ -101,12 +100,12 @@
     metrics.count(metricNames.leaseGrants);
   };
 
-  /** Takes what the log says: whether the last valid record is one of ours, and how long it reaches. */
-  const follow = (): void => {
-    const head = records.head();
-    const own = records.ownAppend();
+  /** Updates the tenure from the log: whether the last valid record is this process's, and how long it lasts. */
+  const applyLog = (): void => {
+    const head = log.head();
+    const own = log.ownAppend();
     if (head === undefined || own === undefined) {
-      if (head?.holder !== holder) forget("taken");
+      if (head?.holder !== holder) endTenure("taken");
       return;
     }
     const validUntil = own.at + own.duration * (1 - safetyShare);
@@ -114,70 +113,70 @@
     if (held?.fencingNumber === head.fencingNumber) {
       held.validUntil = Math.max(held.validUntil, validUntil);
       held.renewAt = Math.max(held.renewAt, renewAt);
-    } else begin(head.fencingNumber, validUntil, renewAt);
+    } else beginTenure(head.fencingNumber, validUntil, renewAt);
   };
 
-  const renew = async ({ fencingNumber: grant, note }: Held): Promise<void> => {
-    await records.append({ kind: "renewal", ...records.base(), duration: parts.duration(), note, grant });
-    follow();
+  const renew = async ({ fencingNumber: grant, note }: HeldLease): Promise<void> => {
+    await log.append({ kind: "renewal", ...log.base(), duration: dependencies.duration(), note, grant });
+    applyLog();
   };
 
   const contend = async (): Promise<void> => {
-    await records.readToEnd();
-    follow();
-    if (isCurrent()) return;
+    await log.readToEnd();
+    applyLog();
+    if (isHeld()) return;
     const { freeAt, head } = history.state(name);
-    const duration = parts.duration();
-    // Records that expired unread may have granted the lease to somebody just now.
-    const lossOver = (history.recordsLostAt() ?? Number.NEGATIVE_INFINITY) + duration;
-    if (clock.monotonic() < Math.max(freeAt, lossOver)) return;
+    const duration = dependencies.duration();
+    // Records that expired unread may just have granted the lease to another router.
+    const lossEndsAt = (history.recordsLostAt() ?? Number.NEGATIVE_INFINITY) + duration;
+    if (clock.monotonic() < Math.max(freeAt, lossEndsAt)) return;
     followsRelease = head?.kind === "release";
-    await records.append({ kind: "grant", ...records.base(), duration, note: head?.note ?? [] });
-    follow();
+    await log.append({ kind: "grant", ...log.base(), duration, note: head?.note ?? [] });
+    applyLog();
   };
 
   const step = async (): Promise<void> => {
-    follow();
-    if (!isCurrent()) forget("expired");
+    applyLog();
+    if (!isHeld()) endTenure("expired");
     if (held === undefined) {
-      if (parts.isCandidate()) await contend();
+      if (dependencies.isCandidate()) await contend();
     } else if (clock.monotonic() >= held.renewAt) await renew(held);
   };
 
   const nextDelay = (): number => {
-    const poll = parts.duration() * pollShare;
+    const poll = dependencies.duration() * pollShare;
     const untilFree = history.state(name).freeAt - clock.monotonic();
     return held === undefined && untilFree > 0 ? Math.min(poll, untilFree) : poll;
   };
 
   const run = async (): Promise<void> => {
     while (!stop.signal.aborted) {
-      // The log is out: the tenure goes on until it expires, and the next step tries again.
-      await exclusively(step).catch(() => undefined);
+      // The log can't be reached: the tenure lasts until it expires, and the next step tries again.
+      await runSerially(step).catch(() => undefined);
       await pause(clock, nextDelay(), stop.signal);
     }
   };
   const task = run();
 
   const release = async (): Promise<void> => {
-    if (held === undefined || !isCurrent()) return;
+    if (held === undefined || !isHeld()) return;
     const grant = held.fencingNumber;
     held = undefined;
-    await records.append({ kind: "release", ...records.base(), grant });
+    await log.append({ kind: "release", ...log.base(), grant });
   };
 
   /** Renews with a new note. @returns Whether the renewal that carries it is the last valid record. */
   const saveNote = async (fencingNumber: number, note: readonly string[]): Promise<boolean> => {
-    follow();
+    applyLog();
     if (held === undefined || !isHeldAs(fencingNumber)) return false;
     held.note = note;
     await renew(held);
-    const head = records.head();
+    const head = log.head();
     return isHeldAs(fencingNumber) && head?.holder === holder && head.note.join() === note.join();
   };
 
   const tenure = (): Tenure | undefined => {
-    if (held === undefined || !isCurrent()) return undefined;
+    if (held === undefined || !isHeld()) return undefined;
     const { fencingNumber, beganAt } = held;
     return {
       fencingNumber,
@@ -188,7 +187,7 @@
       setNote: (note) => {
         if (held !== undefined && isHeldAs(fencingNumber)) held.note = note;
       },
-      saveNote: (note) => exclusively(() => saveNote(fencingNumber, note)).catch(() => false),
+      saveNote: (note) => runSerially(() => saveNote(fencingNumber, note)).catch(() => false),
     };
   };
 
@@ -197,15 +196,15 @@
     tenure,
     view: () => ({
       lease: name,
-      candidate: parts.isCandidate(),
-      held: isCurrent(),
-      lastHolder: records.head()?.holder ?? null,
-      ...describeHeld(held, clock.monotonic()),
+      candidate: dependencies.isCandidate(),
+      held: isHeld(),
+      lastHolder: log.head()?.holder ?? null,
+      ...heldFields(held, clock.monotonic()),
     }),
     [Symbol.asyncDispose]: async () => {
       stop.abort();
       await task;
-      await exclusively(release).catch(() => undefined);
+      await runSerially(release).catch(() => undefined);
     },
   };
 };
--- a/src/coordination/leases/leaseHistory.test.ts
+++ b/src/coordination/leases/leaseHistory.test.ts
@@ -29,7 +29,7 @@
 });
 
 describe("lease history", () => {
-  it("takes the first of two grants that were sent from the same point", () => {
+  it("accepts the first of several grants whose writers had read to the same offset", () => {
     const history = createLeaseHistory(createManualClock());
     history.applyPage(0, page([grant("a", 0), grant("b", 0), grant("c", 0)]));
     expect(history.state(lease).head).toEqual({
@@ -42,7 +42,7 @@
     });
   });
 
-  it("keeps the number of the grant over renewals, and frees a released lease at once", () => {
+  it("keeps the grant's fencing number over renewals, and frees a released lease at once", () => {
     const clock = createManualClock();
     const history = createLeaseHistory(clock);
     const common = { lease, holder: "a", grant: 0 };
@@ -73,7 +73,7 @@
     expect(history.state(lease).head?.holder).toEqual("e");
   });
 
-  it("takes unreadable records and pages that leave a gap for nothing", () => {
+  it("ignores unreadable records and pages that leave a gap", () => {
     const history = createLeaseHistory(createManualClock());
     history.applyPage(0, page(["{", '{"kind":"grant"}']));
     expect(history.readTo()).toEqual(2);
@@ -82,7 +82,7 @@
     expect(history.readTo()).toEqual(2);
   });
 
-  it("begins anew with an epoch: no earlier record counts, contenders wait, and fences rise", () => {
+  it("starts over with a new epoch: no earlier record counts, contenders wait, and fencing numbers rise", () => {
     const clock = createManualClock(100);
     const history = createLeaseHistory(clock);
     const before = [grant("a", 0, 1), grant("b", 1, 1), grant("c", 2, 1)];
@@ -99,8 +99,8 @@
     expect((head?.fencingNumber ?? 0) > fence).toEqual(true);
   });
 
-  // The writer had read records that are lost now.
-  it("takes a record of an earlier epoch that arrives late for void", () => {
+  // Its writer had read records that have since been lost.
+  it("treats a late record of an earlier epoch as void", () => {
     const history = createLeaseHistory(createManualClock());
     history.applyPage(0, page([grant("a", 0, 2), grant("late", 1, 1)], 0, 2));
     expect(history.state(lease).head?.holder).toEqual("a");
@@ -108,7 +108,7 @@
     expect([history.epoch(), history.state(lease).head?.holder]).toEqual([2, "a"]);
   });
 
-  it("begins anew where the log is shorter than what was read of it, although its epoch is the same", () => {
+  it("starts over if the log is shorter than what was read of it, although its epoch is the same", () => {
     const clock = createManualClock(100);
     const history = createLeaseHistory(clock);
     history.applyPage(0, page([grant("a", 0), grant("b", 1)]));
--- a/src/coordination/leases/leaseHistory.ts
+++ b/src/coordination/leases/leaseHistory.ts
@@ -1,15 +1,16 @@
 /**
- * Reads the log's stream of leases.
+ * Evaluates the log's leases stream.
  *
- * A record is valid if no valid record of the same lease lies between the point to which its writer had read
- * and its own offset. That depends on the log alone, so all readers agree, whatever their clocks and the
- * order of their polls. Clocks only matter to writers: a contender appends no grant before `freeAt`.
+ * A record is valid if no valid record of the same lease lies between the offset to which its writer had read and
+ * its own offset. That depends on the log alone, so all readers agree, whatever their clocks and the order of
+ * their polls. Clocks only matter to writers: a contender appends no grant before `freeAt`.
  *
- * Where records expired before they were read, the validity of some that follow can't be told. Those count
- * as possibly valid: nobody acts under them, and contenders wait for them.
+ * If records expired before they were read, the validity of some later ones is undecided. No process acts under
+ * those, and contenders wait as if they were valid.
  *
- * A new epoch of the store ends all tenures: records of an earlier one may be lost to some readers and known to others.
- * The history begins anew with it, only records written in it count, and contenders wait as if records had expired.
+ * A new epoch of the store ends all tenures, since some readers may know records of the earlier epoch that others
+ * have lost. The history starts over with the new epoch: only records written in it count, and contenders wait as
+ * if records had expired.
  */
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
@@ -23,26 +24,26 @@
 
 const writeLog = createLogger("leases");
 
-/** What a record turned out to be. */
+/** The validity of a record; `undecided` if it depends on records that expired unread. */
 export type RecordValidity = "valid" | "void" | "undecided";
 
-/** The stream of leases as one process has read it. */
+/** The leases stream as one process has read it. */
 export interface LeaseHistory {
-  /** The epoch that is being read; that of a store without epochs before the first page. */
+  /** The epoch that is being read; before the first page, that of a store without epochs. */
   readonly epoch: () => StoreEpoch;
-  /** The offset to read from next. */
+  /** The offset to read next. */
   readonly readTo: () => number;
-  /** When records were last found to be lost unread, by expiry or a new epoch, milliseconds on the monotonic clock. */
+  /** When unread records were last found lost, by expiry or a new epoch, milliseconds on the monotonic clock. */
   readonly recordsLostAt: () => number | undefined;
   readonly state: (lease: string) => LeaseState;
   readonly states: () => ReadonlyMap<string, LeaseState>;
-  /** Takes a page; repeated pages, pages out of order and pages of earlier epochs do no harm. */
+  /** Applies a page; repeated pages, pages out of order and pages of earlier epochs are harmless. */
   readonly applyPage: (fromOffset: number, page: LogPage) => void;
   /**
-   * Takes a record if it is the next one.
+   * Applies a record if it is the next one.
    *
-   * @param epoch - In which its offset was given out.
-   * @returns Nothing if it is not, or is no record of a lease.
+   * @param epoch - The epoch in which its offset was assigned.
+   * @returns `undefined` if it is not the next one, or not a lease record.
    */
   readonly apply: (
     record: Pick<LogRecord, "offset" | "data">,
@@ -50,7 +51,7 @@
   ) => RecordValidity | undefined;
 }
 
-interface Entry {
+interface LeaseEntry {
   head: LeaseHead | undefined;
   freeAt: number;
   lastValid: number;
@@ -59,25 +60,25 @@
 
 const epochOf = ({ epoch = unnamedEpoch }: LeaseRecord): StoreEpoch => epoch;
 
-const headOf = (offset: number, record: LeaseRecord, before: LeaseHead | undefined): LeaseHead => ({
+const headOf = (offset: number, record: LeaseRecord, previous: LeaseHead | undefined): LeaseHead => ({
   offset,
   kind: record.kind,
   fencingNumber: record.kind === "grant" ? fenceOf(epochOf(record), offset) : record.grant,
   holder: record.holder,
   id: record.id,
-  note: record.kind === "release" ? (before?.note ?? []) : record.note,
+  note: record.kind === "release" ? (previous?.note ?? []) : record.note,
 });
 
-/** Creates a history that has read nothing. */
+/** Creates a history that has read nothing yet. */
 export const createLeaseHistory = (clock: Clock): LeaseHistory => {
-  const leases = new Map<string, Entry>();
+  const leases = new Map<string, LeaseEntry>();
   let epoch: StoreEpoch = unnamedEpoch;
   let readTo = 0;
   /** Records below this offset may have expired unread. */
-  let lostTo = 0;
-  let lostAt: number | undefined;
+  let lostBelow = 0;
+  let recordsLostAt: number | undefined;
 
-  const entryOf = (lease: string): Entry => {
+  const entryOf = (lease: string): LeaseEntry => {
     const known = leases.get(lease);
     if (known !== undefined) return known;
     const entry = { head: undefined, freeAt: Number.NEGATIVE_INFINITY, lastValid: -1, lastUndecided: -1 };
@@ -85,55 +86,55 @@
     return entry;
   };
 
-  const judge = (entry: Entry, offset: number, record: LeaseRecord): RecordValidity => {
+  const validityOf = (entry: LeaseEntry, offset: number, record: LeaseRecord): RecordValidity => {
     if (record.readTo > offset || entry.lastValid >= record.readTo) return "void";
-    return record.readTo < lostTo || entry.lastUndecided >= record.readTo ? "undecided" : "valid";
+    return record.readTo < lostBelow || entry.lastUndecided >= record.readTo ? "undecided" : "valid";
   };
 
-  const decide = (offset: number, record: LeaseRecord): RecordValidity => {
+  const applyRecord = (offset: number, record: LeaseRecord): RecordValidity => {
     if (epochOf(record) !== epoch) return "void";
     const entry = entryOf(record.lease);
-    const verdict = judge(entry, offset, record);
-    if (verdict === "void") return verdict;
-    if (verdict === "valid") {
+    const validity = validityOf(entry, offset, record);
+    if (validity === "void") return validity;
+    if (validity === "valid") {
       entry.lastValid = offset;
       entry.head = headOf(offset, record, entry.head);
-      // Whoever was granted a lease in this epoch has waited for those of the one before.
-      if (lostTo === 0) lostAt = undefined;
+      // The holder that was granted a lease in this epoch has waited for the tenures of the earlier one to end.
+      if (lostBelow === 0) recordsLostAt = undefined;
     } else entry.lastUndecided = offset;
-    // A release that may be void frees nothing.
+    // An undecided release may be void, so it frees nothing.
     if (record.kind !== "release") {
       entry.freeAt = Math.max(entry.freeAt, clock.monotonic() + record.duration);
-    } else if (verdict === "valid") entry.freeAt = clock.monotonic();
-    return verdict;
+    } else if (validity === "valid") entry.freeAt = clock.monotonic();
+    return validity;
   };
 
   const apply: LeaseHistory["apply"] = ({ offset, data }, ofEpoch) => {
     if (ofEpoch !== epoch || offset !== readTo) return undefined;
     readTo = offset + 1;
     const record = decodeLeaseRecord(data);
-    return record && decide(offset, record);
+    return record && applyRecord(offset, record);
   };
 
-  const beginAnew = (inEpoch: StoreEpoch): void => {
+  const startOver = (inEpoch: StoreEpoch): void => {
     epoch = inEpoch;
     leases.clear();
     readTo = 0;
-    lostTo = 0;
-    lostAt = clock.monotonic();
+    lostBelow = 0;
+    recordsLostAt = clock.monotonic();
   };
 
   const applyPage = (fromOffset: number, page: LogPage): void => {
     if (page.epoch < epoch) return;
-    if (page.epoch > epoch) beginAnew(page.epoch);
+    if (page.epoch > epoch) startOver(page.epoch);
     else if (page.nextOffset < fromOffset) {
       writeLog("log_went_back", { epoch, readTo, end: page.nextOffset });
-      beginAnew(epoch);
+      startOver(epoch);
     }
     if (page.earliestOffset > readTo) {
       readTo = page.earliestOffset;
-      lostTo = page.earliestOffset;
-      lostAt = clock.monotonic();
+      lostBelow = page.earliestOffset;
+      recordsLostAt = clock.monotonic();
     }
     if (fromOffset <= readTo) page.records.forEach((record) => apply(record, page.epoch));
   };
@@ -141,7 +142,7 @@
   return {
     epoch: () => epoch,
     readTo: () => readTo,
-    recordsLostAt: () => lostAt,
+    recordsLostAt: () => recordsLostAt,
     state: (lease) => {
       const { head, freeAt } = entryOf(lease);
       return { head, freeAt };
--- a/src/coordination/leases/leaseLog.ts
+++ b/src/coordination/leases/leaseLog.ts
@@ -1,4 +1,4 @@
-/** One process's reading and writing of one lease's records. */
+/** Reads and appends one lease's records for one process. */
 import { randomUUID } from "node:crypto";
 import { logStreams } from "../../protocol/constants.ts";
 import type { LogService } from "../../protocol/LogService.ts";
@@ -12,10 +12,9 @@
 import type { LeaseRecord } from "./leaseRecord.ts";
 import type { LeaseHead } from "./types.ts";
 
-/** What reading and writing works with. */
 export interface LeaseLogDependencies {
   readonly name: string;
-  /** Tells this process from every other, and from this VM's earlier processes. */
+  /** Identifies this process, as distinct from all others and from earlier ones of this VM. */
   readonly holder: string;
   readonly log: LogService;
   /** May be shared by the leases of one process. */
@@ -24,9 +23,9 @@
   readonly metrics: Metrics;
 }
 
-/** An own append. Times are milliseconds, `at` on the monotonic clock. */
+/** An append of this process. Times are milliseconds, `at` on the monotonic clock. */
 export interface SentAppend {
-  /** Before it was sent. */
+  /** Taken before the append was sent. */
   readonly at: number;
   readonly duration: number;
 }
@@ -34,25 +33,27 @@
 /** The fields of a record that do not depend on its kind. */
 export type LeaseRecordBase = Pick<LeaseRecord, "lease" | "holder" | "id" | "readTo" | "epoch">;
 
-/** See {@link createLeaseLog}. */
+/** The records of one lease, as this process reads and appends them. */
 export interface LeaseLog {
-  /** For a record that takes account of all that has been read by now. */
+  /** The common fields of a new record whose writer has read all that this process has read. */
   readonly base: () => LeaseRecordBase;
+  /** Reads the leases stream to its end; rejects if the log can't be read. */
   readonly readToEnd: () => Promise<void>;
-  /** Appends, and learns from the log what came of it, also where the answer was lost. */
+  /** Appends a record, and reads its outcome from the log, also if the response was lost. */
   readonly append: (record: LeaseRecord) => Promise<void>;
+  /** The last valid record of the lease that has been read. */
   readonly head: () => LeaseHead | undefined;
-  /** The append that made the last valid record, if it was one of this process's. */
+  /** The append of the last valid record, if it was made by this process and is no release. */
   readonly ownAppend: () => SentAppend | undefined;
 }
 
-/** Creates the log side of a lease. */
-export const createLeaseLog = (parts: LeaseLogDependencies): LeaseLog => {
-  const { name, holder, log, history, clock, metrics } = parts;
-  /** Own appends, whatever became of them, by their ids. */
+/** Creates a reader and writer of one lease's records; it reads nothing yet. */
+export const createLeaseLog = (dependencies: LeaseLogDependencies): LeaseLog => {
+  const { name, holder, log, history, clock, metrics } = dependencies;
+  /** Appends of this process, whatever their outcome, by their ids. */
   const sent = new Map<string, SentAppend>();
 
-  /** Forgets own appends that can no longer make a tenure. */
+  /** Drops appends whose duration has passed: they can't make a tenure any more. */
   const dropOldAppends = (): void => {
     const now = clock.monotonic();
     for (const [id, { at, duration }] of sent) {
@@ -71,7 +72,7 @@
     }
   };
 
-  /** @returns Whether the record has been read, so that its validity is known. */
+  /** @returns Whether the record has been read, so that its validity is known. Rejects if the append fails. */
   const send = async (record: LeaseRecord): Promise<boolean> => {
     dropOldAppends();
     if (record.kind !== "release") sent.set(record.id, { at: clock.monotonic(), duration: record.duration });
@@ -79,7 +80,7 @@
     const data = encodeLeaseRecord(record);
     const { offsets, epoch } = await log.append(logStreams.leases, [data]);
     const [offset] = offsets;
-    // With nothing unread before it, the record needs no read.
+    // With nothing unread before it, the record can be applied without reading the log.
     if (offset === history.readTo()) history.apply({ offset, data }, epoch);
     return offset !== undefined && epoch === history.epoch() && offset < history.readTo();
   };
--- a/src/coordination/leases/leaseRecord.ts
+++ b/src/coordination/leases/leaseRecord.ts
@@ -1,22 +1,22 @@
-/** Records of the log's stream of leases. */
+/** Records of the log's leases stream. */
 import { z } from "zod";
 
 const offset = z.number().int().min(0);
 const common = {
   lease: z.string().min(1).max(200),
-  /** A process, not a VM: a restarted router is another holder. */
+  /** Identifies a process, not a VM: a restarted router is another holder. */
   holder: z.string().min(1).max(200),
-  /** Tells this append from every other. */
+  /** Unique for each append. */
   id: z.string().min(1).max(100),
   /** The writer had read every record of the stream below this offset. */
   readTo: offset,
-  /** Of the store, in which the writer had read; left out by stores without epochs. */
+  /** The store epoch in which the writer had read; absent if the store has no epochs. */
   epoch: z.number().int().min(0).optional(),
 };
 const tenure = {
-  /** How long the tenure goes on from this record, milliseconds. */
+  /** How long the tenure lasts from this record, milliseconds. */
   duration: z.number().int().min(1),
-  /** What the next holder has to know of this one's unfinished work. */
+  /** What the next holder must know about this one's unfinished work. */
   note: z.array(z.string().min(1).max(200)).max(64).readonly(),
 };
 
@@ -26,16 +26,16 @@
   z.strictObject({ kind: z.literal("release"), ...common, grant: offset }),
 ]);
 
-/** A holder's tenure begins, goes on, or ends early. */
+/** Begins a holder's tenure (`grant`), prolongs it (`renewal`), or ends it early (`release`). */
 export type LeaseRecord = Readonly<z.output<typeof leaseRecordSchema>>;
 
-/** Writes a record for the log. */
+/** Encodes a record for the log. */
 export const encodeLeaseRecord = (record: LeaseRecord): string => JSON.stringify(record);
 
 /**
- * Reads a record from the log.
+ * Decodes a record from the log.
  *
- * @returns Nothing if the data is no such record.
+ * @returns `undefined` if the data is not a valid lease record.
  */
 export const decodeLeaseRecord = (data: string): LeaseRecord | undefined => {
   try {
--- a/src/coordination/leases/types.ts
+++ b/src/coordination/leases/types.ts
@@ -4,41 +4,41 @@
 export interface LeaseHead {
   readonly offset: number;
   readonly kind: LeaseRecord["kind"];
-  /** Offset of the grant that began this holder's tenure; engines compare it. */
+  /** The fencing number of the grant that began this holder's tenure; engines compare it. */
   readonly fencingNumber: number;
   readonly holder: string;
-  /** Which append of the holder's it was. */
+  /** The id of the holder's append. */
   readonly id: string;
-  /** What the holder left for the next one. */
+  /** What the holder noted for the next one. */
   readonly note: readonly string[];
 }
 
 /** A lease as far as the log has been read. Times are milliseconds on this process's monotonic clock. */
 export interface LeaseState {
   readonly head: LeaseHead | undefined;
-  /** From then on every holder that has been read of has stopped by its own clock. */
+  /** From this time on, every holder known from the log has stopped by its own clock. */
   readonly freeAt: number;
 }
 
-/** A tenure of a lease, handed to whoever acts under it. */
+/** A tenure of a lease, for the code that acts under it. */
 export interface Tenure {
-  /** Offset of the grant. */
+  /** Made from the grant's epoch and offset; see `fenceOf`. */
   readonly fencingNumber: number;
-  /** The last holder gave the lease back by itself. */
+  /** Whether the previous holder released the lease instead of losing it. */
   readonly followsRelease: boolean;
-  /** Earlier holders had stopped by then, milliseconds on this process's monotonic clock. */
+  /** Earlier holders had stopped by this time, milliseconds on this process's monotonic clock. */
   readonly beganAt: number;
-  /** To be asked immediately before each act. */
+  /** To be called immediately before each action under the lease. */
   readonly isValid: () => boolean;
-  /** What this or the last holder noted for the next one. */
+  /** What this or the previous holder noted for the next one. */
   readonly note: () => readonly string[];
-  /** Notes something with the next renewal. */
+  /** Sets the note that the next renewal writes. */
   readonly setNote: (note: readonly string[]) => void;
-  /** Notes something at once. @returns True once it is in the log and the tenure is valid. */
+  /** Writes a note at once. @returns True if it is in the log and the tenure is valid. */
   readonly saveNote: (note: readonly string[]) => Promise<boolean>;
 }
 
-/** A lease as an operator sees it. */
+/** A lease in the operator's dump. */
 export interface LeaseView {
   readonly lease: string;
   readonly candidate: boolean;
@@ -46,6 +46,6 @@
   readonly fencingNumber: number | null;
   /** The holder of the last grant or renewal that has been read, in force or not. */
   readonly lastHolder: string | null;
-  /** Milliseconds until the own tenure ends unless renewed. */
+  /** Milliseconds until this router's tenure ends unless renewed. */
   readonly remaining: number | null;
 }
