--- a/src/coordination/membership/Membership.ts
+++ b/src/coordination/membership/Membership.ts
@@ -1,37 +1,38 @@
-/** Which routers of this data centre are alive, and what falls to which of them. */
+/** Which routers of this data centre are alive, and which of them is responsible for a key. */
 
 /** A router of the system. */
 export interface Member {
   /** The VM's id in the platform's VM list. */
   readonly name: string;
   readonly dataCentre: string;
-  /** Rises with each start of the process, and when it refutes its own death. */
+  /** Higher after each start of the process, and after peers took the router for dead while it was running. */
   readonly incarnation: number;
 }
 
-/** Called whenever the list of live peers is another one. */
-export type MembershipListener = (livePeers: readonly Member[]) => void;
+/** Called when a router joins or leaves the live members. A new incarnation alone is not reported. */
+export type MembershipListener = (liveMembers: readonly Member[]) => void;
 
 /**
- * The live membership as this router sees it. Two routers may see it differently for some seconds, so nothing
- * that must happen at most once may rest on it alone: that takes a lease.
+ * The live membership as this router sees it. Two routers may see different members for some seconds, so work that
+ * must happen at most once needs a lease as well.
  */
 export abstract class Membership {
   abstract self(): Member;
 
-  /** Routers of this data centre that take part, this one among them, sorted by name. */
+  /** Live routers of this data centre, sorted by name. Includes this one, unless it is leaving and others remain. */
   abstract liveMembers(): readonly Member[];
 
-  /** Whether a key (an engine's id, say) falls to this router, by rendezvous over the live peers. */
+  /** Whether this router is responsible for a key, such as an engine's id: rendezvous hashing over the live members. */
   abstract isHome(key: string): boolean;
 
   /**
-   * The routers that speak for this data centre in a matter, the first choice first.
+   * The routers that act for the whole data centre, chosen by rendezvous hashing over the live members.
    *
-   * @param matter - For example a data centre's name.
-   * @param count - How many are wanted.
+   * @param key - Names the task, for example the other data centre that they connect to.
+   * @param count - The number of routers to return; fewer if there are not that many.
+   * @returns Names of routers, the first choice first.
    */
-  abstract representatives(matter: string, count: number): readonly string[];
+  abstract representatives(key: string, count: number): readonly string[];
 
   /** @returns A function that ends the subscription. */
   abstract subscribe(listener: MembershipListener): () => void;
--- a/src/coordination/membership/PeerMessageExtension.ts
+++ b/src/coordination/membership/PeerMessageExtension.ts
@@ -1,20 +1,20 @@
-/** What rides on the messages between peers: load reports, the configuration, summaries, demand. */
+/** Data that is carried in the heartbeat messages between peers: load reports, the configuration, summaries. */
 import type { PeerMessage, Router } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 
-/** One matter that peers tell each other about. Everything but `receive` fills in the message handed over. */
+/** One kind of data in the messages between peers. The `addTo…` functions fill in fields of the given message. */
 export abstract class PeerMessageExtension {
-  /** Adds what is new for every peer of the data centre. */
+  /** Adds updates to a message for all peers of this data centre. */
   readonly addToHeartbeat: (message: PeerMessage) => void = () => undefined;
 
-  /** Adds what a peer needs whose stream has just been opened. */
+  /** Adds the full state to the first message of a stream to a peer of this data centre. */
   readonly addToFirstMessage: (message: PeerMessage) => void = () => undefined;
 
-  /** Adds what another data centre is told. */
+  /** Adds data to a message for another data centre. */
   readonly addToRemoteMessage: (message: PeerMessage) => void = () => undefined;
 
-  /** Takes a message of a peer of this data centre, or of another one's representative. */
+  /** Handles a message from a peer of this data centre, or from the representative of another one. */
   abstract readonly receive: (sender: Router, message: PeerMessage) => void;
 
-  /** This process has a new incarnation: peers forget what they were told under the old one. */
+  /** Called when this process has a new incarnation: peers discard the descriptions sent under the old one. */
   readonly onNewIncarnation: () => void = () => undefined;
 }
--- a/src/coordination/membership/configurationExchange.test.ts
+++ b/src/coordination/membership/configurationExchange.test.ts
@@ -8,10 +8,10 @@
 import { createConfigurationHistory } from "../../state/configurationHistory.ts";
 import { decodeConfigurationState, encodeConfigurationState } from "../../state/peerConfiguration.ts";
 
-/** What the users ask for: in force everywhere in under 9 s. */
-const inForceWithin = 9_000;
+/** A published configuration must be in force on every router in under 9 s. */
+const maxPropagationTime = 9_000;
 
-/** Publishes on top of what the log holds. @returns The version. */
+/** Publishes a configuration based on the log's latest one. @returns Its version. */
 const publish = (log: FakeLog, ...standings: readonly number[]): number => {
   const reader = createConfigurationHistory();
   readAll(reader, log);
@@ -19,7 +19,7 @@
   return log.append(encodeConfigurationRecord(record)).offset;
 };
 
-/** A node reads the log's end, as its follower does. */
+/** Lets a node read the log to its end, as its configuration follower does. */
 const readLog = (node: PeerNode, log: FakeLog): void => {
   const before = node.history.current()?.version;
   readAll(node.history, log);
@@ -27,7 +27,7 @@
   if (node.history.current()?.version !== before) node.exchange.noteLogVersion();
 };
 
-/** Moves time on; nodes whose turn it is read the log, unless they are cut from it. */
+/** Advances the time; nodes that have to read the log do so, unless they are cut off from it. */
 const run = async (nodes: PeerNodes, log: FakeLog, cutOff: readonly string[], milliseconds: number) => {
   for (let passed = 0; passed < milliseconds; passed += 250) {
     await nodes.advance(250);
@@ -38,9 +38,9 @@
   }
 };
 
-const here = ["a", "b", "c", "d"];
-const elsewhere = ["x", "y"];
-const all = [...here, ...elsewhere];
+const local = ["a", "b", "c", "d"];
+const remote = ["x", "y"];
+const all = [...local, ...remote];
 
 const versionsOf = (nodes: PeerNodes): readonly (number | undefined)[] =>
   all.map((name) => nodes.node(name).history.current()?.version);
@@ -54,8 +54,8 @@
 
 const start = async (): Promise<StartedNodes> => {
   const nodes = createPeerNodes();
-  for (const name of here) nodes.start(name, "amman-north");
-  for (const name of elsewhere) nodes.start(name, "zarqa-hall");
+  for (const name of local) nodes.start(name, "amman-north");
+  for (const name of remote) nodes.start(name, "zarqa-hall");
   nodes.announce();
   const log = createFakeLog();
   publish(log, 1);
@@ -64,12 +64,12 @@
   return { nodes, log, [Symbol.asyncDispose]: () => nodes[Symbol.asyncDispose]() };
 };
 
-describe("the configuration between peers", { timeout: 60_000 }, () => {
-  it("is read from the log by two routers of a data centre, and learnt by the others at once", async () => {
+describe("configuration exchange", { timeout: 60_000 }, () => {
+  it("lets two routers of a data centre read the log and send changes to the others at once", async () => {
     await using system = await start();
     const { nodes, log } = system;
-    const turns = here.map((name) => nodes.node(name).exchange.logReadMode()).sort();
-    expect(turns).toEqual(["follow", "follow", "learn", "learn"]);
+    const modes = local.map((name) => nodes.node(name).exchange.logReadMode()).sort();
+    expect(modes).toEqual(["follow", "follow", "learn", "learn"]);
     const version = publish(log, 2);
     for (const name of all) {
       const node = nodes.node(name);
@@ -79,54 +79,54 @@
     expect(versionsOf(nodes)).toEqual(everywhere(version));
   });
 
-  it("reaches a data centre whose readers are cut from the log, and that is cut from the others", async () => {
+  it("reaches a data centre cut off from the others whose readers are cut off from the log", async () => {
     await using system = await start();
     const { nodes, log } = system;
-    for (const left of here) for (const right of elsewhere) nodes.cut(left, right);
-    const readers = here.filter((name) => nodes.node(name).exchange.logReadMode() === "follow");
+    for (const left of local) for (const right of remote) nodes.cut(left, right);
+    const readers = local.filter((name) => nodes.node(name).exchange.logReadMode() === "follow");
     const version = publish(log, 2);
-    await run(nodes, log, readers, inForceWithin);
+    await run(nodes, log, readers, maxPropagationTime);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
   });
 
-  it("reaches a data centre that is cut from the log as a whole", async () => {
+  it("reaches a data centre that is cut off from the log as a whole", async () => {
     await using system = await start();
     const { nodes, log } = system;
     const version = publish(log, 2);
-    await run(nodes, log, here, inForceWithin);
+    await run(nodes, log, local, maxPropagationTime);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
   });
 
-  it("reaches a router that is cut from its peers, and one that is frozen for long", async () => {
+  it("reaches a router that is cut off from its peers, and one after a long process pause", async () => {
     await using system = await start();
     const { nodes, log } = system;
     for (const other of all) if (other !== "a") nodes.cut("a", other);
     nodes.freeze("b");
     await nodes.advance(5_000);
     const version = publish(log, 2);
-    await run(nodes, log, ["b"], inForceWithin);
+    await run(nodes, log, ["b"], maxPropagationTime);
     const others = all.filter((name) => name !== "b");
     expect(others.map((name) => nodes.node(name).history.current()?.version)).toEqual(
       others.map(() => version),
     );
     nodes.thaw("b");
-    await run(nodes, log, ["b"], inForceWithin);
+    await run(nodes, log, ["b"], maxPropagationTime);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
   });
 
-  it("keeps what is in force in a data centre that is cut from everything, and heals forwards", async () => {
+  it("keeps the version in force in a data centre that is cut off from everything, and catches up afterwards", async () => {
     await using system = await start();
     const { nodes, log } = system;
-    for (const left of here) for (const right of elsewhere) nodes.cut(left, right);
+    for (const left of local) for (const right of remote) nodes.cut(left, right);
     const version = publish(log, 2);
-    await run(nodes, log, here, inForceWithin);
+    await run(nodes, log, local, maxPropagationTime);
     expect(versionsOf(nodes)).toEqual([0, 0, 0, 0, version, version]);
     nodes.heal();
-    await run(nodes, log, here, 15_000);
+    await run(nodes, log, local, 15_000);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
   });
 
-  it("never goes back, whatever a stale peer sends late, twice or garbled", async () => {
+  it("never returns to an older version, even if a stale peer sends states late, twice or garbled", async () => {
     await using system = await start();
     const { nodes, log } = system;
     const stale = createConfigurationHistory();
@@ -145,7 +145,7 @@
     expect(history.current()?.configuration.organisations[0]?.standing).toEqual(3);
   });
 
-  it("is refused where its digest does not fit its sections", async () => {
+  it("refuses a state whose digest does not match its sections", async () => {
     await using system = await start();
     const { nodes, log } = system;
     publish(log, 2);
--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -1,7 +1,7 @@
 /**
- * Spreads the configuration between peers: the router of the data centre that reads the log first in line sends
- * what changed to all; whoever still lacks something after a while asks a peer that has it, in this data centre
- * or another. What comes from a peer never takes a router back: the history decides.
+ * Distributes the configuration between peers. Few routers of a data centre read the log, and the first of them
+ * sends changes to all others. A router that still lacks something after a while asks a peer that has it, in this
+ * data centre or another. The history ignores older versions, so a peer can't make a router go back.
  */
 import { create } from "@bufbuild/protobuf";
 import {
@@ -16,19 +16,19 @@
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Clock } from "../clock.ts";
 import type { LogTurn } from "../configurationFollower.ts";
-import { spreading } from "./constants.ts";
+import { configurationSpread } from "./constants.ts";
 import type { Membership } from "./Membership.ts";
 import { PeerMessageExtension } from "./PeerMessageExtension.ts";
 
-/** What the exchange works with. */
 export interface ConfigurationExchangeDependencies {
   readonly history: ConfigurationHistory;
   readonly membership: Membership;
   readonly directory: PeerDirectory;
   readonly network: PeerNetwork;
   readonly clock: Clock;
-  /** A number from 0 to below 1, so that many that lag ask different peers. */
+  /** A number from 0 to below 1: routers that lag at the same time ask different peers. */
   readonly random: () => number;
+  /** Sends a heartbeat to all peers of the data centre at once. */
   readonly push: () => void;
   /** When this router last read the log, milliseconds on the monotonic clock. */
   readonly logReadAt: () => number | undefined;
@@ -38,57 +38,59 @@
 
 const askTimeout = 2_000;
 
-/** The matter for which a data centre's readers of the log are chosen. */
-const readersMatter = "configuration";
+/** The key by which a data centre's readers of the log are chosen. */
+const readerSelectionKey = "configuration";
 
-const isHeard = (peer: Peer): boolean => peer.state === "live" || peer.state === "suspect";
+const isReachable = (peer: Peer): boolean => peer.state === "live" || peer.state === "suspect";
 
 const isSame = (left: number | undefined, right: number | undefined): boolean => left === right;
 
-/** The exchange, one matter of the messages between peers. */
+/** Adds the configuration to messages between peers, and asks peers that have a newer one. */
 export class ConfigurationExchange extends PeerMessageExtension {
-  private readonly parts: ConfigurationExchangeDependencies;
-  /** The version that this router last sent to its peers, or saw another send. */
-  private spreadVersion: number | undefined;
-  /** When this router took the version in force. */
-  private versionSince: number;
-  private seenVersion: number | undefined;
-  /** Since when some peer has had something newer. */
+  private readonly dependencies: ConfigurationExchangeDependencies;
+  /** The last version that this router sent to its peers, or that no peer lacked. */
+  private lastSpreadVersion: number | undefined;
+  /** When the version in force changed, milliseconds on the monotonic clock. */
+  private versionChangedAt: number;
+  private lastVersion: number | undefined;
+  /** When a peer was first found ahead, or last asked; `undefined` while no peer is ahead. */
   private behindSince: number | undefined;
-  private asking = false;
+  private isAsking = false;
   private source = "none";
-  /** The version in force came from another data centre: nobody else here may have it. */
-  private cameFromAbroad = false;
+  /** The version in force came from another data centre, so that peers of this one may lack it. */
+  private isFromOtherDataCentre = false;
 
-  constructor(parts: ConfigurationExchangeDependencies) {
+  constructor(dependencies: ConfigurationExchangeDependencies) {
     super();
-    this.parts = parts;
-    this.versionSince = parts.clock.monotonic();
+    this.dependencies = dependencies;
+    this.versionChangedAt = dependencies.clock.monotonic();
   }
 
-  /** Whose turn it is to read the log. */
+  /** Whether this router follows the log, reads it from time to time, or relies on its peers. */
   readonly logReadMode = (): LogTurn => {
-    const { membership } = this.parts;
-    const readers = membership.representatives(readersMatter, spreading.readers);
+    const { membership } = this.dependencies;
+    const readers = membership.representatives(readerSelectionKey, configurationSpread.readers);
     if (readers.includes(membership.self().name)) return "follow";
     const newest = Math.max(
-      ...this.peersHere().map((peer) => peer.configuration?.logReadAt ?? Number.NEGATIVE_INFINITY),
+      ...this.localPeers().map((peer) => peer.configuration?.logReadAt ?? Number.NEGATIVE_INFINITY),
     );
-    return this.parts.clock.monotonic() - newest > spreading.learnerPatience ? "look" : "learn";
+    return this.dependencies.clock.monotonic() - newest > configurationSpread.learnerTimeout
+      ? "look"
+      : "learn";
   };
 
-  /** The log gave a new version. */
+  /** To be called when a read of the log has put a new version in force. */
   readonly noteLogVersion = (): void => {
     this.noteVersion("log");
-    this.cameFromAbroad = false;
-    if (this.isFirstReader()) this.parts.push();
+    this.isFromOtherDataCentre = false;
+    if (this.isFirstReader()) this.dependencies.push();
   };
 
-  /** Takes a state that came from a peer. @returns False if it builds on a version that is not in force here. */
+  /** Applies a state that came from a peer. @returns False if it is based on a version that is not in force here. */
   readonly adopt = (json: string, from: string): boolean => {
     const state = decodeConfigurationState(json);
     if (state === undefined) return true;
-    const adoption = this.parts.history.adopt(state);
+    const adoption = this.dependencies.history.adopt(state);
     if (adoption.kind === "adopted") {
       this.noteVersion(from);
       this.noteOrigin(from);
@@ -98,9 +100,9 @@
     return adoption.kind !== "other_base";
   };
 
-  /** For a state dump. */
+  /** For the operator's dump. */
   readonly dump = () => {
-    const { history, clock, logReadAt } = this.parts;
+    const { history, clock, logReadAt } = this.dependencies;
     const readAt = logReadAt();
     return {
       version: history.current()?.version ?? null,
@@ -114,22 +116,22 @@
   };
 
   override readonly addToHeartbeat = (message: PeerMessage): void => {
-    const now = this.parts.clock.monotonic();
-    message.configuration = this.standing(now);
-    this.spread(message, now);
+    const now = this.dependencies.clock.monotonic();
+    message.configuration = this.configurationStanding(now);
+    this.addChanges(message, now);
     this.catchUp(now);
   };
 
   override readonly addToFirstMessage = (message: PeerMessage): void => {
-    message.configuration = this.standing(this.parts.clock.monotonic());
+    message.configuration = this.configurationStanding(this.dependencies.clock.monotonic());
   };
 
   override readonly addToRemoteMessage = (message: PeerMessage): void => {
-    message.configuration = this.standing(this.parts.clock.monotonic());
+    message.configuration = this.configurationStanding(this.dependencies.clock.monotonic());
   };
 
   override readonly receive = (sender: Router, message: PeerMessage): void => {
-    const { directory, clock } = this.parts;
+    const { directory, clock } = this.dependencies;
     const now = clock.monotonic();
     const { configuration, configurationState } = message;
     if (configuration !== undefined) {
@@ -142,36 +144,36 @@
   };
 
   private version(): number | undefined {
-    return this.parts.history.current()?.version;
+    return this.dependencies.history.current()?.version;
   }
 
-  private peersHere(): readonly Peer[] {
-    const { directory, membership } = this.parts;
+  private localPeers(): readonly Peer[] {
+    const { directory, membership } = this.dependencies;
     const { dataCentre } = membership.self();
-    return directory.all().filter((peer) => peer.dataCentre === dataCentre && isHeard(peer));
+    return directory.all().filter((peer) => peer.dataCentre === dataCentre && isReachable(peer));
   }
 
   private isFirstReader(): boolean {
-    const { membership } = this.parts;
-    return membership.representatives(readersMatter, 1)[0] === membership.self().name;
+    const { membership } = this.dependencies;
+    return membership.representatives(readerSelectionKey, 1)[0] === membership.self().name;
   }
 
   private noteVersion(source: string): void {
     this.source = source;
-    if (isSame(this.version(), this.seenVersion)) return;
-    this.seenVersion = this.version();
-    this.versionSince = this.parts.clock.monotonic();
+    if (isSame(this.version(), this.lastVersion)) return;
+    this.lastVersion = this.version();
+    this.versionChangedAt = this.dependencies.clock.monotonic();
   }
 
   private noteOrigin(from: string): void {
-    const { directory, membership } = this.parts;
+    const { directory, membership } = this.dependencies;
     const peer = directory.get(from);
-    this.cameFromAbroad = peer !== undefined && peer.dataCentre !== membership.self().dataCentre;
-    if (this.cameFromAbroad) this.parts.push();
+    this.isFromOtherDataCentre = peer !== undefined && peer.dataCentre !== membership.self().dataCentre;
+    if (this.isFromOtherDataCentre) this.dependencies.push();
   }
 
-  private standing(now: number) {
-    const { history, logReadAt } = this.parts;
+  private configurationStanding(now: number) {
+    const { history, logReadAt } = this.dependencies;
     const version = this.version();
     const readAt = logReadAt();
     return create(ConfigurationStandingSchema, {
@@ -181,52 +183,53 @@
     });
   }
 
-  /** Sends what changed: the first reader at once, another router only if somebody lacks it after a while. */
-  private spread(message: PeerMessage, now: number): void {
+  /** Adds changes to a heartbeat: the first reader at once, other readers only if some peer still lacks them later. */
+  private addChanges(message: PeerMessage, now: number): void {
     const version = this.version();
-    if (version === undefined || isSame(version, this.spreadVersion)) return;
-    const lacking = this.peersHere().filter((peer) => (peer.configuration?.version ?? -1) < version);
-    if (!this.isFirstReader() && !this.cameFromAbroad) {
-      if (now - this.versionSince < spreading.repeatAfter) return;
-      if (lacking.length > 0 && !this.isSecondReader()) return;
+    if (version === undefined || isSame(version, this.lastSpreadVersion)) return;
+    const lacking = this.localPeers().filter((peer) => (peer.configuration?.version ?? -1) < version);
+    if (!this.isFirstReader() && !this.isFromOtherDataCentre) {
+      if (now - this.versionChangedAt < configurationSpread.retryDelay) return;
+      if (lacking.length > 0 && !this.isLogReader()) return;
     }
     if (lacking.length > 0) message.configurationState = this.encodeFor(lacking);
-    this.spreadVersion = version;
+    this.lastSpreadVersion = version;
   }
 
-  private isSecondReader(): boolean {
-    const { membership } = this.parts;
-    const readers = membership.representatives(readersMatter, spreading.readers);
+  private isLogReader(): boolean {
+    const { membership } = this.dependencies;
+    const readers = membership.representatives(readerSelectionKey, configurationSpread.readers);
     return readers.includes(membership.self().name);
   }
 
-  /** What changed since the version that most peers have; the others ask. */
+  /** Encodes the changes since the version that most peers have; the others have to ask. */
   private encodeFor(peers: readonly Peer[]): string {
     const counts = new Map<number, number>();
     for (const { configuration } of peers) {
       const version = configuration?.version;
       if (version !== undefined) counts.set(version, (counts.get(version) ?? 0) + 1);
     }
-    const [commonest] = [...counts].sort(([, left], [, right]) => right - left);
-    return commonest === undefined
+    const [mostCommon] = [...counts].sort(([, left], [, right]) => right - left);
+    return mostCommon === undefined
       ? ""
-      : encodeConfigurationState(this.parts.history.changesSince(commonest[0]));
+      : encodeConfigurationState(this.dependencies.history.changesSince(mostCommon[0]));
   }
 
-  /** Peers, here or elsewhere, that have something newer. */
+  /** Peers of all data centres with a newer version, or, once this router's state is stale, a later log offset. */
   private peersAhead(now: number): readonly Peer[] {
     const version = this.version() ?? -1;
-    const knownTo = this.parts.history.readTo();
-    const readAt = this.parts.logReadAt() ?? Number.NEGATIVE_INFINITY;
-    const old = now - Math.max(readAt, this.versionSince) > spreading.standingPatience;
-    return this.parts.directory.all().filter((peer) => {
-      if (!isHeard(peer) || peer.configuration === undefined) return false;
+    const knownTo = this.dependencies.history.readTo();
+    const readAt = this.dependencies.logReadAt() ?? Number.NEGATIVE_INFINITY;
+    const isPositionStale =
+      now - Math.max(readAt, this.versionChangedAt) > configurationSpread.logPositionTimeout;
+    return this.dependencies.directory.all().filter((peer) => {
+      if (!isReachable(peer) || peer.configuration === undefined) return false;
       if ((peer.configuration.version ?? -1) > version) return true;
-      return old && peer.configuration.knownTo > knownTo;
+      return isPositionStale && peer.configuration.knownTo > knownTo;
     });
   }
 
-  /** Asks a peer that is ahead, once it has been so for a while. */
+  /** Asks a random peer that is ahead: at once without a configuration, otherwise after some time. */
   private catchUp(now: number): void {
     const ahead = this.peersAhead(now);
     if (ahead.length === 0) {
@@ -234,19 +237,19 @@
       return;
     }
     this.behindSince ??= now;
-    const wait = this.version() === undefined ? 0 : spreading.repeatAfter;
+    const wait = this.version() === undefined ? 0 : configurationSpread.retryDelay;
     if (now - this.behindSince < wait) return;
     this.behindSince = now;
-    const chosen = ahead[Math.floor(this.parts.random() * ahead.length)];
+    const chosen = ahead[Math.floor(this.dependencies.random() * ahead.length)];
     if (chosen !== undefined) this.ask(chosen.name);
   }
 
   private ask(name: string): void {
-    const peer = this.parts.directory.get(name);
-    if (peer === undefined || this.asking) return;
-    this.asking = true;
+    const peer = this.dependencies.directory.get(name);
+    if (peer === undefined || this.isAsking) return;
+    this.isAsking = true;
     void this.askPeer(peer).finally(() => {
-      this.asking = false;
+      this.isAsking = false;
     });
   }
 
@@ -255,7 +258,7 @@
     const value = base === undefined ? {} : { base };
     const question = create(QuestionSchema, { body: { case: "readConfiguration", value } });
     try {
-      const { body } = await this.parts.network.ask(url, question, AbortSignal.timeout(askTimeout));
+      const { body } = await this.dependencies.network.ask(url, question, AbortSignal.timeout(askTimeout));
       if (body.case === "configuration") this.adopt(body.value.json, name);
     } catch {
       writeLog("peer_did_not_answer", { peer: name });
--- a/src/coordination/membership/constants.ts
+++ b/src/coordination/membership/constants.ts
@@ -1,19 +1,22 @@
-/** Times of the membership, milliseconds unless named otherwise. */
+/** Timing and limits of the membership. Times are in milliseconds. */
 import type { PeerPatience } from "../../state/peerDirectory.ts";
 
-/** How often a router speaks to its peers. */
+/** Intervals of the messages to peers. */
 export const heartbeats = {
-  /** For each live peer, so that a router sends at most 20 messages a second whatever their number. */
+  /**
+   * The interval grows by this for each live peer, so that a router sends 20 messages a second at most, until it
+   * reaches `maximumInterval`.
+   */
   intervalPerPeer: 50,
   minimumInterval: 250,
   maximumInterval: 2_000,
-  /** Between data centres. */
-  representedInterval: 2_000,
-  /** A tick that comes this late means that this process itself stood still. */
-  stalledAfter: 3_000,
+  /** Interval of the messages to other data centres. */
+  crossDataCentreInterval: 2_000,
+  /** A heartbeat timer that fires this late shows that this process was paused. */
+  processPauseThreshold: 3_000,
 } as const;
 
-/** How long a silent peer is waited for. */
+/** When a peer that sends no heartbeats becomes suspect, dead and forgotten. */
 export const peerTimeouts: PeerPatience = {
   missedIntervals: 2.5,
   suspectIntervals: 1.5,
@@ -21,38 +24,41 @@
   memory: 600_000,
 };
 
-/** How streams to peers are opened. */
-export const joining = {
+/** Opening of streams to peers. */
+export const connecting = {
   timeout: 1_000,
   retryInterval: 500,
-  /** Longer, for one that has not answered for long. */
-  longestRetryInterval: 5_000,
+  /** Limit of the exponential backoff after repeated failures. */
+  maxRetryInterval: 5_000,
 } as const;
 
-/** Peers that are asked whether they hear a suspect. */
-export const askedAboutSuspect = 3;
+/** Number of other peers that are asked whether they receive heartbeats from a suspect. */
+export const indirectProbeCount = 3;
 
-/** How the configuration spreads. */
-export const spreading = {
-  /** Routers of a data centre that read the log. */
+/** Distribution of the configuration between routers. */
+export const configurationSpread = {
+  /** Number of routers of a data centre that follow the log. */
   readers: 2,
-  /** The others read it themselves if no peer has read it for this long. */
-  learnerPatience: 3_000,
-  /** Between such reads. */
+  /** The other routers read the log themselves if no peer of the data centre has read it for this long. */
+  learnerTimeout: 3_000,
+  /** Interval of such reads. */
   learnerReadInterval: 1_500,
-  /** Between looks at whose turn it is. */
-  turnInterval: 250,
-  /** A peer that still lacks what this router has after this long is told again, or asked. */
-  repeatAfter: 1_500,
-  /** How far a learner may lag behind in what the log's end is, though the version is the same. */
-  standingPatience: 30_000,
+  /** How often a router checks whether it has to read the log. */
+  readModeCheckInterval: 250,
+  /** Delay before another reader sends a version that a peer lacks, and before a router asks a peer that is ahead. */
+  retryDelay: 1_500,
+  /**
+   * A router that has neither read the log nor changed its version for this long also asks peers that know the
+   * log to a later offset, though their version is the same.
+   */
+  logPositionTimeout: 30_000,
 } as const;
 
-/** Reports in one message; those that changed go first. */
-export const maximumReports = 64;
+/** Limit of engine reports in one message; changed reports go first. */
+export const maxReportsPerMessage = 64;
 
-/** Engines of a pool that a summary names. */
-export const spareEngines = 4;
+/** Limit of engines with spare capacity that a summary lists for a pool. */
+export const maxSpareEngines = 4;
 
-/** A data centre that has sent no summary for this long is silent: its engines are asked directly. */
-export const summaryPatience = 10_000;
+/** A data centre that has sent nothing for this long is unreachable: its engines are asked directly. */
+export const summaryTimeout = 10_000;
--- a/src/coordination/membership/engineReports.ts
+++ b/src/coordination/membership/engineReports.ts
@@ -1,4 +1,4 @@
-/** Engines and their reports as peers write them to each other: what rarely changes goes apart, once. */
+/** Engines and their load in messages between peers. Fields that rarely change are sent once, apart from the load. */
 import { create } from "@bufbuild/protobuf";
 import {
   EngineReportSchema,
@@ -8,7 +8,7 @@
 import type { EngineLoad } from "../../protocol/types.ts";
 import type { EngineReplica } from "../../state/engineDirectory.ts";
 
-/** An engine that has reported. */
+/** An engine whose load is known. */
 export interface ReportedEngine extends EngineReplica {
   readonly load: EngineLoad;
 }
@@ -17,8 +17,8 @@
 
 const round = (value: number): number => Math.max(0, Math.round(value));
 
-/** What rarely changes of an engine. */
-export const describeEngine = ({ id, load }: ReportedEngine, number: number): Engine =>
+/** Encodes the fields that rarely change. @param number - Stands for the engine in reports. */
+export const encodeEngine = ({ id, load }: ReportedEngine, number: number): Engine =>
   create(EngineSchema, {
     number,
     id,
@@ -29,8 +29,8 @@
     role: load.role,
   });
 
-/** What changes all the time. */
-export const reportEngine = (
+/** Encodes the fields that change often. @param now - Milliseconds on the monotonic clock. */
+export const encodeReport = (
   { load, loadReadAt }: ReportedEngine,
   number: number,
   now: number,
@@ -45,8 +45,8 @@
     leaving: load.leaving,
   });
 
-/** Puts the two together again. */
-export const joinReport = (engine: Engine, report: EngineReport): EngineLoad => ({
+/** Combines an engine with one of its reports. */
+export const decodeLoad = (engine: Engine, report: EngineReport): EngineLoad => ({
   incarnation: engine.incarnation,
   model: engine.model,
   weightsVersion: engine.weightsVersion,
--- a/src/coordination/membership/heartbeatSender.ts
+++ b/src/coordination/membership/heartbeatSender.ts
@@ -1,4 +1,4 @@
-/** Makes the messages to peers and sends them: to all peers of the data centre, and to other data centres. */
+/** Builds heartbeat messages and sends them to all peers of the data centre and to other data centres. */
 import { create, toBinary } from "@bufbuild/protobuf";
 import { PeerMessageSchema } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 import type { PeerMessage } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
@@ -9,85 +9,86 @@
 import type { PeerMessageExtension } from "./PeerMessageExtension.ts";
 import type { PeerLinks } from "./peerLinks.ts";
 
-/** What messages are made from. */
 export interface HeartbeatSenderDependencies {
   readonly self: () => Member;
   readonly isLeaving: () => boolean;
-  /** Number of live routers of the data centre, this one among them. */
+  /** Number of live routers of the data centre, including this one. */
   readonly countLive: () => number;
-  readonly features: readonly PeerMessageExtension[];
-  readonly links: () => Pick<PeerLinks, "near" | "far" | "linkTo">;
+  readonly extensions: readonly PeerMessageExtension[];
+  readonly links: () => Pick<PeerLinks, "localLinks" | "remoteLinks" | "linkTo">;
 }
 
-/** Sends what there is to say. */
+/** Sends heartbeats, and other messages to peers. */
 export interface HeartbeatSender {
-  /** Until the next heartbeat, milliseconds. */
+  /** The time until the next heartbeat, milliseconds. */
   readonly interval: () => number;
+  /** A message without data of extensions. */
   readonly newMessage: () => PeerMessage;
-  /** The first message of a stream to a peer. */
-  readonly introduction: (peer: Peer) => Uint8Array;
+  /** The first message of a stream to a peer, encoded. */
+  readonly firstMessage: (peer: Peer) => Uint8Array;
+  /** Sends to one peer; does nothing if there is no stream to it. */
   readonly sendTo: (name: string, message: PeerMessage) => void;
-  /** To every peer of the data centre. */
-  readonly sendNear: () => void;
-  /** To other data centres, if it is time. */
-  readonly sendFar: (now: number) => void;
-  /** To every peer of the data centre, once for all that is pushed in one turn of the event loop. */
+  /** Sends a heartbeat to every peer of the data centre. */
+  readonly sendToLocalPeers: () => void;
+  /** Sends a message to other data centres, unless the last one is too recent. */
+  readonly sendToOtherDataCentres: (now: number) => void;
+  /** Sends an extra heartbeat to every peer of the data centre; calls in one turn of the event loop share a message. */
   readonly push: () => void;
   readonly stop: () => void;
 }
 
 const encode = (message: PeerMessage): Uint8Array => toBinary(PeerMessageSchema, message);
 
-const sendEach = (links: readonly PeerLink[], message: PeerMessage): void => {
+const sendToAll = (links: readonly PeerLink[], message: PeerMessage): void => {
   const encoded = encode(message);
   for (const link of links) link.send(encoded);
 };
 
-/** Makes a sender. */
-export const createHeartbeatSender = (parts: HeartbeatSenderDependencies): HeartbeatSender => {
-  const { features } = parts;
+/** Creates a sender; its messages go to the links that exist when they are sent. */
+export const createHeartbeatSender = (dependencies: HeartbeatSenderDependencies): HeartbeatSender => {
+  const { extensions } = dependencies;
   let pushPending = false;
   let stopped = false;
-  let sentFarAt = Number.NEGATIVE_INFINITY;
+  let remoteSentAt = Number.NEGATIVE_INFINITY;
 
   const interval = (): number =>
     Math.min(
       heartbeats.maximumInterval,
-      Math.max(heartbeats.minimumInterval, (parts.countLive() - 1) * heartbeats.intervalPerPeer),
+      Math.max(heartbeats.minimumInterval, (dependencies.countLive() - 1) * heartbeats.intervalPerPeer),
     );
 
   const newMessage = (nextWithin = interval()): PeerMessage =>
     create(PeerMessageSchema, {
-      incarnation: parts.self().incarnation,
+      incarnation: dependencies.self().incarnation,
       nextWithin,
-      leaving: parts.isLeaving(),
+      leaving: dependencies.isLeaving(),
     });
 
-  const representation = (): PeerMessage => {
-    const message = newMessage(heartbeats.representedInterval);
-    for (const feature of features) feature.addToRemoteMessage(message);
+  const remoteMessage = (): PeerMessage => {
+    const message = newMessage(heartbeats.crossDataCentreInterval);
+    for (const extension of extensions) extension.addToRemoteMessage(message);
     return message;
   };
 
-  const introduction = (peer: Peer): Uint8Array => {
-    if (peer.dataCentre !== parts.self().dataCentre) return encode(representation());
+  const firstMessage = (peer: Peer): Uint8Array => {
+    if (peer.dataCentre !== dependencies.self().dataCentre) return encode(remoteMessage());
     const message = newMessage();
-    for (const feature of features) feature.addToFirstMessage(message);
+    for (const extension of extensions) extension.addToFirstMessage(message);
     return encode(message);
   };
 
-  const sendNear = (): void => {
+  const sendToLocalPeers = (): void => {
     if (stopped) return;
     const message = newMessage();
-    for (const feature of features) feature.addToHeartbeat(message);
-    sendEach(parts.links().near(), message);
+    for (const extension of extensions) extension.addToHeartbeat(message);
+    sendToAll(dependencies.links().localLinks(), message);
   };
 
-  const sendFar = (now: number): void => {
-    const far = parts.links().far();
-    if (far.length === 0 || now - sentFarAt < heartbeats.representedInterval) return;
-    sentFarAt = now;
-    sendEach(far, representation());
+  const sendToOtherDataCentres = (now: number): void => {
+    const links = dependencies.links().remoteLinks();
+    if (links.length === 0 || now - remoteSentAt < heartbeats.crossDataCentreInterval) return;
+    remoteSentAt = now;
+    sendToAll(links, remoteMessage());
   };
 
   const push = (): void => {
@@ -95,17 +96,17 @@
     pushPending = true;
     queueMicrotask(() => {
       pushPending = false;
-      sendNear();
+      sendToLocalPeers();
     });
   };
 
   return {
     interval,
     newMessage: () => newMessage(),
-    introduction,
-    sendTo: (name, message) => parts.links().linkTo(name)?.send(encode(message)),
-    sendNear,
-    sendFar,
+    firstMessage,
+    sendTo: (name, message) => dependencies.links().linkTo(name)?.send(encode(message)),
+    sendToLocalPeers,
+    sendToOtherDataCentres,
     push,
     stop: () => (stopped = true),
   };
--- a/src/coordination/membership/listedMembership.test.ts
+++ b/src/coordination/membership/listedMembership.test.ts
@@ -28,13 +28,13 @@
 
   it("gives each key to exactly one live router of the data centre", () => {
     const members = ["a", "b", "c"].map(member);
-    for (const item of members) item.applyVms(vms);
+    for (const membership of members) membership.applyVms(vms);
     for (const key of keys) {
-      expect(members.filter((item) => item.isHome(key)).length).toEqual(1);
+      expect(members.filter((membership) => membership.isHome(key)).length).toEqual(1);
     }
   });
 
-  it("moves only the keys of a router that is gone", () => {
+  it("moves only the keys of a router that has left", () => {
     const before = member("a");
     before.applyVms(vms);
     const kept = keys.filter((key) => before.isHome(key));
@@ -43,13 +43,13 @@
     expect(keys.filter((key) => before.isHome(key)).length).toBeGreaterThan(kept.length);
   });
 
-  it("tells of changes only", () => {
-    const item = member("a");
-    const told: string[] = [];
-    item.subscribe((peers) => told.push(peers.map(({ name }) => name).join("")));
-    item.applyVms(vms);
-    item.applyVms(vms);
-    item.applyVms([]);
-    expect(told).toEqual(["abc", "a"]);
+  it("notifies listeners only of changes", () => {
+    const membership = member("a");
+    const notifications: string[] = [];
+    membership.subscribe((peers) => notifications.push(peers.map(({ name }) => name).join("")));
+    membership.applyVms(vms);
+    membership.applyVms(vms);
+    membership.applyVms([]);
+    expect(notifications).toEqual(["abc", "a"]);
   });
 });
--- a/src/coordination/membership/listedMembership.ts
+++ b/src/coordination/membership/listedMembership.ts
@@ -1,4 +1,4 @@
-/** Membership as the VM list alone tells it; for tests, and until peers have been heard. */
+/** Membership taken from the VM list alone, without heartbeats. */
 import type { ListedVm } from "../../protocol/types.ts";
 import type { Member, MembershipListener } from "./Membership.ts";
 import { Membership } from "./Membership.ts";
@@ -6,45 +6,45 @@
 
 const byName = (left: Member, right: Member): number => (left.name < right.name ? -1 : 1);
 
-/** Counts every live router of the list. */
+/** Every router of this data centre that the VM list shows as live, and always this one. */
 export class ListedMembership extends Membership {
-  private readonly me: Member;
-  private peers: readonly Member[];
+  private readonly selfMember: Member;
+  private members: readonly Member[];
   private readonly listeners = new Set<MembershipListener>();
 
   constructor(self: Member) {
     super();
-    this.me = self;
-    this.peers = [self];
+    this.selfMember = self;
+    this.members = [self];
   }
 
-  /** Takes a whole VM list. */
+  /** Replaces the members by those of a complete VM list. */
   applyVms(vms: readonly ListedVm[]): void {
     const others = vms
       .filter((vm) => vm.role === "router" && vm.state === "live")
-      .filter((vm) => vm.dataCentre === this.me.dataCentre && vm.id !== this.me.name)
+      .filter((vm) => vm.dataCentre === this.selfMember.dataCentre && vm.id !== this.selfMember.name)
       .map((vm) => ({ name: vm.id, dataCentre: vm.dataCentre, incarnation: 0 }));
     const names = others.map((peer) => peer.name).join();
-    const before = this.peers.filter((peer) => peer !== this.me).map((peer) => peer.name);
-    this.peers = [this.me, ...others].sort(byName);
+    const before = this.members.filter((peer) => peer !== this.selfMember).map((peer) => peer.name);
+    this.members = [this.selfMember, ...others].sort(byName);
     if (names === before.join()) return;
-    for (const listener of this.listeners) listener(this.peers);
+    for (const listener of this.listeners) listener(this.members);
   }
 
   override self(): Member {
-    return this.me;
+    return this.selfMember;
   }
 
   override liveMembers(): readonly Member[] {
-    return this.peers;
+    return this.members;
   }
 
   override isHome(key: string): boolean {
-    return rendezvousFirst(key, this.names()) === this.me.name;
+    return rendezvousFirst(key, this.names()) === this.selfMember.name;
   }
 
-  override representatives(matter: string, count: number): readonly string[] {
-    return rendezvousOrder(matter, this.names()).slice(0, count);
+  override representatives(key: string, count: number): readonly string[] {
+    return rendezvousOrder(key, this.names()).slice(0, count);
   }
 
   override subscribe(listener: MembershipListener): () => void {
@@ -53,6 +53,6 @@
   }
 
   private names(): readonly string[] {
-    return this.peers.map((peer) => peer.name);
+    return this.members.map((peer) => peer.name);
   }
 }
--- a/src/coordination/membership/liveMembers.ts
+++ b/src/coordination/membership/liveMembers.ts
@@ -1,63 +1,62 @@
-/** The routers of this data centre that count, and what falls to which of them. */
+/** The live routers of this data centre by the peer directory, and which of them is responsible for a key. */
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Member, MembershipListener } from "./Membership.ts";
 import { rendezvousFirst, rendezvousOrder } from "./rendezvous.ts";
 
-/** What the list is made from. */
 export interface LiveMembersDependencies {
   readonly directory: PeerDirectory;
   readonly self: () => Member;
-  /** True once this router takes no more work. */
+  /** Whether this router accepts no more work. */
   readonly isLeaving: () => boolean;
 }
 
-/** The live members; see `Membership`. */
+/** The live members; the functions of the same name in `Membership` return what these do. */
 export interface LiveMembers {
   readonly current: () => readonly Member[];
   readonly names: () => readonly string[];
   readonly isHome: (key: string) => boolean;
-  readonly representatives: (matter: string, count: number) => readonly string[];
-  /** Makes the list anew, and tells listeners if it is another one. */
+  readonly representatives: (key: string, count: number) => readonly string[];
+  /** Reads the members from the directory again, and notifies listeners if their names have changed. */
   readonly refresh: () => void;
   readonly subscribe: (listener: MembershipListener) => () => void;
 }
 
 const byName = (left: Member, right: Member): number => (left.name < right.name ? -1 : 1);
 
-const isCounted = (peer: Peer): boolean => peer.state === "live" || peer.state === "suspect";
+const isMember = (peer: Peer): boolean => peer.state === "live" || peer.state === "suspect";
 
-/** Makes the list. */
+/** Creates the list from the present state of the directory. */
 export const createLiveMembers = ({ directory, self, isLeaving }: LiveMembersDependencies): LiveMembers => {
   const listeners = new Set<MembershipListener>();
-  /** Asked for every engine again and again, so remembered while the list stays the same. */
-  const homes = new Map<string, boolean>();
+  /** Cached, since it is asked often for every engine; valid until the names of the members change. */
+  const homeByKey = new Map<string, boolean>();
 
-  const count = (): readonly Member[] => {
+  const listMembers = (): readonly Member[] => {
     const me = self();
     const members: Member[] = directory
       .all()
-      .filter((peer) => isCounted(peer) && peer.dataCentre === me.dataCentre)
+      .filter((peer) => isMember(peer) && peer.dataCentre === me.dataCentre)
       .map(({ name, dataCentre, incarnation }) => ({ name, dataCentre, incarnation }));
     if (!isLeaving() || members.length === 0) members.push(me);
     return members.sort(byName);
   };
 
-  let live = count();
+  let live = listMembers();
   const names = (): readonly string[] => live.map(({ name }) => name);
 
   const refresh = (): void => {
     const before = names().join();
-    live = count();
+    live = listMembers();
     if (names().join() === before) return;
-    homes.clear();
+    homeByKey.clear();
     for (const listener of listeners) listener(live);
   };
 
   const isHome = (key: string): boolean => {
-    const known = homes.get(key);
+    const known = homeByKey.get(key);
     if (known !== undefined) return known;
     const home = rendezvousFirst(key, names()) === self().name;
-    homes.set(key, home);
+    homeByKey.set(key, home);
     return home;
   };
 
@@ -65,7 +64,7 @@
     current: () => live,
     names,
     isHome,
-    representatives: (matter, wanted) => rendezvousOrder(matter, names()).slice(0, wanted),
+    representatives: (key, count) => rendezvousOrder(key, names()).slice(0, count),
     refresh,
     subscribe: (listener) => {
       listeners.add(listener);
--- a/src/coordination/membership/peerMembership.test.ts
+++ b/src/coordination/membership/peerMembership.test.ts
@@ -4,7 +4,7 @@
 import type { PeerNodes } from "../../../tests/support/peerNodes.ts";
 import type { EngineLoad, ListedVm } from "../../protocol/types.ts";
 
-/** Long enough for a silent peer of a few to be taken for dead, milliseconds. */
+/** Enough for an unreachable peer to become dead in a data centre of a few routers, milliseconds. */
 const untilDead = 4_000;
 
 const startNodes = async (...names: readonly string[]): Promise<PeerNodes> => {
@@ -41,7 +41,7 @@
 });
 
 describe("membership by heartbeats", { timeout: 60_000 }, () => {
-  it("takes a silent router for dead, and its keys fall to others", async () => {
+  it("marks a router without heartbeats as dead, and moves its keys to others", async () => {
     await using nodes = await startNodes("a", "b", "c");
     expect(liveAt(nodes, "a", "b", "c")).toEqual(["abc", "abc", "abc"]);
     nodes.freeze("c");
@@ -53,7 +53,7 @@
     expect(keys.every((key) => homes(key) === 1)).toEqual(true);
   });
 
-  it("lets a frozen router come back under a higher incarnation only", async () => {
+  it("readmits a frozen router only under a higher incarnation", async () => {
     await using nodes = await startNodes("a", "b", "c");
     const before = nodes.node("c").membership.self().incarnation;
     nodes.freeze("c");
@@ -68,7 +68,7 @@
     );
   });
 
-  it("blames nobody for its own standing still", async () => {
+  it("does not suspect peers after a pause of its own process", async () => {
     await using nodes = await startNodes("a", "b", "c");
     nodes.freeze("c");
     await nodes.advance(60_000);
@@ -82,7 +82,7 @@
     expect(liveAt(nodes, "a", "b", "c")).toEqual(["abc", "abc", "abc"]);
   });
 
-  it("keeps a peer that it can't hear but others do", async () => {
+  it("keeps a peer whose heartbeats reach only other routers", async () => {
     await using nodes = await startNodes("a", "b", "c", "d");
     nodes.cut("a", "b");
     for (let second = 0; second < 20; second += 1) {
@@ -91,7 +91,7 @@
     }
   });
 
-  it("splits and heals with a partition", async () => {
+  it("splits in a network partition and merges again after it", async () => {
     await using nodes = await startNodes("a", "b", "c", "d");
     for (const left of ["a", "b"]) for (const right of ["c", "d"]) nodes.cut(left, right);
     await nodes.advance(untilDead);
@@ -101,7 +101,7 @@
     expect(liveAt(nodes, "a", "b", "c", "d")).toEqual(["abcd", "abcd", "abcd", "abcd"]);
   });
 
-  it("takes a restarted router at once, and nothing more from its predecessor", async () => {
+  it("accepts a restarted router at once, and nothing more from its earlier process", async () => {
     await using nodes = await startNodes("a", "b");
     const predecessor = nodes.node("b");
     await predecessor.controls[Symbol.asyncDispose]();
@@ -114,7 +114,7 @@
     expect(nodes.node("a").peers.hear("b", old, 250, false, nodes.now())).toEqual(false);
   });
 
-  it("tells at once that it leaves", async () => {
+  it("announces at once that it leaves", async () => {
     await using nodes = await startNodes("a", "b");
     nodes.node("b").controls.leave();
     await nodes.advance(25);
@@ -122,7 +122,7 @@
   });
 });
 
-describe("engines' loads between peers", { timeout: 60_000 }, () => {
+describe("exchange of engine loads", { timeout: 60_000 }, () => {
   const withEngines = async (): Promise<PeerNodes> => {
     const nodes = await startNodes("a", "b", "c");
     const vms = Array.from({ length: 9 }, (_, index) => engineVm(`engine-${index}`));
@@ -135,7 +135,7 @@
     nodes.node(home).engines.applyLoad(id, { ...load, ...changes }, nodes.now());
   };
 
-  it("spread from each engine's home to all", async () => {
+  it("sends reports from each engine's home to all routers", async () => {
     await using nodes = await withEngines();
     for (let index = 0; index < 9; index += 1) report(nodes, `engine-${index}`, { running: index });
     await nodes.advance(500);
@@ -145,7 +145,7 @@
     }
   });
 
-  it("reach a peer whose stream is opened later, and one that forgot them", async () => {
+  it("reaches a peer that has restarted and whose stream is opened later", async () => {
     await using nodes = await withEngines();
     report(nodes, "engine-1");
     await nodes.advance(500);
@@ -158,13 +158,13 @@
     expect(late.engines.get("engine-1")?.load?.running).toEqual(7);
   });
 
-  it("go on being understood after the home's incarnation rose", async () => {
+  it("describes engines again after the incarnation of their home has risen", async () => {
     await using nodes = await withEngines();
     for (let index = 0; index < 9; index += 1) report(nodes, `engine-${index}`);
     await nodes.advance(500);
     const { incarnation } = nodes.node("a").membership.self();
     for (const name of ["a", "b"]) {
-      // Somebody knows a newer incarnation, and says so when the connection is made anew.
+      // A peer knows a newer incarnation, and reports it when the connection is opened again.
       const identity = {
         name,
         dataCentre: "amman-north",
@@ -186,7 +186,7 @@
     expect(seen).toEqual([10, 11, 12, 13, 14, 15, 16, 17, 18]);
   });
 
-  it("push an engine that leaves before the next heartbeat is due", async () => {
+  it("announces a leaving engine before the next heartbeat is due", async () => {
     await using nodes = await withEngines();
     report(nodes, "engine-3");
     await nodes.advance(500);
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -1,6 +1,6 @@
 /**
- * The live membership by heartbeats: one task for each peer holds a stream to it, and one timer sends every
- * peer what there is to say and judges who has been silent for too long.
+ * The live membership by heartbeats. One task for each peer keeps a stream to it; one timer sends heartbeats and
+ * detects peers whose heartbeats have failed to arrive for too long.
  */
 import { create } from "@bufbuild/protobuf";
 import { randomBytes } from "node:crypto";
@@ -27,43 +27,43 @@
 import { Membership } from "./Membership.ts";
 import type { PeerMessageExtension } from "./PeerMessageExtension.ts";
 import { createPeerLinks } from "./peerLinks.ts";
-import { createStallGuard } from "./processPauseGuard.ts";
+import { createProcessPauseGuard } from "./processPauseGuard.ts";
 import { createSuspicions } from "./suspicions.ts";
 
-/** What the membership works with. */
 export interface PeerMembershipDependencies {
   readonly name: string;
   readonly dataCentre: string;
-  /** The first incarnation; milliseconds since 1970 do, since a VM's name is not started twice in one. */
+  /** The first incarnation. Milliseconds since 1970 are unique: the same VM's process does not start twice in one. */
   readonly incarnation: number;
   readonly network: PeerNetwork;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** A number from 0 to below 1, so that retries of many routers spread. */
+  /** A number from 0 to below 1, for the jitter of retries. */
   readonly random: () => number;
-  /** Answers the questions that are not about membership. */
+  /** Answers the questions that are not about joining. */
   readonly answer: (question: Question) => Answer;
 }
 
-/** What the wiring of the membership needs besides {@link Membership}. */
+/** How the daemon drives the membership; the other modules only see {@link Membership}. */
 export interface MembershipControls {
-  /** What the peer server hands on. */
+  /** Handles questions and messages that the peer server receives. */
   readonly handler: PeerHandler;
-  /** Adds a matter to the messages; before `start`. */
-  readonly addExtension: (feature: PeerMessageExtension) => void;
-  /** @param url - Where this router's peer server listens. */
+  /** Adds a kind of data to the messages; to be called before `start`. */
+  readonly addExtension: (extension: PeerMessageExtension) => void;
+  /** Starts heartbeats. @param url - Where this router's peer server listens. */
   readonly start: (url: string) => void;
+  /** Updates the peers from a complete VM list. */
   readonly applyVms: (vms: readonly ListedVm[]) => void;
-  /** Sends what there is to say at once instead of with the next heartbeat. */
+  /** Sends pending updates at once instead of with the next heartbeat. */
   readonly push: () => void;
-  /** Tells all peers that this router takes no more work. */
+  /** Announces to all peers that this router accepts no more work. */
   readonly leave: () => void;
-  /** For a state dump. */
+  /** For the operator's dump. */
   readonly dump: () => unknown;
 }
 
-/** A membership with its controls. */
+/** A membership with its controls; disposal stops heartbeats and closes the streams. */
 export interface PeerMembership extends MembershipControls, AsyncDisposable {
   readonly membership: Membership;
 }
@@ -72,7 +72,7 @@
 
 const writeLog = createLogger("membership");
 
-/** Bytes of a session's name. */
+/** Length of a session's random name, bytes. */
 const sessionLength = 16;
 
 const peerView = (peer: Peer, now: number, hasStream: boolean) => ({
@@ -92,31 +92,35 @@
   url: peerUrl,
 });
 
-/** @param passed - The incarnation that the joining router has to pass; nothing if it is let in. */
-const answerJoin = (self: RouterFields, incarnation: number, passed: number | undefined): Answer => {
-  const accepted = passed === undefined;
+/** @param incarnationToExceed - The joining router's incarnation must be above this; `undefined` if it is accepted. */
+const answerJoin = (
+  self: RouterFields,
+  incarnation: number,
+  incarnationToExceed: number | undefined,
+): Answer => {
+  const accepted = incarnationToExceed === undefined;
   const value = {
     accepted,
-    knownIncarnation: passed ?? incarnation,
+    knownIncarnation: incarnationToExceed ?? incarnation,
     router: self,
     session: accepted ? randomBytes(sessionLength) : new Uint8Array(),
   };
   return create(AnswerSchema, { body: { case: "joined", value } });
 };
 
-/** Membership as heartbeats tell it. */
+/** Exposes the live members as a `Membership`. */
 class HeartbeatMembership extends Membership {
-  private readonly me: () => Member;
+  private readonly getSelf: () => Member;
   private readonly members: LiveMembers;
 
-  constructor(me: () => Member, members: LiveMembers) {
+  constructor(getSelf: () => Member, members: LiveMembers) {
     super();
-    this.me = me;
+    this.getSelf = getSelf;
     this.members = members;
   }
 
   override self(): Member {
-    return this.me();
+    return this.getSelf();
   }
 
   override liveMembers(): readonly Member[] {
@@ -127,8 +131,8 @@
     return this.members.isHome(key);
   }
 
-  override representatives(matter: string, count: number): readonly string[] {
-    return this.members.representatives(matter, count);
+  override representatives(key: string, count: number): readonly string[] {
+    return this.members.representatives(key, count);
   }
 
   override subscribe(listener: MembershipListener): () => void {
@@ -136,35 +140,35 @@
   }
 }
 
-/** Starts nothing yet: see `start`. */
-export const createPeerMembership = (parts: PeerMembershipDependencies): PeerMembership => {
-  const { name, dataCentre, network, directory, clock, metrics } = parts;
-  const features: PeerMessageExtension[] = [];
-  let incarnation = parts.incarnation;
+/** Creates a membership; nothing is sent before `start`. */
+export const createPeerMembership = (dependencies: PeerMembershipDependencies): PeerMembership => {
+  const { name, dataCentre, network, directory, clock, metrics } = dependencies;
+  const extensions: PeerMessageExtension[] = [];
+  let incarnation = dependencies.incarnation;
   let leaving = false;
   let url = "";
   let stopped = false;
-  let callOff = (): void => undefined;
+  let cancelTick = (): void => undefined;
 
   const self = (): Member => ({ name, dataCentre, incarnation });
   const identity = (): RouterFields => ({ name, dataCentre, incarnation, peerUrl: url });
-  const guard = createStallGuard(clock.monotonic(), directory.forgive);
+  const guard = createProcessPauseGuard(clock.monotonic(), directory.forgive);
   const members = createLiveMembers({ directory, self, isLeaving: () => leaving });
 
   const sender = createHeartbeatSender({
     self,
     isLeaving: () => leaving,
     countLive: () => members.current().length,
-    features,
+    extensions,
     links: () => links,
   });
 
-  /** Somebody knows a newer incarnation of this router, or took this one for dead. */
-  const rise = (known: number): void => {
+  /** Rises above the incarnation that a peer knows, if that is newer or the peer took this one for dead. */
+  const raiseIncarnation = (known: number): void => {
     if (known < incarnation) return;
     incarnation = known + 1;
     writeLog("incarnation_raised", { incarnation });
-    for (const feature of features) feature.onNewIncarnation();
+    for (const extension of extensions) extension.onNewIncarnation();
     members.refresh();
   };
 
@@ -172,25 +176,25 @@
     network,
     directory,
     clock,
-    random: parts.random,
+    random: dependencies.random,
     dataCentre,
     identity,
-    introduction: sender.introduction,
-    rise,
+    firstMessage: sender.firstMessage,
+    raiseIncarnation,
     isRepresentative: (other) => members.representatives(`representative/${other}`, 1)[0] === name,
   });
 
   const tick = (): void => {
     if (stopped) return;
     const now = clock.monotonic();
-    guard.check(now);
+    guard.detectPause(now);
     guard.noteTick(now, sender.interval());
     directory.judge(now);
     suspicions.askAll();
     links.reconcile();
-    sender.sendNear();
-    sender.sendFar(now);
-    callOff = clock.after(sender.interval(), tick);
+    sender.sendToLocalPeers();
+    sender.sendToOtherDataCentres(now);
+    cancelTick = clock.after(sender.interval(), tick);
   };
 
   const suspicions = createSuspicions({
@@ -205,26 +209,26 @@
 
   const receive = (from: Router, message: PeerMessage): boolean => {
     const now = clock.monotonic();
-    guard.check(now);
+    guard.detectPause(now);
     if (!guard.isTrusted(from)) return false;
-    const { nextWithin, leaving: fromLeaves, sightings } = message;
-    if (!directory.hear(from.name, message.incarnation, nextWithin, fromLeaves, now)) return false;
-    for (const { name: seen, incarnation: seenIncarnation, age } of sightings) {
-      directory.sight(seen, seenIncarnation, now - age, now);
+    const { nextWithin, leaving: isSenderLeaving, sightings } = message;
+    if (!directory.hear(from.name, message.incarnation, nextWithin, isSenderLeaving, now)) return false;
+    for (const { name: sightedName, incarnation: sightedIncarnation, age } of sightings) {
+      directory.sight(sightedName, sightedIncarnation, now - age, now);
     }
     if (message.suspicions.length > 0) suspicions.answer(from.name, message.suspicions);
-    for (const feature of features) feature.receive(from, message);
+    for (const extension of extensions) extension.receive(from, message);
     return true;
   };
 
   const admit = ({ router }: Join): Answer => {
     if (router === undefined || router.name === "" || router.name === name) {
-      throw peerError("A peer must have a name of its own.", "refused");
+      throw peerError("A joining peer must have a name, and not the name of this router.", "refused");
     }
-    const passed = directory.admit(identityOf(router), clock.monotonic());
-    if (passed === undefined) guard.trust(router);
-    links.wake(router.name);
-    return answerJoin(identity(), router.incarnation, passed);
+    const incarnationToExceed = directory.admit(identityOf(router), clock.monotonic());
+    if (incarnationToExceed === undefined) guard.trust(router);
+    links.retryNow(router.name);
+    return answerJoin(identity(), router.incarnation, incarnationToExceed);
   };
 
   const unsubscribe = directory.subscribe(({ peer, from }) => {
@@ -236,7 +240,7 @@
 
   const handler: PeerHandler = {
     answer: (question) =>
-      question.body.case === "join" ? admit(question.body.value) : parts.answer(question),
+      question.body.case === "join" ? admit(question.body.value) : dependencies.answer(question),
     receive,
     lost: (from) => {
       if (guard.isTrusted(from)) directory.markBroken(from.name, clock.monotonic());
@@ -255,7 +259,7 @@
     membership: new HeartbeatMembership(self, members),
     handler,
     push: sender.push,
-    addExtension: (feature) => features.push(feature),
+    addExtension: (extension) => extensions.push(extension),
     start: (listeningUrl) => {
       url = listeningUrl;
       tick();
@@ -274,7 +278,7 @@
     [Symbol.asyncDispose]: async () => {
       stopped = true;
       sender.stop();
-      callOff();
+      cancelTick();
       unsubscribe();
       await links[Symbol.asyncDispose]();
     },
--- a/src/coordination/membership/processPauseGuard.ts
+++ b/src/coordination/membership/processPauseGuard.ts
@@ -1,19 +1,19 @@
 /**
- * Notices that this process itself stood still (paused, swapped out). It has then missed messages by its own
- * fault, and finds old ones in its sockets as though they had just come: it blames nobody, and takes nothing
- * from streams opened before.
+ * Detects that this process itself was paused, for example suspended or swapped out. It has then missed
+ * heartbeats through no fault of its peers, and reads old messages from its sockets as if they were new: it must
+ * not take peers for dead, and must ignore streams that were opened before the pause.
  */
 import type { Router } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 import { createLogger } from "../../state/log.ts";
 import { heartbeats } from "./constants.ts";
 
-/** See the module. Times are milliseconds on the monotonic clock. */
-export interface StallGuard {
-  /** Notes that the timer for heartbeats has run; the next run is due after `interval`. */
+/** Detects pauses, and knows which streams were opened since. Times are milliseconds on the monotonic clock. */
+export interface ProcessPauseGuard {
+  /** Records that the heartbeat timer has fired; it is due again after `interval`. */
   readonly noteTick: (now: number, interval: number) => void;
-  /** Looks whether the timer is overdue; to be called before anything that depends on it. */
-  readonly check: (now: number) => void;
-  /** Takes a sender that has just joined, in place of an earlier one of the same name. */
+  /** Checks whether the timer is overdue. Call it before anything that a pause would falsify. */
+  readonly detectPause: (now: number) => void;
+  /** Accepts the stream of a sender that has just joined, in place of an earlier one of the same name. */
   readonly trust: (sender: Router) => void;
   readonly isTrusted: (sender: Router) => boolean;
 }
@@ -21,25 +21,29 @@
 const writeLog = createLogger("membership");
 
 /**
- * Makes a guard.
+ * Creates a guard.
  *
- * @param onStall - Called when the process has stood still.
+ * @param startedAt - Milliseconds on the monotonic clock.
+ * @param onPause - Called after a pause has been detected.
  */
-export const createStallGuard = (startedAt: number, onStall: (now: number) => void): StallGuard => {
+export const createProcessPauseGuard = (
+  startedAt: number,
+  onPause: (now: number) => void,
+): ProcessPauseGuard => {
   let dueAt = startedAt;
-  /** The sender of each peer's latest stream, by the peer's name. */
+  /** The sender of each peer's latest stream, by the peer's name; empty after a pause. */
   const trusted = new Map<string, Router>();
   return {
     noteTick: (now, interval) => {
       dueAt = now + interval;
     },
-    check: (now) => {
-      const late = now - dueAt;
-      if (late <= heartbeats.stalledAfter) return;
-      writeLog("stood_still", { milliseconds: Math.round(late) });
+    detectPause: (now) => {
+      const overdue = now - dueAt;
+      if (overdue <= heartbeats.processPauseThreshold) return;
+      writeLog("stood_still", { milliseconds: Math.round(overdue) });
       dueAt = now;
       trusted.clear();
-      onStall(now);
+      onPause(now);
     },
     trust: (sender) => trusted.set(sender.name, sender),
     isTrusted: (sender) => trusted.get(sender.name) === sender,
--- a/src/coordination/membership/questionHandler.ts
+++ b/src/coordination/membership/questionHandler.ts
@@ -1,4 +1,4 @@
-/** Answers to peers that lack something: the configuration, or, after a restart, everything. */
+/** Answers peers that ask for the configuration or, after a restart, for a snapshot of this router's state. */
 import { create } from "@bufbuild/protobuf";
 import { peerError } from "../../protocol/peers/errors.ts";
 import { AnswerSchema } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
@@ -8,52 +8,52 @@
 import type { EngineDirectory } from "../../state/engineDirectory.ts";
 import { encodeConfigurationState } from "../../state/peerConfiguration.ts";
 import type { Clock } from "../clock.ts";
-import { describeEngine, hasReported, reportEngine } from "./engineReports.ts";
+import { encodeEngine, hasReported, encodeReport } from "./engineReports.ts";
 
-/** What answers are made from. */
 export interface QuestionHandlerDependencies {
   readonly history: ConfigurationHistory;
   readonly engines: EngineDirectory;
   readonly clock: Clock;
-  /** The last VM list that was read. */
+  /** The latest VM list; empty before the first one. */
   readonly vms: () => readonly ListedVm[];
 }
 
-/** @returns A function that answers; it throws `PeerError` for what it does not know. */
+/** @returns A function that answers a question. It throws `PeerError` for an unknown kind of question. */
 export const createQuestionHandler = (
-  parts: QuestionHandlerDependencies,
+  dependencies: QuestionHandlerDependencies,
 ): ((question: Question) => Answer) => {
-  const { history, engines, clock } = parts;
-  let wholeVersion: number | undefined;
-  let whole = "";
+  const { history, engines, clock } = dependencies;
+  let encodedVersion: number | undefined;
+  let encodedConfiguration = "";
 
-  /** A herd that restarts asks for the same many times. */
-  const wholeConfiguration = (): string => {
+  /** Cached for each version: many routers that restart together all ask for it. */
+  const fullConfiguration = (): string => {
     const version = history.current()?.version;
-    if (version !== wholeVersion || whole === "") whole = encodeConfigurationState(history.snapshot());
-    wholeVersion = version;
-    return whole;
+    if (version !== encodedVersion || encodedConfiguration === "")
+      encodedConfiguration = encodeConfigurationState(history.snapshot());
+    encodedVersion = version;
+    return encodedConfiguration;
   };
 
   const configurationSince = (base: number | undefined): Answer => {
     const changes = base === undefined ? undefined : history.changesSince(base);
-    const json = changes === undefined ? wholeConfiguration() : encodeConfigurationState(changes);
+    const json = changes === undefined ? fullConfiguration() : encodeConfigurationState(changes);
     return create(AnswerSchema, { body: { case: "configuration", value: { json } } });
   };
 
-  /** Empty without a configuration: a herd with none would else send each other its engines over and over. */
+  /** Empty without a configuration: routers that all lack one would otherwise exchange their engines repeatedly. */
   const snapshot = (): Answer => {
     if (history.current() === undefined) {
       return create(AnswerSchema, { body: { case: "snapshot", value: {} } });
     }
     const now = clock.monotonic();
     const reported = engines.all().filter(hasReported);
-    const vms = parts.vms();
+    const vms = dependencies.vms();
     const value = {
-      configuration: wholeConfiguration(),
+      configuration: fullConfiguration(),
       vms: vms.length === 0 ? "" : JSON.stringify(vms),
-      engines: reported.map(describeEngine),
-      reports: reported.map((engine, number) => reportEngine(engine, number, now)),
+      engines: reported.map(encodeEngine),
+      reports: reported.map((engine, number) => encodeReport(engine, number, now)),
     };
     return create(AnswerSchema, { body: { case: "snapshot", value } });
   };
@@ -61,6 +61,6 @@
   return ({ body }) => {
     if (body.case === "readConfiguration") return configurationSince(body.value.base);
     if (body.case === "readSnapshot") return snapshot();
-    throw peerError("The question is unknown.", "malformed");
+    throw peerError("This kind of question is unknown.", "malformed");
   };
 };
--- a/src/coordination/membership/rendezvous.ts
+++ b/src/coordination/membership/rendezvous.ts
@@ -1,4 +1,4 @@
-/** Rendezvous hashing: every process that knows the same candidates picks the same ones, with no message. */
+/** Rendezvous hashing: processes that know the same candidates make the same choice without communicating. */
 import { hash64 } from "../../protocol/prefixLevels.ts";
 
 interface Scored {
@@ -13,14 +13,14 @@
   return left.candidate < right.candidate ? -1 : 1;
 };
 
-/** @returns The candidates from the key's first choice to its last. */
+/** @returns All candidates, the key's first choice first. */
 export const rendezvousOrder = (key: string, candidates: readonly string[]): readonly string[] =>
   candidates
     .map((candidate) => ({ candidate, score: score(key, candidate) }))
     .sort(byScore)
     .map(({ candidate }) => candidate);
 
-/** @returns The key's first choice; nothing if there are no candidates. */
+/** @returns The key's first choice; `undefined` if there are no candidates. */
 export const rendezvousFirst = (key: string, candidates: readonly string[]): string | undefined => {
   let best: Scored | undefined;
   for (const candidate of candidates) {
--- a/src/coordination/membership/summaryExchange.ts
+++ b/src/coordination/membership/summaryExchange.ts
@@ -1,6 +1,7 @@
 /**
- * Tells other data centres in few words how loaded this one's engines are, and names those with most room, so
- * that work can spill there. One router speaks for a data centre; whoever hears it tells its own peers.
+ * Sends other data centres a summary of the load of this one's engines, with the engines that have most spare
+ * capacity, so that work can overflow to them. One router represents its data centre to another one; the router
+ * that receives a summary forwards it to the peers of its own data centre.
  */
 import { create } from "@bufbuild/protobuf";
 import { SummarySchema } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
@@ -11,13 +12,12 @@
 } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 import type { EngineDirectory } from "../../state/engineDirectory.ts";
 import type { Clock } from "../clock.ts";
-import { spareEngines, summaryPatience } from "./constants.ts";
+import { maxSpareEngines, summaryTimeout } from "./constants.ts";
 import type { ReportedEngine } from "./engineReports.ts";
-import { describeEngine, hasReported, joinReport, reportEngine } from "./engineReports.ts";
+import { encodeEngine, hasReported, decodeLoad, encodeReport } from "./engineReports.ts";
 import type { Membership } from "./Membership.ts";
 import { PeerMessageExtension } from "./PeerMessageExtension.ts";
 
-/** What the exchange works with. */
 export interface SummaryExchangeDependencies {
   readonly engines: EngineDirectory;
   readonly membership: Membership;
@@ -27,10 +27,10 @@
 const sum = (engines: readonly ReportedEngine[], value: (engine: ReportedEngine) => number): number =>
   engines.reduce((total, engine) => total + Math.max(0, Math.round(value(engine))), 0);
 
-const requestsAt = ({ load }: ReportedEngine): number => load.running + load.waiting;
+const requestCount = ({ load }: ReportedEngine): number => load.running + load.waiting;
 
-const byRoom = (left: ReportedEngine, right: ReportedEngine): number =>
-  requestsAt(left) - requestsAt(right) || (left.id < right.id ? -1 : 1);
+const byRequestCount = (left: ReportedEngine, right: ReportedEngine): number =>
+  requestCount(left) - requestCount(right) || (left.id < right.id ? -1 : 1);
 
 const groupByPool = (engines: readonly ReportedEngine[]): ReadonlyMap<string, readonly ReportedEngine[]> => {
   const pools = new Map<string, ReportedEngine[]>();
@@ -42,31 +42,31 @@
   return pools;
 };
 
-/** The summaries, out and in. */
+/** Sends this data centre's summaries, and applies and forwards those of others. */
 export class SummaryExchange extends PeerMessageExtension {
-  private readonly parts: SummaryExchangeDependencies;
-  /** When each other data centre was last heard of, milliseconds on the monotonic clock. */
-  private readonly heardAt = new Map<string, number>();
-  /** Heard from abroad and not yet told here. */
-  private untold: Summary[] = [];
+  private readonly dependencies: SummaryExchangeDependencies;
+  /** When something was last received from or about each other data centre, milliseconds on the monotonic clock. */
+  private readonly lastReceivedAt = new Map<string, number>();
+  /** Received from other data centres, and not yet forwarded to the peers of this one. */
+  private unforwarded: Summary[] = [];
 
-  constructor(parts: SummaryExchangeDependencies) {
+  constructor(dependencies: SummaryExchangeDependencies) {
     super();
-    this.parts = parts;
+    this.dependencies = dependencies;
   }
 
-  /** Whether nothing has been heard of a data centre's engines for long. */
+  /** Whether neither a message nor a summary of a data centre has arrived within `summaryTimeout`. */
   readonly isUnreachable = (dataCentre: string): boolean =>
-    this.parts.clock.monotonic() - (this.heardAt.get(dataCentre) ?? Number.NEGATIVE_INFINITY) >
-    summaryPatience;
+    this.dependencies.clock.monotonic() - (this.lastReceivedAt.get(dataCentre) ?? Number.NEGATIVE_INFINITY) >
+    summaryTimeout;
 
   override readonly addToHeartbeat = (message: PeerMessage): void => {
-    message.summaries.push(...this.untold);
-    this.untold = [];
+    message.summaries.push(...this.unforwarded);
+    this.unforwarded = [];
   };
 
   override readonly addToRemoteMessage = (message: PeerMessage): void => {
-    const { engines, membership, clock } = this.parts;
+    const { engines, membership, clock } = this.dependencies;
     const { dataCentre } = membership.self();
     const here = engines
       .all()
@@ -77,37 +77,38 @@
   };
 
   override readonly receive = (sender: Router, message: PeerMessage): void => {
-    const { dataCentre } = this.parts.membership.self();
-    const isAbroad = sender.dataCentre !== dataCentre;
-    if (isAbroad) this.heardAt.set(sender.dataCentre, this.parts.clock.monotonic());
+    const { dataCentre } = this.dependencies.membership.self();
+    const isFromOtherDataCentre = sender.dataCentre !== dataCentre;
+    if (isFromOtherDataCentre)
+      this.lastReceivedAt.set(sender.dataCentre, this.dependencies.clock.monotonic());
     for (const summary of message.summaries) {
       if (summary.dataCentre === dataCentre) continue;
-      this.take(summary);
-      if (isAbroad) this.untold.push(summary);
+      this.applySummary(summary);
+      if (isFromOtherDataCentre) this.unforwarded.push(summary);
     }
   };
 
   private summarise(pool: string, members: readonly ReportedEngine[], now: number): Summary {
-    const spare = [...members].sort(byRoom).slice(0, spareEngines);
+    const spare = [...members].sort(byRequestCount).slice(0, maxSpareEngines);
     return create(SummarySchema, {
-      dataCentre: this.parts.membership.self().dataCentre,
+      dataCentre: this.dependencies.membership.self().dataCentre,
       pool,
       engines: members.length,
       running: sum(members, ({ load }) => load.running),
       waiting: sum(members, ({ load }) => load.waiting),
       pendingPromptTokens: sum(members, ({ load }) => load.pendingPromptTokens),
-      spare: spare.map(describeEngine),
-      spareReports: spare.map((engine, number) => reportEngine(engine, number, now)),
+      spare: spare.map(encodeEngine),
+      spareReports: spare.map((engine, number) => encodeReport(engine, number, now)),
     });
   }
 
-  private take(summary: Summary): void {
-    const now = this.parts.clock.monotonic();
-    this.heardAt.set(summary.dataCentre, now);
+  private applySummary(summary: Summary): void {
+    const now = this.dependencies.clock.monotonic();
+    this.lastReceivedAt.set(summary.dataCentre, now);
     for (const report of summary.spareReports) {
       const engine = summary.spare.find((item) => item.number === report.number);
       if (engine !== undefined) {
-        this.parts.engines.applyLoad(engine.id, joinReport(engine, report), now - report.age);
+        this.dependencies.engines.applyLoad(engine.id, decodeLoad(engine, report), now - report.age);
       }
     }
   }
--- a/src/coordination/membership/suspicions.ts
+++ b/src/coordination/membership/suspicions.ts
@@ -1,4 +1,4 @@
-/** Asking others about a peer that is silent, and answering when they ask. */
+/** Indirect checks of suspect peers: asks other routers whether they receive heartbeats, and answers them. */
 import { create } from "@bufbuild/protobuf";
 import {
   SightingSchema,
@@ -7,52 +7,51 @@
 import type { PeerMessage, Suspicion } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Clock } from "../clock.ts";
-import { askedAboutSuspect } from "./constants.ts";
+import { indirectProbeCount } from "./constants.ts";
 import { rendezvousOrder } from "./rendezvous.ts";
 
-/** What questions about suspects need. */
 export interface SuspicionsDependencies {
   readonly name: string;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
   readonly liveNames: () => readonly string[];
   readonly newMessage: () => PeerMessage;
-  /** Sends to one peer, if there is a stream. */
+  /** Sends to one peer; does nothing if there is no stream to it. */
   readonly sendTo: (name: string, message: PeerMessage) => void;
-  /** Shows everybody that this router lives. */
+  /** Sends a heartbeat to all peers of the data centre at once. */
   readonly push: () => void;
 }
 
-/** See the module. */
+/** The questions and answers about suspect peers. */
 export interface Suspicions {
-  /** Asks the suspect itself, and some others whether they hear it. */
+  /** Sends the suspicion to the suspect itself and to some other routers. */
   readonly ask: (suspect: Peer) => void;
-  /** Asks about every peer that is suspect by now. */
+  /** Asks about every peer that is suspect now. */
   readonly askAll: () => void;
-  /** Tells the asker which of its suspects this router hears. */
+  /** Reports to the asker which of its suspects are alive to this router; if it is one itself, sends a heartbeat. */
   readonly answer: (asker: string, suspicions: readonly Suspicion[]) => void;
 }
 
-/** Intervals within which a peer counts as heard. */
-const heardIntervals = 2;
+/** A heartbeat is recent within this many of the peer's announced intervals. */
+const recentIntervals = 2;
 
-const hears = (peer: Peer, incarnation: number, now: number): boolean =>
+const hasRecentHeartbeat = (peer: Peer, incarnation: number, now: number): boolean =>
   peer.state === "live" &&
   peer.incarnation >= incarnation &&
-  now - peer.heardAt <= heardIntervals * peer.nextWithin;
+  now - peer.heardAt <= recentIntervals * peer.nextWithin;
 
-/** Makes the two halves. */
-export const createSuspicions = (parts: SuspicionsDependencies): Suspicions => {
-  const { name, directory, clock } = parts;
+/** Creates the functions that ask and answer. */
+export const createSuspicions = (dependencies: SuspicionsDependencies): Suspicions => {
+  const { name, directory, clock } = dependencies;
 
   const ask = (suspect: Peer): void => {
-    const message = parts.newMessage();
+    const message = dependencies.newMessage();
     const { name: suspectName, incarnation } = suspect;
     message.suspicions = [create(SuspicionSchema, { name: suspectName, incarnation })];
-    const others = parts.liveNames().filter((other) => other !== name && other !== suspectName);
-    const chance = `${name}/${suspectName}/${clock.monotonic()}`;
-    const asked = rendezvousOrder(chance, others).slice(0, askedAboutSuspect);
-    for (const other of [suspectName, ...asked]) parts.sendTo(other, message);
+    const others = dependencies.liveNames().filter((other) => other !== name && other !== suspectName);
+    const selectionKey = `${name}/${suspectName}/${clock.monotonic()}`;
+    const asked = rendezvousOrder(selectionKey, others).slice(0, indirectProbeCount);
+    for (const other of [suspectName, ...asked]) dependencies.sendTo(other, message);
   };
 
   const askAll = (): void => {
@@ -63,16 +62,16 @@
 
   const answer = (asker: string, suspicions: readonly Suspicion[]): void => {
     const now = clock.monotonic();
-    if (suspicions.some((suspicion) => suspicion.name === name)) parts.push();
-    const message = parts.newMessage();
+    if (suspicions.some((suspicion) => suspicion.name === name)) dependencies.push();
+    const message = dependencies.newMessage();
     for (const suspicion of suspicions) {
       const peer = directory.get(suspicion.name);
-      if (peer === undefined || !hears(peer, suspicion.incarnation, now)) continue;
-      const { name: heard, incarnation, heardAt } = peer;
+      if (peer === undefined || !hasRecentHeartbeat(peer, suspicion.incarnation, now)) continue;
+      const { name: peerName, incarnation, heardAt } = peer;
       const age = Math.round(now - heardAt);
-      message.sightings.push(create(SightingSchema, { name: heard, incarnation, age }));
+      message.sightings.push(create(SightingSchema, { name: peerName, incarnation, age }));
     }
-    if (message.sightings.length > 0) parts.sendTo(asker, message);
+    if (message.sightings.length > 0) dependencies.sendTo(asker, message);
   };
 
   return { ask, askAll, answer };
