--- a/src/coordination/forwarding/retryShare.ts
+++ b/src/coordination/forwarding/retryShare.ts
@@ -3,8 +3,8 @@
  * the sliding window, and an even part of the shared reserve.
  */
 import type { Clock } from "../clock.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import type { ForwardingBounds } from "./types.ts";
 
 /** Resolution of the sliding window. */
@@ -25,8 +25,8 @@
 
 /** Requests and retries of one service in the window. */
 interface Counts {
-  readonly requests: SlidingCount;
-  readonly retries: SlidingCount;
+  readonly requests: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
 export interface RetryShareDependencies {
@@ -43,7 +43,8 @@
   const countsOf = (service: string): Counts => {
     const known = services.get(service);
     if (known !== undefined) return known;
-    const count = (): SlidingCount => createSlidingCount(clock, bounds.retryWindow, bucketsPerWindow);
+    const count = (): SlidingWindowCounter =>
+      createSlidingWindowCounter(clock, bounds.retryWindow, bucketsPerWindow);
     const made = { requests: count(), retries: count() };
     services.set(service, made);
     return made;
--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -15,7 +15,7 @@
 import { decodeConfigurationState, encodeConfigurationState } from "../../state/peerConfiguration.ts";
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Clock } from "../clock.ts";
-import type { LogTurn } from "../configurationFollower.ts";
+import type { LogReadMode } from "../configurationFollower.ts";
 import { configurationSpread } from "./constants.ts";
 import type { Membership } from "./Membership.ts";
 import { PeerMessageExtension } from "./PeerMessageExtension.ts";
@@ -67,7 +67,7 @@
   }
 
   /** Whether this router follows the log, reads it from time to time, or relies on its peers. */
-  readonly logReadMode = (): LogTurn => {
+  readonly logReadMode = (): LogReadMode => {
     const { membership } = this.dependencies;
     const readers = membership.representatives(readerSelectionKey, configurationSpread.readers);
     if (readers.includes(membership.self().name)) return "follow";
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -10,7 +10,7 @@
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { createAnswerTimes } from "../answerTimes.ts";
+import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import { answerTimeout, answerTimeWeight, initialAnswerTime } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
@@ -64,10 +64,10 @@
   /** Timed-out questions by number: a late answer shows that the owner is reachable. */
   const timedOut = new Map<number, LiveRouter>();
   let number = 0;
-  const times = createAnswerTimes({
-    assumed: initialAnswerTime,
-    gain: answerTimeWeight,
-    patience: answerTimeout,
+  const times = createAdaptiveTimeout({
+    initialLatency: initialAnswerTime,
+    smoothingFactor: answerTimeWeight,
+    timeoutRange: answerTimeout,
   });
 
   const groupByOwner = (replicas: readonly ReplicaState[], known: ReplicaState[]) => {
@@ -107,7 +107,7 @@
         resolve(known);
       };
       const question: Question = { askedAt: clock.monotonic(), waiting: new Map(), known, finish };
-      const cancel = clock.after(times.patience(), () => expire(question));
+      const cancel = clock.after(times.timeout(), () => expire(question));
       for (const [owner, owned] of byOwner) {
         number += 1;
         question.waiting.set(number, { owner, replicas: owned });
@@ -128,7 +128,7 @@
     if (question === undefined) return;
     open.delete(answer.number);
     question.waiting.delete(answer.number);
-    times.note(clock.monotonic() - question.askedAt);
+    times.observe(clock.monotonic() - question.askedAt);
     question.known.push(...dependencies.applyAnswer(answer));
     if (question.waiting.size === 0) question.finish();
   };
