--- a/src/coordination/forwarding/retryShare.ts
+++ b/src/coordination/forwarding/retryShare.ts
@@ -3,8 +3,8 @@
  * in the window, and an even part of the common reserve.
  */
 import type { Clock } from "../clock.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import type { ForwardingBounds } from "./types.ts";
 
 /** Parts of a window: the older a count, the coarser its age. */
@@ -23,8 +23,8 @@
 
 /** One service's use in the window. */
 interface Counts {
-  readonly requests: SlidingCount;
-  readonly retries: SlidingCount;
+  readonly requests: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
 /** What retries are shared by. */
@@ -42,7 +42,8 @@
   const countsOf = (service: string): Counts => {
     const known = services.get(service);
     if (known !== undefined) return known;
-    const count = (): SlidingCount => createSlidingCount(clock, bounds.retryWindow, bucketsPerWindow);
+    const count = (): SlidingWindowCounter =>
+      createSlidingWindowCounter(clock, bounds.retryWindow, bucketsPerWindow);
     const made = { requests: count(), retries: count() };
     services.set(service, made);
     return made;
--- a/src/coordination/keepers/keeperQuestions.ts
+++ b/src/coordination/keepers/keeperQuestions.ts
@@ -2,7 +2,7 @@
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { KeeperQuestion, LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
 import { encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
-import { createAnswerTimes } from "../answerTimes.ts";
+import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
 import { answerPatience, answerTimeGain, assumedAnswerTime } from "./constants.ts";
@@ -46,10 +46,10 @@
 export const createKeeperQuestions = ({ link, clock, random }: KeeperQuestionsParts): KeeperQuestions => {
   const pending = new Map<number, Pending>();
   let number = Math.floor(random() * firstNumbers);
-  const times = createAnswerTimes({
-    assumed: assumedAnswerTime,
-    gain: answerTimeGain,
-    patience: answerPatience,
+  const times = createAdaptiveTimeout({
+    initialLatency: assumedAnswerTime,
+    smoothingFactor: answerTimeGain,
+    timeoutRange: answerPatience,
   });
 
   return {
@@ -57,7 +57,7 @@
       new Promise((resolve) => {
         number += 1;
         const own = number;
-        const callOff = clock.after(times.patience(), () => {
+        const callOff = clock.after(times.timeout(), () => {
           pending.delete(own);
           resolve(undefined);
         });
@@ -73,7 +73,7 @@
       const asked = pending.get(answer.number);
       if (asked === undefined) return;
       pending.delete(answer.number);
-      times.note(clock.monotonic() - asked.askedAt);
+      times.observe(clock.monotonic() - asked.askedAt);
       asked.settle(answer);
     },
   };
--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -15,7 +15,7 @@
 import { decodeConfigurationState, encodeConfigurationState } from "../../state/peerConfiguration.ts";
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Clock } from "../clock.ts";
-import type { LogTurn } from "../configurationFollower.ts";
+import type { LogReadMode } from "../configurationFollower.ts";
 import { spreading } from "./constants.ts";
 import type { Membership } from "./Membership.ts";
 import { PeerFeature } from "./PeerFeature.ts";
@@ -67,7 +67,7 @@
   }
 
   /** Whose turn it is to read the log. */
-  readonly turn = (): LogTurn => {
+  readonly turn = (): LogReadMode => {
     const { membership } = this.parts;
     const readers = membership.representatives(readersMatter, spreading.readers);
     if (readers.includes(membership.self().name)) return "follow";
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -17,8 +17,8 @@
 import type { Keeping } from "../keepers/keeping.ts";
 import type { UsageBucket } from "../keepers/usageBucket.ts";
 import { createUsageBucket } from "../keepers/usageBucket.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
   grantLife,
   leastRate,
@@ -81,7 +81,7 @@
   /** By id of a replica. */
   const unasked = new Map<string, UsageBucket>();
   /** By service: requests that were turned away. */
-  const turnedAway = new Map<string, SlidingCount>();
+  const turnedAway = new Map<string, SlidingWindowCounter>();
 
   replicas.subscribe(({ id }, departure) => {
     if (departure !== undefined && departure !== "draining") unasked.delete(id);
@@ -153,7 +153,7 @@
   };
 
   const countTurnedAway = (service: string): number => {
-    const count = turnedAway.get(service) ?? createSlidingCount(clock, returnWindow, returnBuckets);
+    const count = turnedAway.get(service) ?? createSlidingWindowCounter(clock, returnWindow, returnBuckets);
     turnedAway.set(service, count);
     count.add(1);
     return count.sum();
--- a/src/coordination/restatement.ts
+++ b/src/coordination/republication.ts
@@ -14,7 +14,7 @@
 import type { LeaseView } from "./leases/types.ts";
 
 /** What restating works with. */
-export interface RestatementParts extends Omit<LeaseParts, "name" | "history"> {
+export interface RepublicationDependencies extends Omit<LeaseParts, "name" | "history"> {
   readonly leases: LeaseParts["history"];
   readonly configuration: ConfigurationHistory;
   /** How long the log keeps a record, milliseconds. */
@@ -22,7 +22,7 @@
 }
 
 /** Runs until it is disposed of. */
-export interface Restatement extends AsyncDisposable {
+export interface Republication extends AsyncDisposable {
   readonly view: () => LeaseView;
 }
 
@@ -35,7 +35,7 @@
 const writeLog = createLogger("restatement");
 
 /** Starts to look after the configuration's record. */
-export const startRestatement = (parts: RestatementParts): Restatement => {
+export const startRepublication = (parts: RepublicationDependencies): Republication => {
   const { clock, log, configuration, retention, metrics } = parts;
   const stop = new AbortController();
   const lease = startLease({ ...parts, name: restatementLease, history: parts.leases });
--- a/src/coordination/usageLimits/usageAccount.ts
+++ b/src/coordination/usageLimits/usageAccount.ts
@@ -2,8 +2,8 @@
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
   bucketsPerWindow,
   continuation,
@@ -17,9 +17,9 @@
 /** See the module. */
 export interface UsageAccount {
   /** Passed on here. */
-  readonly used: SlidingCount;
+  readonly used: SlidingWindowCounter;
   /** Passed on here without having been asked for. */
-  readonly unasked: SlidingCount;
+  readonly unasked: SlidingWindowCounter;
   /** To be told with the next question. */
   spent: number;
   returned: number;
@@ -45,8 +45,8 @@
   { limitWindow }: ForwardingBounds,
   evenPart: number,
 ): UsageAccount => ({
-  used: createSlidingCount(clock, limitWindow, bucketsPerWindow),
-  unasked: createSlidingCount(clock, limitWindow, bucketsPerWindow),
+  used: createSlidingWindowCounter(clock, limitWindow, bucketsPerWindow),
+  unasked: createSlidingWindowCounter(clock, limitWindow, bucketsPerWindow),
   spent: 0,
   returned: 0,
   underWay: 0,
--- a/src/daemons/routerBeliefs.ts
+++ b/src/daemons/routerBeliefs.ts
@@ -82,7 +82,7 @@
       longPoll: settings.configurationLongPoll,
       retryInterval,
       clock,
-      turn: peers.configuration.turn,
+      readMode: peers.configuration.turn,
       onVersion: peers.configuration.noteRead,
     }),
   );
@@ -98,7 +98,7 @@
         peers.applyVms(vms);
       },
       isHome: peers.isHome,
-      isNear: peers.isNear,
+      isLocal: peers.isNear,
       vmListInterval: settings.vmListInterval,
       loadInterval: settings.loadInterval,
       loadTimeout: settings.loadTimeout,
@@ -127,7 +127,7 @@
     const url = await peers.listen();
     await Promise.race([Promise.all([follower.started, monitor.started]), peers.restored()]);
     if (history.current() === undefined) await peers.askPeers();
-    await monitor.confirmed();
+    await monitor.waitForFirstReports();
     return url;
   };
 
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -5,7 +5,7 @@
 import type { LeaseView } from "../coordination/leases/types.ts";
 import { startDeploymentOrders } from "../coordination/orders/deploymentOrders.ts";
 import type { RollOutView } from "../coordination/orders/types.ts";
-import { startRestatement } from "../coordination/restatement.ts";
+import { startRepublication } from "../coordination/republication.ts";
 import type { LogService } from "../protocol/LogService.ts";
 import type { ModelEngine } from "../protocol/ModelEngine.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
@@ -58,7 +58,7 @@
     }),
   );
   const restatement = resources.use(
-    startRestatement({
+    startRepublication({
       ...common,
       leases,
       isCandidate: () => peers.membership.isHome(restatementLease),
