--- a/src/coordination/claims/ClaimLedger.ts
+++ b/src/coordination/claims/ClaimLedger.ts
@@ -2,44 +2,47 @@
 import { claimFailures } from "./errors.ts";
 import type { RecordedAnswer, RecordedOutcome } from "./types.ts";
 
-/** The right to run one non-idempotent request; held by one router for one dispatch. */
+/** The exclusive right to dispatch one non-idempotent request once; one router holds it. */
 export interface Claim {
-  /** Nothing was dispatched: lets a later request with the same key run. Never rejects. */
+  /** Gives the claim up because nothing was dispatched, so that a retry with the same key may run. Never rejects. */
   readonly release: () => Promise<void>;
   /**
-   * The request has ended with a known outcome, which a retry is told. Resolves before it is recorded, and
-   * never rejects: a lost record makes a retry's answer `outcome_unknown`.
+   * Records the outcome of the request for retries. Resolves before the record is appended, and never rejects:
+   * if the record is lost, a retry is refused with `outcome_unknown`.
    *
-   * @param summary - For people.
-   * @param answer - What a retry gets; left out where it isn't kept.
+   * @param summary - Description of the outcome for people.
+   * @param answer - The answer that a retry receives; omitted where answers are not kept.
    */
   readonly complete: (summary: string, answer?: RecordedAnswer) => Promise<void>;
   /**
-   * The request may have run, and nobody will ever know: a retry need not wait for an outcome. Resolves
-   * before it is recorded, and never rejects.
+   * Records that the request may have run and that its outcome will never be known, so that a retry does not
+   * wait for it. Resolves before the record is appended, and never rejects.
    */
   readonly abandon: () => Promise<void>;
 }
 
-/** What became of the wish to run a request. */
+/** Result of an attempt to claim a request. */
 export type ClaimResult =
   | { readonly kind: "claimed"; readonly claim: Claim }
   | { readonly kind: "completed"; readonly outcome: RecordedOutcome };
 
-/** Sees to it that a request marked non-idempotent runs at most once over all routers. */
+/** Ensures that a request marked non-idempotent runs at most once across all routers. */
 export abstract class ClaimLedger {
   /**
    * Claims a request before its dispatch.
    *
    * @param context - A request with an idempotency key.
-   * @param fingerprint - Digest of what is asked; another request under the same key is refused.
-   * @returns The claim, or the outcome of the request that had it; throws `RequestError`: `not_run` if the
-   * log can't be asked or the key is malformed or used for something else, `outcome_unknown` if somebody
-   * holds the claim or the key is too old.
+   * @param fingerprint - Digest of the request's content; a different request with the same key is refused.
+   * @returns The claim, or the recorded outcome of the request that held it. Throws `RequestError`: `not_run` if
+   * the log service is unavailable, or if the key is malformed or was used for a different request;
+   * `outcome_unknown` if the claim is held and no outcome is recorded, or if the key is too old.
    */
   abstract acquire(context: RequestContext, fingerprint: string): Promise<ClaimResult>;
 
-  /** Like {@link acquire}, for requests whose answer is not kept: throws also if it has been given before. */
+  /**
+   * Like {@link acquire}, for requests whose answer is not kept: throws `already_completed` if an outcome is
+   * recorded.
+   */
   async claim(context: RequestContext, fingerprint: string): Promise<Claim> {
     const result = await this.acquire(context, fingerprint);
     if (result.kind === "claimed") return result.claim;
--- a/src/coordination/claims/claimIndex.ts
+++ b/src/coordination/claims/claimIndex.ts
@@ -1,38 +1,39 @@
-/** The newest claims of one partition, bounded in time and number. */
+/** In-memory index of the most recent claims of one partition, bounded in time span and number of keys. */
 import type { LogRecord } from "../../protocol/types.ts";
 import { decodeClaimRecord } from "./claimRecord.ts";
 import type { KeyState } from "./claimState.ts";
 import { applyClaimRecord, unclaimed } from "./claimState.ts";
-import { indexSpan, maximumIndexedKeys } from "./constants.ts";
+import { indexSpan, maxIndexedKeys } from "./constants.ts";
 
 interface IndexedKey {
   readonly firstAppendedAt: number;
   readonly state: KeyState;
 }
 
-/** Knows all records appended since a time that moves on. */
+/** Contains the state of every key whose first record was appended since a moving start time. */
 export interface ClaimIndex {
-  /** Adds the next record by offset. */
+  /** Applies the next record in log order. */
   readonly apply: (record: LogRecord) => void;
   readonly get: (digest: string) => KeyState;
-  /** All records from this time on the log service's clock are in the index. */
+  /** The index holds all records from this time on: milliseconds since 1970 on the log service's clock. */
   readonly coveredFrom: () => number;
   readonly size: () => number;
 }
 
 /**
- * Makes an index.
+ * Creates an empty index.
  *
- * @param coveredFrom - The log time of the first record that will be added.
+ * @param coveredFrom - Every record appended from this time on will be applied: milliseconds since 1970 on the
+ * log service's clock.
  */
 export const createClaimIndex = (coveredFrom: number): ClaimIndex => {
-  // In the order of the first record, so that the oldest are at the front.
+  // Ordered by the first record of each key, so that the oldest keys come first.
   const keys = new Map<string, IndexedKey>();
   let covered = coveredFrom;
 
-  const prune = (horizon: number): void => {
+  const prune = (cutoff: number): void => {
     for (const [digest, { firstAppendedAt }] of keys) {
-      if (firstAppendedAt >= horizon && keys.size <= maximumIndexedKeys) return;
+      if (firstAppendedAt >= cutoff && keys.size <= maxIndexedKeys) return;
       keys.delete(digest);
       covered = Math.max(covered, firstAppendedAt + 1);
     }
@@ -41,12 +42,12 @@
   const apply = ({ data, appendedAt }: LogRecord): void => {
     const record = decodeClaimRecord(data);
     if (record === undefined) return;
-    const known = keys.get(record.key);
+    const existing = keys.get(record.key);
     const needsClaim = record.kind === "complete" || record.kind === "abandon";
-    // The claim that an outcome belongs to lies before this index.
-    if (known === undefined && needsClaim) return;
-    const state = applyClaimRecord(known?.state ?? unclaimed, record, appendedAt);
-    keys.set(record.key, { firstAppendedAt: known?.firstAppendedAt ?? appendedAt, state });
+    // The claim that this outcome belongs to was appended before the index begins.
+    if (existing === undefined && needsClaim) return;
+    const state = applyClaimRecord(existing?.state ?? unclaimed, record, appendedAt);
+    keys.set(record.key, { firstAppendedAt: existing?.firstAppendedAt ?? appendedAt, state });
     prune(appendedAt - indexSpan);
   };
 
--- a/src/coordination/claims/claimKey.ts
+++ b/src/coordination/claims/claimKey.ts
@@ -1,9 +1,9 @@
-/** Idempotency keys: when one was issued, and which partition it belongs to. */
+/** Parses idempotency keys: their issue time, and the partition that they belong to. */
 import { createHash } from "node:crypto";
 import { logStreams } from "../../protocol/constants.ts";
 import { hash64 } from "../../protocol/prefixLevels.ts";
 import type { RequestContext } from "../../protocol/types.ts";
-import { longestSkew, partitionCount } from "./constants.ts";
+import { maxClockSkew, partitionCount } from "./constants.ts";
 import { claimFailures } from "./errors.ts";
 import type { ClaimKey } from "./types.ts";
 
@@ -17,9 +17,9 @@
   Array.from(text.toLowerCase()).reduce((value, digit) => value * 32 + crockfordDigits.indexOf(digit), 0);
 
 /**
- * Reads when a key was issued.
+ * Reads the issue time contained in a key.
  *
- * @returns Milliseconds since 1970; undefined for a key that doesn't tell.
+ * @returns Milliseconds since 1970; undefined for a key without an issue time.
  */
 export const readIssueTime = (key: string): number | undefined => {
   const uuid = uuidVersion7.exec(key);
@@ -30,7 +30,7 @@
   return milliseconds === undefined ? undefined : Number(milliseconds);
 };
 
-/** @returns The request's key; throws `RequestError` (400) for one that doesn't tell its issue time. */
+/** @returns The parsed key of a request; throws `RequestError` (400) for a key without an issue time. */
 export const readClaimKey = ({ organisation, idempotencyKey = "" }: RequestContext): ClaimKey => {
   const issuedAt = readIssueTime(idempotencyKey);
   if (issuedAt === undefined) throw claimFailures.keyWithoutTime();
@@ -40,12 +40,12 @@
 };
 
 /**
- * Refuses keys that the log can't answer for.
+ * Throws `RequestError` for keys whose records the log may not hold: issued in the future, or too long ago.
  *
  * @param now - Milliseconds since 1970.
- * @param retention - How long claims are kept, milliseconds.
+ * @param retention - How long claims are kept, in milliseconds.
  */
-export const checkAge = ({ issuedAt }: ClaimKey, now: number, retention: number): void => {
-  if (issuedAt > now + longestSkew) throw claimFailures.keyFromFuture();
+export const checkKeyAge = ({ issuedAt }: ClaimKey, now: number, retention: number): void => {
+  if (issuedAt > now + maxClockSkew) throw claimFailures.keyFromFuture();
   if (issuedAt < now - retention) throw claimFailures.keyTooOld();
 };
--- a/src/coordination/claims/claimRecord.ts
+++ b/src/coordination/claims/claimRecord.ts
@@ -1,6 +1,6 @@
-/** Claims as records of the log service. */
+/** Encoding of claims as records of the log service. */
 import { z } from "zod";
-import { longestRecordedAnswer } from "./constants.ts";
+import { maxRecordedAnswerSize } from "./constants.ts";
 import type { RecordedAnswer, RecordedOutcome } from "./types.ts";
 
 const common = { key: z.string(), holder: z.string() };
@@ -10,7 +10,7 @@
     kind: z.literal("claim"),
     ...common,
     fingerprint: z.string(),
-    /** Milliseconds within which the holder expects to have ended. */
+    /** Milliseconds within which the holder expects the request to end. */
     expected: z.number().min(0),
   }),
   z.object({ kind: z.literal("release"), ...common }),
@@ -29,7 +29,7 @@
 /** One record of a claims stream. */
 export type ClaimRecord = z.output<typeof claimRecordSchema>;
 
-/** @returns The record; undefined for what is none. */
+/** @returns The decoded record; undefined if the data is not a claim record. */
 export const decodeClaimRecord = (data: string): ClaimRecord | undefined => {
   try {
     return claimRecordSchema.safeParse(JSON.parse(data)).data;
@@ -38,10 +38,9 @@
   }
 };
 
-/** Writes a record. */
 export const encodeClaimRecord = (record: ClaimRecord): string => JSON.stringify(record);
 
-/** Makes the record of an outcome; an answer that is too long is left out. */
+/** Creates the record of an outcome; an answer longer than the limit is omitted. */
 export const createOutcomeRecord = (
   key: string,
   holder: string,
@@ -52,7 +51,7 @@
   key,
   holder,
   summary,
-  ...(answer === undefined || answer.body.length > longestRecordedAnswer
+  ...(answer === undefined || answer.body.length > maxRecordedAnswerSize
     ? {}
     : {
         status: answer.status,
@@ -61,8 +60,8 @@
       }),
 });
 
-/** Reads the outcome from its record. */
-export const outcomeOf = (record: ClaimRecord & { readonly kind: "complete" }): RecordedOutcome => {
+/** Reads the outcome from a `complete` record. */
+export const readOutcome = (record: ClaimRecord & { readonly kind: "complete" }): RecordedOutcome => {
   const { summary, status, contentType, body } = record;
   const answer =
     status === undefined ? undefined : { status, contentType, body: Buffer.from(body ?? "", "base64") };
--- a/src/coordination/claims/claimState.ts
+++ b/src/coordination/claims/claimState.ts
@@ -1,43 +1,43 @@
-/** What the records of one key add up to; the same for every reader, since all read them in the same order. */
+/** State of one key, derived from its records. Every reader reaches the same state, as all apply the records in log order. */
 import type { ClaimRecord } from "./claimRecord.ts";
-import { outcomeOf } from "./claimRecord.ts";
+import { readOutcome } from "./claimRecord.ts";
 import type { RecordedOutcome } from "./types.ts";
 
-/** The claim that is in force. */
+/** The claim that currently holds a key. */
 export interface StandingClaim {
   readonly holder: string;
   readonly fingerprint: string;
-  /** On the log service's clock, milliseconds since 1970. */
+  /** Milliseconds since 1970 on the log service's clock. */
   readonly appendedAt: number;
-  /** Milliseconds within which the holder expected to have ended. */
+  /** Milliseconds within which the holder expected the request to end. */
   readonly expectedDuration: number;
   readonly outcome: RecordedOutcome | undefined;
-  /** The holder doesn't know the outcome either, and never will. */
+  /** The holder has recorded that the outcome will never be known. */
   readonly isAbandoned: boolean;
 }
 
-/** One key. */
+/** State of one key. */
 export interface KeyState {
   readonly standing: StandingClaim | undefined;
-  /** Holders that gave up; a claim of theirs that arrives later means nothing. */
+  /** Holders that released their claim; a claim record of theirs that is appended late is ignored. */
   readonly released: readonly string[];
 }
 
-/** A key without records. */
+/** State of a key without records. */
 export const unclaimed: KeyState = { standing: undefined, released: [] };
 
 const applyRelease = (state: KeyState, holder: string): KeyState => {
   if (state.released.includes(holder)) return state;
   const released = [...state.released, holder];
   const { standing } = state;
-  const ends = standing?.holder === holder && standing.outcome === undefined && !standing.isAbandoned;
-  return { standing: ends ? undefined : standing, released };
+  const endsClaim = standing?.holder === holder && standing.outcome === undefined && !standing.isAbandoned;
+  return { standing: endsClaim ? undefined : standing, released };
 };
 
 /**
- * Adds a record. The first claim by offset holds the key until its own holder releases it.
+ * Applies the next record. The first claim in log order holds the key until its own holder releases it.
  *
- * @param appendedAt - On the log service's clock.
+ * @param appendedAt - Milliseconds since 1970 on the log service's clock.
  */
 export const applyClaimRecord = (state: KeyState, record: ClaimRecord, appendedAt: number): KeyState => {
   const { holder } = record;
@@ -49,10 +49,10 @@
   }
   if (record.kind === "complete") {
     if (standing?.holder !== holder || standing.outcome !== undefined) return state;
-    return { ...state, standing: { ...standing, outcome: outcomeOf(record) } };
+    return { ...state, standing: { ...standing, outcome: readOutcome(record) } };
   }
   if (standing !== undefined || state.released.includes(holder)) return state;
-  const { fingerprint, expected } = record;
-  const open = { outcome: undefined, isAbandoned: false };
-  return { ...state, standing: { holder, fingerprint, appendedAt, expectedDuration: expected, ...open } };
+  const { fingerprint, expected: expectedDuration } = record;
+  const initial = { outcome: undefined, isAbandoned: false };
+  return { ...state, standing: { holder, fingerprint, appendedAt, expectedDuration, ...initial } };
 };
--- a/src/coordination/claims/claimWriter.ts
+++ b/src/coordination/claims/claimWriter.ts
@@ -1,4 +1,4 @@
-/** The appends that one wish to run a request makes: claim, release, outcome. */
+/** Appends the records of an attempt to claim a request: the claim, its release and the outcome. */
 import { PlatformError } from "../../protocol/errors.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
@@ -6,95 +6,103 @@
 import type { Claim } from "./ClaimLedger.ts";
 import { createOutcomeRecord, encodeClaimRecord } from "./claimRecord.ts";
 import type { KeyState } from "./claimState.ts";
-import { backOff, longestReleaseWait } from "./constants.ts";
+import { backOff, releaseTimeout } from "./constants.ts";
 import type { PartitionReader } from "./partitionReader.ts";
 import type { PartitionWriter } from "./partitionWriter.ts";
 import type { ClaimKey } from "./types.ts";
 
-/** One claims stream. */
+/** Reader and writer of one claims stream. */
 export interface Partition {
   readonly reader: PartitionReader;
   readonly writer: PartitionWriter;
 }
 
-/** One wish to run a request. */
-export interface Wish {
+/** One attempt to claim a request. */
+export interface ClaimAttempt {
   readonly key: ClaimKey;
   readonly partition: Partition;
   readonly fingerprint: string;
   /** Milliseconds that the request may take. */
-  readonly expected: number;
-  /** When to give up, milliseconds on the monotonic clock. */
-  readonly until: number;
+  readonly expectedDuration: number;
+  /** When the attempt fails, in milliseconds on the monotonic clock. */
+  readonly deadline: number;
 }
 
-/** What a wish appends. */
-export interface ClaimAppends {
-  /** Gives a claim up; goes on in the background while the log service is away. */
-  readonly release: (wish: Wish, holder: string) => Promise<void>;
-  readonly createClaim: (wish: Wish, holder: string) => Claim;
+/** Creates and releases claims by appending to a partition. */
+export interface ClaimWriter {
+  /** Releases a claim; continues in the background if the log service does not confirm it in time. */
+  readonly release: (attempt: ClaimAttempt, holder: string) => Promise<void>;
+  readonly createClaim: (attempt: ClaimAttempt, holder: string) => Claim;
   /**
-   * Appends a claim and reads it back.
+   * Appends a claim and reads the key's state back.
    *
-   * @returns What then stands for the key; throws `RequestError` (`claims_unavailable`).
+   * @returns The state of the key, whose claim may be another holder's. Throws `RequestError`
+   * (`claims_unavailable`).
    */
-  readonly appendClaim: (wish: Wish, holder: string) => Promise<KeyState>;
+  readonly appendClaim: (attempt: ClaimAttempt, holder: string) => Promise<KeyState>;
 }
 
-/** Makes the appends. */
-export const createClaimAppends = (clock: Clock): ClaimAppends => {
-  const releaseRecord = ({ key }: Wish, holder: string): string =>
+/** Creates a writer of claims. */
+export const createClaimWriter = (clock: Clock): ClaimWriter => {
+  const releaseRecord = ({ key }: ClaimAttempt, holder: string): string =>
     encodeClaimRecord({ kind: "release", key: key.digest, holder });
 
-  const release = async (wish: Wish, holder: string): Promise<void> => {
-    const { writer } = wish.partition;
-    const record = releaseRecord(wish, holder);
-    const result = await writer.append(record, clock.monotonic() + longestReleaseWait);
-    if (result.kind === "given_up") writer.appendLater(record);
+  const release = async (attempt: ClaimAttempt, holder: string): Promise<void> => {
+    const { writer } = attempt.partition;
+    const record = releaseRecord(attempt, holder);
+    const result = await writer.append(record, clock.monotonic() + releaseTimeout);
+    if (result.kind === "given_up") writer.appendInBackground(record);
   };
 
-  const createClaim = (wish: Wish, holder: string): Claim => ({
-    release: () => release(wish, holder),
+  const createClaim = (attempt: ClaimAttempt, holder: string): Claim => ({
+    release: () => release(attempt, holder),
     complete: (summary, answer) => {
-      const record = createOutcomeRecord(wish.key.digest, holder, summary, answer);
-      wish.partition.writer.appendLater(encodeClaimRecord(record));
+      const record = createOutcomeRecord(attempt.key.digest, holder, summary, answer);
+      attempt.partition.writer.appendInBackground(encodeClaimRecord(record));
       return Promise.resolve();
     },
     abandon: () => {
-      const record = { kind: "abandon" as const, key: wish.key.digest, holder };
-      wish.partition.writer.appendLater(encodeClaimRecord(record));
+      const record = { kind: "abandon" as const, key: attempt.key.digest, holder };
+      attempt.partition.writer.appendInBackground(encodeClaimRecord(record));
       return Promise.resolve();
     },
   });
 
-  /** Repeats a read that fails until the wish is given up. */
-  const read = async (wish: Wish, readOnce: () => Promise<KeyState>): Promise<KeyState> => {
+  /** Repeats a read that fails until the attempt's deadline. */
+  const read = async (attempt: ClaimAttempt, readOnce: () => Promise<KeyState>): Promise<KeyState> => {
     for (;;) {
       try {
         return await readOnce();
       } catch (error) {
-        if (!(error instanceof PlatformError) || clock.monotonic() >= wish.until) throw error;
-        await pause(clock, backOff.first);
+        if (!(error instanceof PlatformError) || clock.monotonic() >= attempt.deadline) throw error;
+        await pause(clock, backOff.initial);
       }
     }
   };
 
-  const appendClaim = async (wish: Wish, holder: string): Promise<KeyState> => {
-    const { key, partition, fingerprint, expected, until } = wish;
-    const record = encodeClaimRecord({ kind: "claim", key: key.digest, holder, fingerprint, expected });
-    const result = await partition.writer.append(record, until);
-    const giveUp = (): void => partition.writer.appendLater(releaseRecord(wish, holder));
+  const appendClaim = async (attempt: ClaimAttempt, holder: string): Promise<KeyState> => {
+    const { key, partition, fingerprint, expectedDuration, deadline } = attempt;
+    const record = encodeClaimRecord({
+      kind: "claim",
+      key: key.digest,
+      holder,
+      fingerprint,
+      expected: expectedDuration,
+    });
+    const result = await partition.writer.append(record, deadline);
+    const releaseInBackground = (): void =>
+      partition.writer.appendInBackground(releaseRecord(attempt, holder));
     if (result.kind === "given_up") {
-      // Should it arrive after all, it must not block a retry.
-      if (result.mayArrive) giveUp();
+      // If the claim is appended after all, it must not block a retry.
+      if (result.mayBeAppended) releaseInBackground();
       throw refusals.claimsUnavailable();
     }
     try {
-      const state = await read(wish, () => partition.reader.lookUp(key, result.offset));
-      if (result.repeated && state.standing?.holder !== holder) giveUp();
+      const state = await read(attempt, () => partition.reader.lookUp(key, result.offset));
+      if (result.mayBeDuplicated && state.standing?.holder !== holder) releaseInBackground();
       return state;
     } catch (cause) {
-      giveUp();
+      releaseInBackground();
       throw refusals.claimsUnavailable(cause);
     }
   };
--- a/src/coordination/claims/constants.ts
+++ b/src/coordination/claims/constants.ts
@@ -1,52 +1,52 @@
-/** Limits of the claim ledger. Durations are milliseconds. */
+/** Constants of the claim ledger. Durations are in milliseconds. */
 
-/** Streams that claims are spread over. All routers must agree: change it only with every router stopped. */
+/** Number of log streams that keys are partitioned over. All routers must agree: change it only while every router is stopped. */
 export const partitionCount = 4;
 
-/** How far a key's issue time may lie in the future of the log service's clock. All routers must agree. */
-export const longestSkew = 30_000;
+/** How far a key's issue time may lie ahead of the log service's clock. All routers must agree. */
+export const maxClockSkew = 30_000;
 
-/** Log time that a router's index reaches back; older keys are looked up in the log itself. */
+/** Time span of the log that a router's index covers; older keys are looked up in the log itself. */
 export const indexSpan = 90_000;
 
-/** Keys that the index of one partition holds at most; the oldest leave first. */
-export const maximumIndexedKeys = 20_000;
+/** Maximum number of keys in the index of one partition; the oldest are evicted first. */
+export const maxIndexedKeys = 20_000;
 
-/** Records read at once. */
+/** Maximum number of records in one read. */
 export const pageSize = 1_000;
 
-/** A reader that is further behind than this seeks forward instead of reading everything. */
-export const longestCatchUp = 20_000;
+/** Number of unread records beyond which a reader seeks forward instead of reading them all. */
+export const maxCatchUpRecords = 20_000;
 
-/** Records of one append. */
-export const maximumBatch = 500;
+/** Maximum number of records in one append. */
+export const maxBatchSize = 500;
 
-/** Records that wait for the log service to come back; the oldest are given up first. */
-export const maximumWaitingSettlements = 10_000;
+/** Maximum number of queued background records while the log service is unavailable; the oldest are dropped first. */
+export const maxBackgroundRecords = 10_000;
 
-/** How long an outcome waits for company before it is appended by itself. */
-export const settlementLinger = 250;
+/** How long a background record waits for others to share its append. */
+export const batchingDelay = 250;
 
-/** Pauses between appends while the log service is over its rate or away: the first, and the longest. */
-export const backOff = { first: 10, longestOverRate: 500, longestWhileDown: 100 } as const;
+/** Delays between appends: the first, and the maximum while the log service refuses by its rate limit or is unavailable. */
+export const backOff = { initial: 10, maxWhileRateLimited: 500, maxWhileUnavailable: 100 } as const;
 
-/** Longest wait for a claim before the request is refused as not run. */
-export const longestClaimWait = 2_000;
+/** How long a request waits for its claim before it is refused as `not_run`. */
+export const claimTimeout = 2_000;
 
-/** The same where the log service was away a moment ago. */
-export const longestWaitWhileDown = 300;
+/** The same while the last append failed because the log service was unavailable. */
+export const claimTimeoutWhileUnavailable = 300;
 
-/** Longest wait for a release before the caller is told; it goes on in the background. */
-export const longestReleaseWait = 500;
+/** How long a release is awaited before it continues in the background. */
+export const releaseTimeout = 500;
 
-/** Longest wait of a retry for the outcome of the request that holds its key. */
-export const longestOutcomeWait = 2_000;
+/** How long a retry waits for the outcome of the request that holds its key. */
+export const outcomeTimeout = 2_000;
 
-/** Pause between two looks at a claim that somebody else holds. */
+/** Interval between reads while a retry waits for an outcome. */
 export const outcomePollInterval = 100;
 
-/** Longest answer, bytes, that is recorded for retries. */
-export const longestRecordedAnswer = 4_096;
+/** Size in bytes up to which an answer is recorded for retries. */
+export const maxRecordedAnswerSize = 4_096;
 
-/** Longest wait for outcomes to be recorded at the end of the process. */
-export const longestFlush = 2_000;
+/** How long a flush waits for queued records to be appended. */
+export const flushTimeout = 2_000;
--- a/src/coordination/claims/logClaimLedger.test.ts
+++ b/src/coordination/claims/logClaimLedger.test.ts
@@ -1,4 +1,4 @@
-/** At most once, whatever the log service does: counted are dispatches by idempotency key. */
+/** Tests that a request with an idempotency key is dispatched at most once, whatever faults the log service has. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -40,8 +40,8 @@
 
 const newKey = (clock: Clock, age = 0): string => `${Math.floor(clock.wall() - age)}-${crypto.randomUUID()}`;
 
-/** What a caller is told: the kind of result, or outcome and code of the refusal. */
-const told = async (result: Promise<ClaimResult>): Promise<string> => {
+/** @returns The kind of the result, or the outcome and code of the refusal. */
+const resultOf = async (result: Promise<ClaimResult>): Promise<string> => {
   try {
     return (await result).kind;
   } catch (error) {
@@ -57,24 +57,24 @@
 };
 
 describe("a claim", () => {
-  it("is given to one of many routers that ask at once", async () => {
+  it("is granted to only one of many routers that request it at the same time", async () => {
     await using system = setUp(8);
     const { clock, ledgers } = system;
     const context = contextOf(clock, newKey(clock));
-    const results = await Promise.all(ledgers.map((ledger) => told(ledger.acquire(context, "same"))));
+    const results = await Promise.all(ledgers.map((ledger) => resultOf(ledger.acquire(context, "same"))));
     expect(results.filter((result) => result === "claimed").length).toEqual(1);
     expect(results.filter((result) => result === "outcome_unknown already_claimed").length).toEqual(7);
   });
 
-  it("is each organisation's own", async () => {
+  it("does not conflict with the same key of another organisation", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const key = newKey(clock);
-    expect(await told(first.acquire(contextOf(clock, key, "petra-wings"), "a"))).toEqual("claimed");
-    expect(await told(second.acquire(contextOf(clock, key, "royal-desert-air"), "b"))).toEqual("claimed");
+    expect(await resultOf(first.acquire(contextOf(clock, key, "petra-wings"), "a"))).toEqual("claimed");
+    expect(await resultOf(second.acquire(contextOf(clock, key, "royal-desert-air"), "b"))).toEqual("claimed");
   });
 
-  it("tells a retry at another router the recorded outcome", async () => {
+  it("returns the recorded outcome to a retry at another router", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const context = contextOf(clock, newKey(clock));
@@ -84,7 +84,7 @@
     expect(result).toEqual({ kind: "completed", outcome: { summary: "status 200", answer } });
   });
 
-  it("tells that a request ended whose answer is not kept", async () => {
+  it("refuses a retry as already completed if the answer was too long to record", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const context = contextOf(clock, newKey(clock));
@@ -99,26 +99,26 @@
     });
   });
 
-  it("refuses another request under the same key", async () => {
+  it("refuses a different request with the same key", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const context = contextOf(clock, newKey(clock));
     await first.acquire(context, "one");
-    expect(await told(second.acquire(context, "two"))).toEqual("not_run idempotency_key_reused");
+    expect(await resultOf(second.acquire(context, "two"))).toEqual("not_run idempotency_key_reused");
   });
 
-  it("can be had again after a release, also by a retry that was already waiting", async () => {
+  it("can be acquired again after a release, also by a retry that is already waiting", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const context = contextOf(clock, newKey(clock));
     const claim = await claimOf(first.acquire(context, "same"));
-    const waiting = told(second.acquire(context, "same"));
+    const waiting = resultOf(second.acquire(context, "same"));
     await claim.release();
     expect(await waiting).toEqual("claimed");
-    expect(await told(first.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(first.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
   });
 
-  it("that is abandoned keeps no retry waiting, and a later release doesn't free it", async () => {
+  it("makes no retry wait once it is abandoned, and cannot be released afterwards", async () => {
     await using system = setUp(2);
     const { clock, first, second } = system;
     const context = contextOf(clock, newKey(clock));
@@ -126,110 +126,114 @@
     await claim.abandon();
     await first.flush();
     const before = clock.monotonic();
-    expect(await told(second.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
     expect(clock.monotonic() - before < 100).toEqual(true);
     await claim.release();
-    expect(await told(second.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
   });
 
-  it("stands when its holder has died before it could dispatch or answer", async () => {
+  it("stays in force after its holder died before dispatching or answering", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
     const context = contextOf(clock, newKey(clock));
     await first.acquire(context, "same");
     const restarted = startLedger(log, clock);
-    expect(await told(restarted.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(restarted.acquire(context, "same"))).toEqual("outcome_unknown already_claimed");
   });
 });
 
 describe("an idempotency key", () => {
   const cases: readonly (readonly [string, (clock: Clock) => string, string])[] = [
-    ["without a time", () => "sign-off-17", "not_run invalid_idempotency_key"],
-    ["a random UUID", () => "0b4cf3c6-27fb-4f2e-9d0c-2f3a0c5d9b11", "not_run invalid_idempotency_key"],
+    ["without an issue time", () => "sign-off-17", "not_run invalid_idempotency_key"],
+    [
+      "that is a random UUID",
+      () => "0b4cf3c6-27fb-4f2e-9d0c-2f3a0c5d9b11",
+      "not_run invalid_idempotency_key",
+    ],
     ["from the future", (clock) => newKey(clock, -60_000), "not_run idempotency_key_from_future"],
-    ["a little ahead", (clock) => newKey(clock, -10_000), "claimed"],
+    ["issued within the allowed clock skew", (clock) => newKey(clock, -10_000), "claimed"],
     [
-      "older than claims are kept",
+      "issued longer ago than claims are kept",
       (clock) => newKey(clock, retention + 1_000),
       "outcome_unknown idempotency_key_too_old",
     ],
-    ["almost as old", (clock) => newKey(clock, retention - 60_000), "claimed"],
+    ["issued almost as long ago", (clock) => newKey(clock, retention - 60_000), "claimed"],
   ];
   for (const [name, makeKey, expected] of cases) {
     it(`${name}: ${expected}`, async () => {
       await using system = setUp(1);
       const { clock, first } = system;
-      expect(await told(first.acquire(contextOf(clock, makeKey(clock)), "same"))).toEqual(expected);
+      expect(await resultOf(first.acquire(contextOf(clock, makeKey(clock)), "same"))).toEqual(expected);
     });
   }
 
-  it("is judged by the log service's clock where the router's is wrong", async () => {
+  it("is checked against the log service's clock if the router's clock is wrong", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
     log.clockError = retention + 1_000;
-    expect(await told(first.acquire(contextOf(clock, newKey(clock)), "same"))).toEqual(
+    expect(await resultOf(first.acquire(contextOf(clock, newKey(clock)), "same"))).toEqual(
       "outcome_unknown idempotency_key_too_old",
     );
   });
 
-  it("is still known when it has left the index, and at a router that has just started", async () => {
+  it("is still found after it was evicted from the index, and by a router that has just started", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
     const context = contextOf(clock, newKey(clock));
     await first.acquire(context, "same");
     for (const age of [1, 2, 3]) {
       log.clockError = age * indexSpan;
-      // Moves the index on: one key for each partition, and some more.
+      // Advances the index of every partition: 40 random keys reach all of them.
       for (let index = 0; index < 40; index += 1) {
         await first.acquire(contextOf(clock, newKey(clock, -log.clockError)), "x").catch(() => undefined);
       }
     }
     const again = { ...context, completionDeadline: clock.monotonic() + 10_000 };
-    expect(await told(first.acquire(again, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(first.acquire(again, "same"))).toEqual("outcome_unknown already_claimed");
     const restarted = startLedger(log, clock);
-    expect(await told(restarted.acquire(again, "same"))).toEqual("outcome_unknown already_claimed");
+    expect(await resultOf(restarted.acquire(again, "same"))).toEqual("outcome_unknown already_claimed");
   });
 });
 
 describe("a log service that fails", () => {
-  it("makes a true not_run while it is away, and the retry runs when it is back", async () => {
+  it("makes requests fail as not_run while it is unavailable, and a retry runs after it recovers", async () => {
     await using system = setUp(2);
     const { clock, log, first, second } = system;
     const context = contextOf(clock, newKey(clock));
     log.isDown = true;
-    expect(await told(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
+    expect(await resultOf(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
     log.isDown = false;
-    expect(await told(second.acquire(context, "same"))).toEqual("claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("claimed");
   });
 
-  it("has its lost answers resolved by reading", async () => {
+  it("does not prevent a claim when answers to appends are lost", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
     log.loseAnswers = 3;
-    expect(await told(first.acquire(contextOf(clock, newKey(clock)), "same"))).toEqual("claimed");
+    expect(await resultOf(first.acquire(contextOf(clock, newKey(clock)), "same"))).toEqual("claimed");
   });
 
-  it("leaves no claim behind where neither append nor read was answered", async () => {
+  it("leaves no claim behind if no append is answered", async () => {
     await using system = setUp(2);
     const { clock, log, first, second } = system;
     const context = contextOf(clock, newKey(clock));
     log.loseAnswers = 1_000;
-    expect(await told(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
+    expect(await resultOf(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
     log.loseAnswers = 0;
-    expect(await told(second.acquire(context, "same"))).toEqual("claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("claimed");
   });
 
-  it("leaves no claim behind where the read back failed", async () => {
+  it("leaves no claim behind if the claim cannot be read back", async () => {
     await using system = setUp(2);
     const { clock, log, first, second } = system;
     const context = contextOf(clock, newKey(clock));
     log.readsFail = true;
-    expect(await told(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
+    expect(await resultOf(first.acquire(context, "same"))).toEqual("not_run claims_unavailable");
     log.readsFail = false;
-    expect(await told(second.acquire(context, "same"))).toEqual("claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("claimed");
   });
 
-  it("can bring a claim after its release: it means nothing", async () => {
+  it("may append a claim after its release, and the claim is ignored", async () => {
     await using system = setUp(2);
     const { clock, log, first, second } = system;
     const context = contextOf(clock, newKey(clock));
@@ -237,30 +241,30 @@
     const claim = await claimOf(first.acquire(context, "same"));
     await claim.release();
     log.arrive();
-    expect(await told(second.acquire(context, "same"))).toEqual("claimed");
+    expect(await resultOf(second.acquire(context, "same"))).toEqual("claimed");
   });
 
-  it("is asked by one request at a time while it is away", async () => {
+  it("is probed with single records while it is unavailable", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
     log.loseAppends = 1_000;
-    const wishes = Array.from({ length: 200 }, () =>
-      told(first.acquire(contextOf(clock, newKey(clock)), "x")),
+    const attempts = Array.from({ length: 200 }, () =>
+      resultOf(first.acquire(contextOf(clock, newKey(clock)), "x")),
     );
-    expect([...new Set(await Promise.all(wishes))]).toEqual(["not_run claims_unavailable"]);
+    expect([...new Set(await Promise.all(attempts))]).toEqual(["not_run claims_unavailable"]);
     log.loseAppends = 0;
     await first.flush();
-    // Only what may have arrived is released.
+    // Releases are appended only for claims that may have been appended.
     expect(log.records().length < 60).toEqual(true);
   });
 });
 
-describe("appends", () => {
-  it("hold the claims of many requests", async () => {
+describe("an append", () => {
+  it("contains the claims of many requests", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
-    const wishes = Array.from({ length: 400 }, () => first.acquire(contextOf(clock, newKey(clock)), "x"));
-    await Promise.all(wishes);
+    const attempts = Array.from({ length: 400 }, () => first.acquire(contextOf(clock, newKey(clock)), "x"));
+    await Promise.all(attempts);
     expect(log.appends <= 8).toEqual(true);
   });
 });
@@ -277,7 +281,7 @@
     together: fc.boolean(),
   });
 
-  it("holds over interleavings of retries, routers, deaths and faults of the log", async () => {
+  it("holds for random interleavings of retries, router restarts and log faults", async () => {
     const property = fc.asyncProperty(fc.array(step, { minLength: 2, maxLength: 12 }), async (steps) => {
       await using system = setUp(3);
       const { clock, log, ledgers } = system;
@@ -287,8 +291,8 @@
 
       const request = async ({ router, key, ending }: (typeof steps)[number]): Promise<void> => {
         const name = keys[key] ?? "";
-        const wish = ledgers[router]?.acquire(contextOf(clock, name), "same");
-        const result = await wish?.catch(() => undefined);
+        const attempt = ledgers[router]?.acquire(contextOf(clock, name), "same");
+        const result = await attempt?.catch(() => undefined);
         if (result?.kind !== "claimed") return;
         if (ending === "releases") {
           await result.claim.release();
--- a/src/coordination/claims/logClaimLedger.ts
+++ b/src/coordination/claims/logClaimLedger.ts
@@ -1,6 +1,6 @@
 /**
- * Claims as records of the log service: a claim is appended and read back before anything is dispatched, and
- * the first by offset wins. docs/design/claims.md has the reasons.
+ * Claim ledger on top of the log service: a claim is appended and read back before anything is dispatched, and
+ * the first claim in log order wins. docs/design/claims.md explains the design.
  */
 import { randomUUID } from "node:crypto";
 import type { LogService } from "../../protocol/LogService.ts";
@@ -12,40 +12,40 @@
 import { refusals } from "../requests/refusals.ts";
 import type { ClaimResult } from "./ClaimLedger.ts";
 import { ClaimLedger } from "./ClaimLedger.ts";
-import { checkAge, readClaimKey } from "./claimKey.ts";
+import { checkKeyAge, readClaimKey } from "./claimKey.ts";
 import type { StandingClaim } from "./claimState.ts";
 import {
-  longestClaimWait,
-  longestFlush,
-  longestOutcomeWait,
-  longestWaitWhileDown,
+  claimTimeout,
+  flushTimeout,
+  outcomeTimeout,
+  claimTimeoutWhileUnavailable,
   outcomePollInterval,
 } from "./constants.ts";
 import { claimFailures } from "./errors.ts";
-import type { Partition, Wish } from "./claimWriter.ts";
-import { createClaimAppends } from "./claimWriter.ts";
+import type { Partition, ClaimAttempt } from "./claimWriter.ts";
+import { createClaimWriter } from "./claimWriter.ts";
 import { createPartitionReader } from "./partitionReader.ts";
 import { createPartitionWriter } from "./partitionWriter.ts";
 
-/** What the ledger works with. */
 export interface LogClaimLedgerDependencies {
   readonly log: LogService;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  /** How long claims are kept, milliseconds; within the log service's own retention. */
+  /** How long claims are kept, in milliseconds; at most the log service's own retention. */
   readonly retention: () => number;
 }
 
-/** A ledger with what the daemon needs of it. */
+/** The ledger together with the functions that the router process uses. */
 export interface LogClaimLedger extends ClaimLedger, AsyncDisposable {
-  /** Resolves when every outcome is recorded, or after a while without the log service. */
+  /** Resolves when every queued record is appended, or after {@link flushTimeout}. */
   readonly flush: () => Promise<void>;
+  /** State of each partition for operators. */
   readonly dump: () => unknown;
 }
 
-/** Makes a ledger; it reads and appends nothing until a claim is asked for. */
-export const createLogClaimLedger = (parts: LogClaimLedgerDependencies): LogClaimLedger => {
-  const { log, clock, metrics } = parts;
+/** Creates a ledger, which reads and appends nothing until the first claim is requested. */
+export const createLogClaimLedger = (dependencies: LogClaimLedgerDependencies): LogClaimLedger => {
+  const { log, clock, metrics } = dependencies;
   const partitions = new Map<string, Partition>();
 
   const partitionOf = (stream: string): Partition => {
@@ -57,77 +57,80 @@
     return partition;
   };
 
-  const { release, createClaim, appendClaim } = createClaimAppends(clock);
+  const { release, createClaim, appendClaim } = createClaimWriter(clock);
 
-  /** The claim is ours; the log service's clock decides whether the key is good. */
-  const acceptOwn = async (wish: Wish, standing: StandingClaim): Promise<ClaimResult> => {
+  /** Accepts this request's own claim unless the key is too old or too new by the log service's clock. */
+  const acceptClaim = async (attempt: ClaimAttempt, standing: StandingClaim): Promise<ClaimResult> => {
     try {
-      checkAge(wish.key, standing.appendedAt, parts.retention());
+      checkKeyAge(attempt.key, standing.appendedAt, dependencies.retention());
     } catch (error) {
-      await release(wish, standing.holder);
+      await release(attempt, standing.holder);
       throw error;
     }
-    return { kind: "claimed", claim: createClaim(wish, standing.holder) };
+    return { kind: "claimed", claim: createClaim(attempt, standing.holder) };
   };
 
-  /** Waits for the outcome of the request that holds the key. @returns Undefined once it is released. */
-  const awaitOutcome = async (wish: Wish, first: StandingClaim): Promise<ClaimResult | undefined> => {
-    const until = Math.min(wish.until, clock.monotonic() + longestOutcomeWait);
+  /** Waits for the outcome of the request that holds the key. @returns Undefined once the claim is released. */
+  const awaitOutcome = async (
+    attempt: ClaimAttempt,
+    first: StandingClaim,
+  ): Promise<ClaimResult | undefined> => {
+    const deadline = Math.min(attempt.deadline, clock.monotonic() + outcomeTimeout);
     let standing: StandingClaim | undefined = first;
     for (;;) {
       if (standing === undefined) return undefined;
-      if (standing.fingerprint !== wish.fingerprint) throw claimFailures.keyReused();
+      if (standing.fingerprint !== attempt.fingerprint) throw claimFailures.keyReused();
       if (standing.outcome !== undefined) return { kind: "completed", outcome: standing.outcome };
       const isOverdue =
         standing.isAbandoned || clock.wall() > standing.appendedAt + standing.expectedDuration;
-      if (isOverdue || clock.monotonic() >= until) throw claimFailures.inProgress();
+      if (isOverdue || clock.monotonic() >= deadline) throw claimFailures.inProgress();
       await pause(clock, outcomePollInterval);
       try {
-        standing = (await wish.partition.reader.lookUpLatest(wish.key)).standing;
+        standing = (await attempt.partition.reader.lookUpLatest(attempt.key)).standing;
       } catch {
-        // The log service is away; the claim still stands as far as anybody knows.
+        // The log service is unavailable: assume that the claim is still in force.
       }
     }
   };
 
-  const settleWish = async (wish: Wish): Promise<ClaimResult> => {
+  const resolveAttempt = async (attempt: ClaimAttempt): Promise<ClaimResult> => {
     for (;;) {
       const holder = randomUUID();
-      const known = wish.partition.reader.getIndexed(wish.key)?.standing;
-      const standing = known ?? (await appendClaim(wish, holder)).standing;
-      if (standing?.holder === holder) return acceptOwn(wish, standing);
-      const result = standing === undefined ? undefined : await awaitOutcome(wish, standing);
+      const indexed = attempt.partition.reader.getIndexed(attempt.key)?.standing;
+      const standing = indexed ?? (await appendClaim(attempt, holder)).standing;
+      if (standing?.holder === holder) return acceptClaim(attempt, standing);
+      const result = standing === undefined ? undefined : await awaitOutcome(attempt, standing);
       if (result !== undefined) return result;
-      if (clock.monotonic() >= wish.until) throw refusals.claimsUnavailable();
+      if (clock.monotonic() >= attempt.deadline) throw refusals.claimsUnavailable();
     }
   };
 
-  const createWish = (context: RequestContext, fingerprint: string): Wish => {
+  const createAttempt = (context: RequestContext, fingerprint: string): ClaimAttempt => {
     const key = readClaimKey(context);
-    checkAge(key, clock.wall(), parts.retention());
+    checkKeyAge(key, clock.wall(), dependencies.retention());
     const now = clock.monotonic();
     const partition = partitionOf(key.stream);
-    const longestWait = partition.writer.isDown() ? longestWaitWhileDown : longestClaimWait;
+    const timeout = partition.writer.isUnavailable() ? claimTimeoutWhileUnavailable : claimTimeout;
     return {
       key,
       partition,
       fingerprint,
-      expected: Math.max(0, context.completionDeadline - now),
-      until: Math.min(now + longestWait, context.completionDeadline),
+      expectedDuration: Math.max(0, context.completionDeadline - now),
+      deadline: Math.min(now + timeout, context.completionDeadline),
     };
   };
 
   const flush = async (): Promise<void> => {
     const flushed = Promise.all([...partitions.values()].map(({ writer }) => writer.flush()));
     const limit = new AbortController();
-    await Promise.race([flushed, pause(clock, longestFlush, limit.signal)]);
+    await Promise.race([flushed, pause(clock, flushTimeout, limit.signal)]);
     limit.abort();
   };
 
   class Implementation extends ClaimLedger implements LogClaimLedger {
     override async acquire(context: RequestContext, fingerprint: string): Promise<ClaimResult> {
       const startedAt = clock.monotonic();
-      const result = await settleWish(createWish(context, fingerprint));
+      const result = await resolveAttempt(createAttempt(context, fingerprint));
       metrics.count(metricNames.claims, 1, { result: result.kind });
       metrics.time(metricNames.claimWait, clock.monotonic() - startedAt);
       return result;
@@ -139,7 +142,7 @@
       [...partitions].map(([stream, { reader, writer }]) => ({
         stream,
         indexedKeys: reader.indexedKeys(),
-        waiting: writer.waiting(),
+        waiting: writer.queuedRecords(),
       }));
 
     async [Symbol.asyncDispose](): Promise<void> {
--- a/src/coordination/claims/partitionReader.ts
+++ b/src/coordination/claims/partitionReader.ts
@@ -1,4 +1,4 @@
-/** Reads one claims stream as far as it is needed: forward for the index, back for keys that are older. */
+/** Reads one claims stream on demand: forward to keep the index current, and from an earlier time for older keys. */
 import { platformError } from "../../protocol/errors.ts";
 import type { LogService } from "../../protocol/LogService.ts";
 import type { LogPage } from "../../protocol/types.ts";
@@ -7,43 +7,48 @@
 import { decodeClaimRecord } from "./claimRecord.ts";
 import type { KeyState } from "./claimState.ts";
 import { applyClaimRecord, unclaimed } from "./claimState.ts";
-import { indexSpan, longestCatchUp, longestSkew, pageSize } from "./constants.ts";
+import { indexSpan, maxCatchUpRecords, maxClockSkew, pageSize } from "./constants.ts";
 import type { ClaimKey } from "./types.ts";
 
-/** Asks for all records that there are, whatever their offsets. */
-const newestOffset = -1;
+/** Passed as an offset: reads to the end of the stream, wherever that is. */
+const endOfStream = -1;
 
-/** What this router knows of one claims stream. Methods throw `PlatformError`. */
+/** Looks up keys in one claims stream. The methods that return a promise reject with `PlatformError`. */
 export interface PartitionReader {
-  /** What has been read of a key so far, if enough has; it may have changed since. */
+  /**
+   * Looks a key up in the index without reading. The state may be out of date.
+   *
+   * @returns Undefined if the index does not reach back far enough for the key.
+   */
   readonly getIndexed: (key: ClaimKey) => KeyState | undefined;
   /**
-   * Looks a key up.
+   * Looks a key up after reading the stream.
    *
-   * @param offset - Every record up to this one is taken into account; later ones may be.
+   * @param offset - All records up to this one are taken into account; later ones may be.
    */
   readonly lookUp: (key: ClaimKey, offset: number) => Promise<KeyState>;
-  /** Looks a key up in all records that there are now. */
+  /** Looks a key up after reading to the end of the stream. */
   readonly lookUpLatest: (key: ClaimKey) => Promise<KeyState>;
+  /** Number of keys in the index. */
   readonly indexedKeys: () => number;
 }
 
-/** An index with the offset of the next record to add. */
+/** An index and the offset of the next record to apply. */
 interface OpenIndex {
   readonly index: ClaimIndex;
   position: number;
 }
 
-/** Makes a reader, which reads nothing until it is asked. */
+/** Creates a reader, which reads nothing until the first look-up. */
 export const createPartitionReader = (log: LogService, stream: string): PartitionReader => {
   let open: OpenIndex | undefined;
   let reading: Promise<unknown> = Promise.resolve();
   let scanning: Promise<unknown> = Promise.resolve();
 
-  /** The first offset whose record was appended at a time or later; records are in the order of time. */
-  const findOffset = async (time: number, ends: LogPage): Promise<number> => {
-    let low = ends.earliestOffset;
-    let high = ends.nextOffset;
+  /** Finds the first record appended at a time or later, by binary search: append times increase with offsets. */
+  const findOffset = async (time: number, range: LogPage): Promise<number> => {
+    let low = range.earliestOffset;
+    let high = range.nextOffset;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
       const [record] = (await log.read(stream, middle, 1)).records;
@@ -54,17 +59,17 @@
   };
 
   const openIndex = async (): Promise<OpenIndex> => {
-    const ends = await log.read(stream, 0, 1);
-    const [newest] = (await log.read(stream, Math.max(0, ends.nextOffset - 1), 1)).records;
-    // What the log service no longer keeps is older than any key that is accepted.
-    if (newest === undefined) return { index: createClaimIndex(0), position: ends.nextOffset };
+    const range = await log.read(stream, 0, 1);
+    const [newest] = (await log.read(stream, Math.max(0, range.nextOffset - 1), 1)).records;
+    // Records that the log service has dropped are older than any key that is accepted.
+    if (newest === undefined) return { index: createClaimIndex(0), position: range.nextOffset };
     const from = newest.appendedAt - indexSpan;
-    const position = await findOffset(from, ends);
-    const isWhole = position <= ends.earliestOffset;
-    return { index: createClaimIndex(isWhole ? 0 : from), position };
+    const position = await findOffset(from, range);
+    const isWholeStream = position <= range.earliestOffset;
+    return { index: createClaimIndex(isWholeStream ? 0 : from), position };
   };
 
-  /** @returns The offset after the newest record that there was. */
+  /** @returns The offset after the last record of the stream at the time of the read. */
   const readPage = async (current: OpenIndex): Promise<number> => {
     const page = await log.read(stream, current.position, pageSize);
     for (const record of page.records) current.index.apply(record);
@@ -73,7 +78,7 @@
     return page.nextOffset;
   };
 
-  /** Starts anew where everything in between would be dropped from the index again. */
+  /** Reopens the index further on if it would only evict the skipped records again. */
   const seekForward = async (current: OpenIndex): Promise<OpenIndex> => {
     const reopened = await openIndex();
     return reopened.position > current.position + pageSize ? reopened : current;
@@ -83,19 +88,20 @@
     open ??= await openIndex();
     if (open.position > offset && offset >= 0) return;
     let end = await readPage(open);
-    if (end - open.position > longestCatchUp) open = await seekForward(open);
+    if (end - open.position > maxCatchUpRecords) open = await seekForward(open);
     while (open.position < end) end = Math.max(end, await readPage(open));
-    if (open.position <= offset) throw platformError(`${stream} lacks offset ${offset}`, "malformed", false);
+    if (open.position <= offset)
+      throw platformError(`stream ${stream} has no record at offset ${offset}`, "malformed", false);
   };
 
-  /** One at a time, so that records are added in order; whoever waits shares what was read. */
-  const readInTurn = (offset: number): Promise<void> => {
-    const turn = reading.then(() => readTo(offset));
-    reading = turn.catch(() => undefined);
-    return turn;
+  /** Runs one read at a time, so that records are applied in order; queued calls benefit from the reads before. */
+  const readSerially = (offset: number): Promise<void> => {
+    const result = reading.then(() => readTo(offset));
+    reading = result.catch(() => undefined);
+    return result;
   };
 
-  /** Adds up the records of one key since a time, whatever the index holds. */
+  /** Derives the state of one key from the log itself, reading all records since a time. */
   const scan = async (digest: string, since: number, end: number): Promise<KeyState> => {
     let state = unclaimed;
     let from = await findOffset(since, await log.read(stream, 0, 1));
@@ -110,26 +116,26 @@
     return state;
   };
 
-  const known = ({ digest, issuedAt }: ClaimKey): KeyState | undefined => {
-    // No claim that was dispatched under is older than this.
-    const covered = open !== undefined && issuedAt - longestSkew >= open.index.coveredFrom();
-    return covered ? open?.index.get(digest) : undefined;
+  const getIndexed = ({ digest, issuedAt }: ClaimKey): KeyState | undefined => {
+    // Claims with an earlier append time are rejected, so nothing was dispatched under them.
+    const isCovered = open !== undefined && issuedAt - maxClockSkew >= open.index.coveredFrom();
+    return isCovered ? open?.index.get(digest) : undefined;
   };
 
   const lookUp = async (key: ClaimKey, offset: number): Promise<KeyState> => {
-    await readInTurn(offset);
-    const indexed = known(key);
+    await readSerially(offset);
+    const indexed = getIndexed(key);
     if (indexed !== undefined) return indexed;
     const end = open?.position ?? 0;
-    const turn = scanning.then(() => scan(key.digest, key.issuedAt - longestSkew, end));
-    scanning = turn.catch(() => undefined);
-    return turn;
+    const result = scanning.then(() => scan(key.digest, key.issuedAt - maxClockSkew, end));
+    scanning = result.catch(() => undefined);
+    return result;
   };
 
   return {
-    getIndexed: known,
+    getIndexed,
     lookUp,
-    lookUpLatest: (key) => lookUp(key, newestOffset),
+    lookUpLatest: (key) => lookUp(key, endOfStream),
     indexedKeys: () => open?.index.size() ?? 0,
   };
 };
--- a/src/coordination/claims/partitionWriter.ts
+++ b/src/coordination/claims/partitionWriter.ts
@@ -1,104 +1,105 @@
 /**
- * Appends to one claims stream, many requests' records at once: while one append is in flight the next batch
- * gathers. Records may be appended twice where an answer was lost; the second one means nothing.
+ * Appends to one claims stream and batches the records of many requests: while one append is in flight, the
+ * next batch accumulates. A record may be appended twice if an answer was lost; readers ignore the second one.
  */
 import { PlatformError } from "../../protocol/errors.ts";
 import type { LogService } from "../../protocol/LogService.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { backOff, maximumBatch, maximumWaitingSettlements, settlementLinger } from "./constants.ts";
+import { backOff, maxBatchSize, maxBackgroundRecords, batchingDelay } from "./constants.ts";
 
-/** What became of a record. */
+/** Result of appending a record. */
 export type AppendResult =
-  /** `repeated`: it may also stand, or arrive late, at another offset. */
-  | { readonly kind: "appended"; readonly offset: number; readonly repeated: boolean }
-  /** `mayArrive`: it may have been appended, or may be still. */
-  | { readonly kind: "given_up"; readonly mayArrive: boolean };
+  /** `mayBeDuplicated`: the record may also be, or later appear, at another offset. */
+  | { readonly kind: "appended"; readonly offset: number; readonly mayBeDuplicated: boolean }
+  /** `mayBeAppended`: the record may have been appended, or may still be. */
+  | { readonly kind: "given_up"; readonly mayBeAppended: boolean };
 
-/** Appends records. */
+/** Appends records to one stream in batches. */
 export interface PartitionWriter {
   /**
-   * Appends a record at once, or with the next batch.
+   * Appends a record immediately, or with the next batch if an append is in flight.
    *
-   * @param until - When to give up, milliseconds on the monotonic clock.
+   * @param deadline - When to give up, in milliseconds on the monotonic clock.
    */
-  readonly append: (data: string, until: number) => Promise<AppendResult>;
-  /** Appends a record with others, some time soon, for as long as it takes. */
-  readonly appendLater: (data: string) => void;
-  /** Resolves when nothing waits any more. */
+  readonly append: (data: string, deadline: number) => Promise<AppendResult>;
+  /** Appends a record in the background, together with others, retrying until it succeeds. */
+  readonly appendInBackground: (data: string) => void;
+  /** Resolves when the queue is empty. */
   readonly flush: () => Promise<void>;
-  readonly waiting: () => number;
-  /** The last append failed, and not because of the rate. */
-  readonly isDown: () => boolean;
-  /** Appends nothing any more. */
+  /** Number of records in the queue. */
+  readonly queuedRecords: () => number;
+  /** Whether the last append failed for a reason other than the rate limit. */
+  readonly isUnavailable: () => boolean;
+  /** Stops appending; queued records are lost. */
   readonly stop: () => void;
 }
 
-interface Item {
+interface QueuedRecord {
   readonly data: string;
-  /** Somebody waits for it; others are appended in the background. */
+  /** A request waits for this record; other records are appended in the background. */
   readonly isUrgent: boolean;
   readonly settle: (result: AppendResult) => void;
-  /** An append that may have taken effect was made. */
-  tried: boolean;
+  /** An earlier append of this record may have taken effect. */
+  mayBeAppended: boolean;
   settled: boolean;
 }
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
-/** Makes a writer. */
+/** Creates a writer. */
 export const createPartitionWriter = (log: LogService, stream: string, clock: Clock): PartitionWriter => {
   const stop = new AbortController();
-  let urgent: Item[] = [];
-  let later: Item[] = [];
-  let inFlight: readonly Item[] = [];
-  let pauseLength = 0;
-  let isDown = false;
+  let urgent: QueuedRecord[] = [];
+  let background: QueuedRecord[] = [];
+  let inFlight: readonly QueuedRecord[] = [];
+  let backOffDelay = 0;
+  let isUnavailable = false;
   let running: Promise<void> | undefined;
-  let callOffLinger: (() => void) | undefined;
+  let cancelBatchingDelay: (() => void) | undefined;
 
-  const settle = (item: Item, result: AppendResult): void => {
+  const settle = (item: QueuedRecord, result: AppendResult): void => {
     if (item.settled) return;
     item.settled = true;
     item.settle(result);
   };
 
-  const takeBatch = (): readonly Item[] => {
+  const takeBatch = (): readonly QueuedRecord[] => {
     urgent = urgent.filter((item) => !item.settled);
-    // While the service is down one record at a time finds out whether it is back.
-    const size = isDown ? 1 : maximumBatch;
+    // While the log service is unavailable, single records probe whether it has recovered.
+    const size = isUnavailable ? 1 : maxBatchSize;
     const batch = urgent.splice(0, size);
-    return [...batch, ...later.splice(0, size - batch.length)];
+    return [...batch, ...background.splice(0, size - batch.length)];
   };
 
-  /** Drops the oldest: their claims stand, which errs to the side of `outcome_unknown`. */
-  const boundLater = (): void => {
-    later.splice(0, Math.max(0, later.length - maximumWaitingSettlements));
+  /** Drops the oldest background records. Their claims stay in force, so that retries get `outcome_unknown`, which is safe. */
+  const dropExcessRecords = (): void => {
+    background.splice(0, Math.max(0, background.length - maxBackgroundRecords));
   };
 
-  const putBack = (batch: readonly Item[], error: unknown): void => {
+  const requeue = (batch: readonly QueuedRecord[], error: unknown): void => {
     const isPlatformError = error instanceof PlatformError;
-    for (const item of batch) item.tried ||= !isPlatformError || error.mayHaveTakenEffect;
+    for (const item of batch) item.mayBeAppended ||= !isPlatformError || error.mayHaveTakenEffect;
     urgent = [...batch.filter((item) => item.isUrgent), ...urgent];
-    later = [...batch.filter((item) => !item.isUrgent), ...later];
-    boundLater();
-    isDown = !isPlatformError || error.fault !== "overloaded";
-    const longest = isDown ? backOff.longestWhileDown : backOff.longestOverRate;
-    pauseLength = Math.min(longest, Math.max(backOff.first, pauseLength * 2));
+    background = [...batch.filter((item) => !item.isUrgent), ...background];
+    dropExcessRecords();
+    isUnavailable = !isPlatformError || error.fault !== "overloaded";
+    const maxDelay = isUnavailable ? backOff.maxWhileUnavailable : backOff.maxWhileRateLimited;
+    backOffDelay = Math.min(maxDelay, Math.max(backOff.initial, backOffDelay * 2));
   };
 
-  const appendBatch = async (batch: readonly Item[]): Promise<void> => {
+  const appendBatch = async (batch: readonly QueuedRecord[]): Promise<void> => {
     inFlight = batch;
     try {
       const records = batch.map((item) => item.data);
       const { offsets } = await log.append(stream, records);
-      isDown = false;
-      pauseLength = pauseLength > backOff.first ? pauseLength * 0.9 : 0;
+      isUnavailable = false;
+      backOffDelay = backOffDelay > backOff.initial ? backOffDelay * 0.9 : 0;
       batch.forEach((item, index) =>
-        settle(item, { kind: "appended", offset: offsets[index] ?? 0, repeated: item.tried }),
+        settle(item, { kind: "appended", offset: offsets[index] ?? 0, mayBeDuplicated: item.mayBeAppended }),
       );
     } catch (error) {
-      putBack(batch, error);
+      requeue(batch, error);
     }
     inFlight = [];
   };
@@ -108,51 +109,51 @@
       const batch = takeBatch();
       if (batch.length === 0) return;
       await appendBatch(batch);
-      if (pauseLength > 0) await pause(clock, pauseLength, stop.signal);
+      if (backOffDelay > 0) await pause(clock, backOffDelay, stop.signal);
     }
   };
 
   const start = (): void => {
-    callOffLinger?.();
-    callOffLinger = undefined;
+    cancelBatchingDelay?.();
+    cancelBatchingDelay = undefined;
     running ??= run().finally(() => {
       running = undefined;
-      // Something may have come after the last batch was taken.
-      if (!stop.signal.aborted && urgent.length + later.length > 0) start();
+      // Records may have been queued after the last batch was taken.
+      if (!stop.signal.aborted && urgent.length + background.length > 0) start();
     });
   };
 
-  const startSoon = (): void => {
-    if (running === undefined) callOffLinger ??= clock.after(settlementLinger, start);
+  const startAfterDelay = (): void => {
+    if (running === undefined) cancelBatchingDelay ??= clock.after(batchingDelay, start);
   };
 
-  const append = (data: string, until: number): Promise<AppendResult> =>
+  const append = (data: string, deadline: number): Promise<AppendResult> =>
     new Promise((resolve) => {
-      const item: Item = {
+      const item: QueuedRecord = {
         data,
         isUrgent: true,
         settle: (result) => {
-          callOff();
+          cancelTimeout();
           resolve(result);
         },
-        tried: false,
+        mayBeAppended: false,
         settled: false,
       };
-      const callOff = clock.after(until - clock.monotonic(), () =>
-        settle(item, { kind: "given_up", mayArrive: item.tried || inFlight.includes(item) }),
+      const cancelTimeout = clock.after(deadline - clock.monotonic(), () =>
+        settle(item, { kind: "given_up", mayBeAppended: item.mayBeAppended || inFlight.includes(item) }),
       );
       urgent.push(item);
       start();
     });
 
-  const appendLater = (data: string): void => {
-    later.push({ data, isUrgent: false, settle: ignore, tried: false, settled: false });
-    boundLater();
-    startSoon();
+  const appendInBackground = (data: string): void => {
+    background.push({ data, isUrgent: false, settle: noop, mayBeAppended: false, settled: false });
+    dropExcessRecords();
+    startAfterDelay();
   };
 
   const flush = async (): Promise<void> => {
-    while (!stop.signal.aborted && (running !== undefined || urgent.length + later.length > 0)) {
+    while (!stop.signal.aborted && (running !== undefined || urgent.length + background.length > 0)) {
       start();
       await running;
     }
@@ -160,10 +161,10 @@
 
   return {
     append,
-    appendLater,
+    appendInBackground,
     flush,
-    waiting: () => urgent.length + later.length,
-    isDown: () => isDown,
+    queuedRecords: () => urgent.length + background.length,
+    isUnavailable: () => isUnavailable,
     stop: () => stop.abort(),
   };
 };
--- a/src/coordination/claims/types.ts
+++ b/src/coordination/claims/types.ts
@@ -1,25 +1,26 @@
-/** Data that parts of the claim ledger hand to one another. */
+/** Types shared by the modules of the claim ledger. */
 
-/** An answer that was recorded for retries. */
+/** An answer recorded for retries. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly contentType: string | undefined;
   readonly body: Buffer;
 }
 
-/** How the request that holds a claim has ended. */
+/** Outcome of the request that held a claim. */
 export interface RecordedOutcome {
-  /** For people: `finished`, `status 200`. */
+  /** Description for people, such as `finished` or `status 200`. */
   readonly summary: string;
-  /** Left out where the answer was too long or is no plain service's. */
+  /** Undefined if the answer was too long to record, or did not come from a plain service. */
   readonly answer: RecordedAnswer | undefined;
 }
 
-/** An idempotency key as the ledger sees it. */
+/** A parsed idempotency key. */
 export interface ClaimKey {
-  /** Digest of organisation and key. */
+  /** Digest of the organisation and the key, so that organisations cannot share keys. */
   readonly digest: string;
-  /** When the caller issued it, milliseconds since 1970 on the caller's clock. */
+  /** When the caller issued the key: milliseconds since 1970 on the caller's clock. */
   readonly issuedAt: number;
+  /** Log stream of the partition that the key belongs to. */
   readonly stream: string;
 }
