--- a/src/coordination/claims/claimState.ts
+++ b/src/coordination/claims/claimState.ts
@@ -1,4 +1,7 @@
-/** State of one key, derived from its records. Every reader reaches the same state, as all apply the records in log order. */
+/**
+ * State of one key, derived from its records. Every reader reaches the same state, as all apply the records in log
+ * order.
+ */
 import type { ClaimRecord } from "./claimRecord.ts";
 import { readOutcome } from "./claimRecord.ts";
 import type { RecordedOutcome } from "./types.ts";
--- a/src/coordination/claims/constants.ts
+++ b/src/coordination/claims/constants.ts
@@ -1,6 +1,9 @@
 /** Constants of the claim ledger. Durations are in milliseconds. */
 
-/** Number of log streams that keys are partitioned over. All routers must agree: change it only while every router is stopped. */
+/**
+ * Number of log streams that keys are partitioned over. All routers must agree: change it only while every router
+ * is stopped.
+ */
 export const partitionCount = 4;
 
 /** How far a key's issue time may lie ahead of the log service's clock. All routers must agree. */
@@ -27,7 +30,10 @@
 /** How long a background record waits for others to share its append. */
 export const batchingDelay = 250;
 
-/** Delays between appends: the first, and the maximum while the log service refuses by its rate limit or is unavailable. */
+/**
+ * Delays between appends: the first, and the maximum while the log service refuses by its rate limit or is
+ * unavailable.
+ */
 export const backOff = { initial: 10, maxWhileRateLimited: 500, maxWhileUnavailable: 100 } as const;
 
 /** How long a request waits for its claim before it is refused as `not_run`. */
--- a/src/coordination/claims/partitionWriter.ts
+++ b/src/coordination/claims/partitionWriter.ts
@@ -72,7 +72,10 @@
     return [...batch, ...background.splice(0, size - batch.length)];
   };
 
-  /** Drops the oldest background records. Their claims stay in force, so that retries get `outcome_unknown`, which is safe. */
+  /**
+   * Drops the oldest background records. Their claims stay in force, so that retries get `outcome_unknown`, which
+   * is safe.
+   */
   const dropExcessRecords = (): void => {
     background.splice(0, Math.max(0, background.length - maxBackgroundRecords));
   };
--- a/src/coordination/orders/capacity.ts
+++ b/src/coordination/orders/capacity.ts
@@ -1,16 +1,17 @@
-/** How many engines of a pool may be out of service at once for the sake of a roll-out. */
-import { keptShare } from "./constants.ts";
+/** Limits how many engines of a pool a roll-out may take out of service at the same time. */
+import { minServingShare } from "./constants.ts";
 
 /**
- * @param listed - Engines of the pool, whatever their state.
- * @returns Engines of the pool that have to go on serving; none for a pool of one, which can't be changed
- * otherwise.
+ * @param listed - Number of engines in the pool, serving or not.
+ * @returns Number of engines of the pool that must keep serving; 0 for a pool of one engine, which could not be
+ * changed otherwise.
  */
-export const minServingEngines = (listed: number): number => Math.floor(listed * keptShare);
+export const minServingEngines = (listed: number): number => Math.floor(listed * minServingShare);
 
 /**
- * @param serving - Engines of the pool that take work now.
- * @returns Whether one of those may be taken out.
+ * @param listed - Number of engines in the pool, serving or not.
+ * @param serving - Number of engines of the pool that currently accept requests.
+ * @returns Whether one of the serving engines may be taken out of service.
  */
-export const mayTakeOut = (listed: number, serving: number): boolean =>
+export const mayTakeOutOfService = (listed: number, serving: number): boolean =>
   serving - 1 >= minServingEngines(listed);
--- a/src/coordination/orders/constants.ts
+++ b/src/coordination/orders/constants.ts
@@ -1,33 +1,35 @@
-/** Share of a pool's engines that goes on serving while others are brought over. */
-export const keptShare = 0.75;
+/** Constants of orders to engines. Durations are in milliseconds. */
 
-/** Engines whose reports an order holder asks for in one pass. */
-export const surveyBatch = 32;
+/** Share of a pool's engines that must keep serving while others are changed. */
+export const minServingShare = 0.75;
 
-/** A report older than this is asked for again, milliseconds. */
-export const surveyAge = 1_000;
+/** Maximum number of engines that are asked for a load report in one pass. */
+export const maxReportsPerPass = 32;
 
-/** Wait before an engine that failed is tried again, milliseconds; doubled by each failure. */
-export const firstRetryDelay = 500;
-export const longestRetryDelay = 30_000;
+/** Age from which a load report is requested again. */
+export const maxReportAge = 1_000;
 
-/** Orders to one engine that fail before it is left as it is for a while. */
-export const maximumOrderFailures = 3;
+/** Delay before a failed engine is retried; doubled by each failure up to the maximum. */
+export const initialRetryDelay = 500;
+export const maxRetryDelay = 30_000;
 
-/** Where an engine stands in a roll-out. */
+/** Failed orders after which an engine is left unchanged until its retry delay has passed. */
+export const maxOrderFailures = 3;
+
+/** Phases of an engine in a roll-out. */
 export const phases = {
-  /** Runs what the configuration names. */
+  /** Runs what the configuration requires. */
   asDesired: "as_desired",
-  /** Has to be changed, but its pool can spare no more engines, or all load slots are taken. */
+  /** Has to be changed, but its pool cannot spare another engine, or all slots for loads are in use. */
   waiting: "waiting",
-  /** Takes no new work; what runs there comes to its end. */
+  /** Accepts no new requests and finishes those that are running. */
   draining: "draining",
   loading: "loading",
   admitting: "admitting",
-  /** Failed lately; tried again after a wait. */
+  /** Failed recently; retried after a delay. */
   failed: "failed",
-  /** Says that it leaves, or is listed so: gets no orders. */
+  /** Reports that it is leaving, or is listed as leaving: receives no orders. */
   leaving: "leaving",
-  /** Has not reported. */
+  /** No load report received. */
   unknown: "unknown",
 } as const;
--- a/src/coordination/orders/deploymentOrders.test.ts
+++ b/src/coordination/orders/deploymentOrders.test.ts
@@ -19,7 +19,7 @@
   (): boolean =>
     orders.rollOuts().some(({ holding }) => holding);
 
-/** Publishes the old weights, starts a holder, and waits until it holds. */
+/** Publishes the old weights, starts a lease holder, and waits until it holds the lease. */
 const startHolding = async (system: RollOutSystem, name = "first") => {
   system.publish(oldWeights);
   const holder = system.startHolder(name);
@@ -33,7 +33,7 @@
     .filter(({ outcome }) => outcome === "done")
     .map(({ kind }) => kind);
 
-/** What an engine was told under each fencing number, from the lowest. */
+/** @returns The kinds of the orders that an engine executed, grouped by fencing number from the lowest. */
 const ordersByTenure = (engine: EngineStandIn): readonly (readonly string[])[] => {
   const done = engine.orders().filter(({ outcome }) => outcome === "done");
   const numbers = [...new Set(done.map(({ fencingNumber }) => fencingNumber))];
@@ -42,42 +42,43 @@
     .map((number) => done.filter(({ fencingNumber }) => fencingNumber === number).map(({ kind }) => kind));
 };
 
-const ask = (engine: EngineStandIn): Promise<Response> =>
+const sendCompletion = (engine: EngineStandIn): Promise<Response> =>
   fetch(`${engine.url}/v1/completions`, {
     method: "POST",
     body: JSON.stringify({ model, prompt: "Rules.", stream: true, ignore_eos: true, max_tokens: 20 }),
   });
 
 describe("orders of a deployment", () => {
-  it("bring over every engine, two loads at once, and three quarters go on serving", async () => {
+  it("change every engine with at most two simultaneous loads while three quarters keep serving", async () => {
     for (const { engines, kept, loads } of [
       { engines: 4, kept: 3, loads: 1 },
       { engines: 12, kept: 10, loads: 2 },
     ]) {
       await using system = await startRollOutSystem({ engines, loadMilliseconds: 20 });
       await startHolding(system);
-      let fewest = engines;
+      let minServing = engines;
       system.publish(newWeights);
       await system.until(() => {
-        fewest = Math.min(fewest, system.engines.filter((engine) => !engine.load().leaving).length);
+        minServing = Math.min(minServing, system.engines.filter((engine) => !engine.load().leaving).length);
         return allServe(system, newWeights)();
       });
       expect(allServe(system, newWeights)()).toEqual(true);
-      expect(fewest >= kept).toEqual(true);
+      expect(minServing >= kept).toEqual(true);
       expect(system.weightStore.mostSimultaneousLoads()).toEqual(loads);
       const [first] = system.engines;
       if (first === undefined) throw new Error("no engine");
       const [tenure, ...later] = ordersByTenure(first);
       expect(tenure).toEqual(["set_role", "drain", "load_weights", "admit"]);
-      // A holder that was starved for longer than its lease begins again, and may only raise the number.
+      // A holder that got no CPU for longer than its lease starts a new tenure, which may only raise the fencing
+      // number.
       for (const kinds of later) expect(kinds).toEqual(["set_role"]);
     }
   });
 
-  it("cut no answer that was running", async () => {
+  it("cut off no running request", async () => {
     await using system = await startRollOutSystem({ engineSettings: { tokenMilliseconds: 10 } });
     await startHolding(system);
-    const answers = await Promise.all(system.engines.map(ask));
+    const answers = await Promise.all(system.engines.map(sendCompletion));
     system.publish(newWeights);
     const texts = await Promise.all(answers.map((answer) => answer.text()));
     await system.until(allServe(system, newWeights));
@@ -87,7 +88,7 @@
     expect(states).toEqual(system.engines.map(() => "finished"));
   });
 
-  it("load adapters that the configuration names", async () => {
+  it("load the adapters in the configuration", async () => {
     await using system = await startRollOutSystem({ engines: 2 });
     await startHolding(system);
     system.publish(oldWeights, [{ name: "first-aid", version: "3" }]);
@@ -99,7 +100,7 @@
     ]);
   });
 
-  it("go on after an engine has crashed while it loaded", async () => {
+  it("continue after an engine crashed while loading", async () => {
     await using system = await startRollOutSystem({ loadMilliseconds: 150 });
     await startHolding(system);
     system.publish(newWeights);
@@ -109,7 +110,7 @@
     expect(allServe(system, newWeights)()).toEqual(true);
   });
 
-  it("are gone on with by another holder, whose loads and the last one's are two at most", async () => {
+  it("are continued by the next holder without exceeding two simultaneous loads together with the previous one", async () => {
     await using system = await startRollOutSystem({ engines: 8, loadMilliseconds: 150 });
     const first = await startHolding(system);
     const second = system.startHolder("second");
@@ -136,7 +137,7 @@
     expect(allServe(system, "2026-07")()).toEqual(true);
   });
 
-  it("are carried out once though their answers are lost", async () => {
+  it("are executed once even if their answers are lost", async () => {
     await using system = await startRollOutSystem({ engines: 2 });
     await startHolding(system);
     await system.until(() => system.engines.every((engine) => kindsOf(engine).includes("set_role")));
@@ -148,7 +149,7 @@
     expect(loads.map(({ length }) => length)).toEqual([1, 1]);
   });
 
-  it("let engines serve on with their weights while the weight store is out", async () => {
+  it("keep engines serving their old weights during an outage of the weight store", async () => {
     await using system = await startRollOutSystem({ engines: 2 });
     await startHolding(system);
     system.weightStore.faults.outage = true;
@@ -161,7 +162,7 @@
     expect(allServe(system, newWeights)()).toEqual(true);
   });
 
-  it("never call back an engine that leaves by its own word or the platform's", async () => {
+  it("never admit an engine that leaves by its own report or the platform's list", async () => {
     await using system = await startRollOutSystem({ engines: 6 });
     const [own, listed, ...others] = system.engines;
     if (own === undefined || listed === undefined) return;
@@ -178,7 +179,7 @@
     expect(isServing(own, newWeights)).toEqual(true);
   });
 
-  it("make every engine refuse an earlier holder's orders, also where nothing is to be changed", async () => {
+  it("make every engine refuse an earlier holder's orders, even if nothing has to be changed", async () => {
     await using system = await startRollOutSystem({ engines: 2 });
     const first = await startHolding(system);
     const before = first.orders.rollOuts()[0]?.fencingNumber ?? -1;
--- a/src/coordination/orders/deploymentOrders.ts
+++ b/src/coordination/orders/deploymentOrders.ts
@@ -1,54 +1,59 @@
-/** Keeps a lease and an order holder for each deployment that the configuration names. */
+/** Runs a lease and a roll-out controller for each deployment in the configuration. */
 import type { LogService } from "../../protocol/LogService.ts";
 import { pause } from "../clock.ts";
 import { orderLease } from "../leases/constants.ts";
 import { startLease } from "../leases/lease.ts";
 import type { LeaseHistory } from "../leases/leaseHistory.ts";
 import type { LeaseView } from "../leases/types.ts";
-import type { EngineSurveyParts } from "./engineLoadCache.ts";
-import { startOrderHolder } from "./rollOutController.ts";
-import type { RollOutParts } from "./rollOut.ts";
+import type { EngineLoadCacheDependencies } from "./engineLoadCache.ts";
+import { startRollOutController } from "./rollOutController.ts";
+import type { RollOutDependencies } from "./rollOut.ts";
 import type { RollOutView } from "./types.ts";
 
-/** What the orders of all deployments work with. */
-export interface DeploymentOrdersDependencies extends Omit<RollOutParts, "deployment">, EngineSurveyParts {
+export interface DeploymentOrdersDependencies
+  extends Omit<RollOutDependencies, "deployment">, EngineLoadCacheDependencies {
   readonly log: LogService;
   readonly history: LeaseHistory;
-  /** Names this process among all holders. */
+  /** Identifies this process among all lease holders. */
   readonly holder: string;
-  /** Whether this router should try to get a lease. */
+  /** Whether this router should try to acquire the lease. */
   readonly isCandidate: (lease: string) => boolean;
 }
 
-/** Runs until it is disposed of; then it hands its leases over. */
+/** Runs until it is disposed; then it releases its leases. */
 export interface DeploymentOrders extends AsyncDisposable {
   readonly leases: () => readonly LeaseView[];
   readonly rollOuts: () => readonly RollOutView[];
 }
 
-/** Used while no configuration is in force; nothing is held then. */
-const fallbackDuration = 10_000;
+/** Lease duration in milliseconds while there is no configuration; no lease is held then. */
+const defaultLeaseDuration = 10_000;
 
-/** Starts with no deployment and follows the configuration. */
-export const startDeploymentOrders = (parts: DeploymentOrdersDependencies): DeploymentOrders => {
+/** Starts without deployments and follows the configuration. */
+export const startDeploymentOrders = (dependencies: DeploymentOrdersDependencies): DeploymentOrders => {
   const stop = new AbortController();
   const duration = (): number =>
-    parts.configuration()?.configuration.limits.leaseDuration ?? fallbackDuration;
+    dependencies.configuration()?.configuration.limits.leaseDuration ?? defaultLeaseDuration;
 
   const startOne = (deployment: string) => {
     const name = orderLease(deployment);
-    const lease = startLease({ ...parts, name, duration, isCandidate: () => parts.isCandidate(name) });
-    const holder = startOrderHolder({ ...parts, deployment, lease });
+    const lease = startLease({
+      ...dependencies,
+      name,
+      duration,
+      isCandidate: () => dependencies.isCandidate(name),
+    });
+    const controller = startRollOutController({ ...dependencies, deployment, lease });
     const end = async (): Promise<void> => {
-      await holder[Symbol.asyncDispose]();
+      await controller[Symbol.asyncDispose]();
       await lease[Symbol.asyncDispose]();
     };
-    return { lease, holder, end };
+    return { lease, controller, end };
   };
   const deployments = new Map<string, ReturnType<typeof startOne>>();
 
-  const follow = async (): Promise<void> => {
-    const configuration = parts.configuration()?.configuration;
+  const applyConfiguration = async (): Promise<void> => {
+    const configuration = dependencies.configuration()?.configuration;
     if (configuration === undefined) return;
     const names = new Set(configuration.deployments.map(({ name }) => name));
     for (const name of names) {
@@ -63,8 +68,8 @@
 
   const run = async (): Promise<void> => {
     while (!stop.signal.aborted) {
-      await follow();
-      await pause(parts.clock, parts.interval, stop.signal);
+      await applyConfiguration();
+      await pause(dependencies.clock, dependencies.interval, stop.signal);
     }
     await Promise.all([...deployments.values()].map(({ end }) => end()));
   };
@@ -72,7 +77,7 @@
 
   return {
     leases: () => [...deployments.values()].map(({ lease }) => lease.view()),
-    rollOuts: () => [...deployments.values()].map(({ holder }) => holder.view()),
+    rollOuts: () => [...deployments.values()].map(({ controller }) => controller.view()),
     [Symbol.asyncDispose]: async () => {
       stop.abort();
       await task;
--- a/src/coordination/orders/desiredState.ts
+++ b/src/coordination/orders/desiredState.ts
@@ -1,10 +1,10 @@
-/** Compares what an engine reports with what the configuration wants of it. */
+/** Compares the state that an engine reports with the state that the configuration requires. */
 import type { EnginePoolConfiguration } from "../../protocol/configuration/schema.ts";
 import type { EngineLoad, EngineOrderAction } from "../../protocol/types.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 import type { DesiredState } from "./types.ts";
 
-/** @returns What the engines of a pool should run; nothing if the configuration has no such model. */
+/** @returns The state required of a pool's engines; undefined if the configuration does not define the pool's model. */
 export const desiredStateOf = (
   index: ConfigurationIndex,
   pool: EnginePoolConfiguration,
@@ -24,7 +24,7 @@
   return { adapter: label.slice(0, at), version: label.slice(at + 1) };
 };
 
-/** @returns The next change that brings an engine nearer to what is wanted; nothing if it is there. */
+/** @returns The next change towards the desired state; undefined if the engine has reached it. */
 export const nextChange = (load: EngineLoad, desired: DesiredState): EngineOrderAction | undefined => {
   const { model, weightsVersion, role } = desired;
   if (load.model !== model || load.weightsVersion !== weightsVersion) {
--- a/src/coordination/orders/drainRecords.ts
+++ b/src/coordination/orders/drainRecords.ts
@@ -1,22 +1,22 @@
 /**
- * Which engines were drained by the system itself. An engine's report only says that it takes no new work;
- * one that leaves for good must not be called back. So each drain is noted in the lease before it is ordered,
- * and the next holder finds it there.
+ * Records which engines were drained by the roll-out itself. An engine's report only shows that it accepts no new
+ * requests; an engine that is leaving for good must not be admitted again. Therefore each drain is stored in the
+ * lease's note before it is ordered, where the next lease holder finds it.
  */
 import type { Tenure } from "../leases/types.ts";
 
-/** See {@link createDrainNotes}. */
-export interface DrainNotes {
+/** Engines drained by this lease holder or an earlier one. */
+export interface DrainRecords {
   readonly has: (id: string) => boolean;
-  /** @returns True once the note is in the log; without it there must be no drain. */
+  /** @returns Whether the record is stored in the log. If it is not, the engine must not be drained. */
   readonly add: (id: string) => Promise<boolean>;
   readonly remove: (id: string) => void;
-  /** Forgets engines that are not among these. */
+  /** Removes the records of all other engines. */
   readonly keepOnly: (ids: ReadonlySet<string>) => void;
 }
 
-/** Takes up the notes that a tenure begins with. */
-export const createDrainNotes = (tenure: Tenure): DrainNotes => {
+/** Starts with the records that the previous lease holder left. */
+export const createDrainRecords = (tenure: Tenure): DrainRecords => {
   const drained = new Set(tenure.note());
 
   const remove = (id: string): void => {
--- a/src/coordination/orders/engineLoadCache.ts
+++ b/src/coordination/orders/engineLoadCache.ts
@@ -1,43 +1,42 @@
-/** What the engines of one deployment report, as an order holder needs it: from all data centres. */
+/** Load reports of the engines of one deployment in all data centres, for the router that holds its lease. */
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
 import type { EngineLoad } from "../../protocol/types.ts";
 import type { EngineReplica } from "../../state/engineDirectory.ts";
 import type { Clock } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
-import { surveyAge, surveyBatch } from "./constants.ts";
+import { maxReportAge, maxReportsPerPass } from "./constants.ts";
 
-/** What a survey works with. */
-export interface EngineSurveyParts {
+export interface EngineLoadCacheDependencies {
   readonly clock: Clock;
   readonly connect: (engine: EngineReplica) => ModelEngine;
-  /** Longest wait for a report, milliseconds. */
+  /** Timeout for one report, in milliseconds. */
   readonly loadTimeout: number;
 }
 
-/** See {@link createEngineSurvey}. */
-export interface EngineSurvey {
-  /** The last report; nothing if there is none, or the engine's last report could not be had. */
+/** Caches the last load report of each engine. */
+export interface EngineLoadCache {
+  /** The last report; undefined if there is none, or if the last request for one failed. */
   readonly load: (engine: EngineReplica) => EngineLoad | undefined;
-  /** Asks one engine now. Throws `UpstreamError`. */
+  /** Requests a report from one engine now. Throws `UpstreamError`. */
   readonly read: (engine: EngineReplica, signal: AbortSignal) => Promise<EngineLoad>;
-  /** Asks those engines whose reports are oldest, a batch of them at most. */
+  /** Requests reports from the engines with the oldest ones, at most {@link maxReportsPerPass} of them. */
   readonly refresh: (engines: readonly EngineReplica[], signal: AbortSignal) => Promise<void>;
-  /** Forgets engines that are not among these. */
+  /** Removes the reports of all other engines. */
   readonly keepOnly: (engines: readonly EngineReplica[]) => void;
 }
 
 interface Report {
   readonly load: EngineLoad | undefined;
-  /** When it was asked for, milliseconds on the monotonic clock. */
+  /** When it was requested, in milliseconds on the monotonic clock. */
   readonly at: number;
 }
 
-/** Creates a survey that knows nothing. */
-export const createEngineSurvey = (parts: EngineSurveyParts): EngineSurvey => {
-  const { clock } = parts;
+/** Creates an empty cache. */
+export const createEngineLoadCache = (dependencies: EngineLoadCacheDependencies): EngineLoadCache => {
+  const { clock } = dependencies;
   const reports = new Map<string, Report>();
 
-  /** The newer of the own report and the one that the directory has for requests. */
+  /** The newer of this cache's report and the directory's, which is used for routing requests. */
   const latest = (engine: EngineReplica): Report | undefined => {
     const own = reports.get(engine.id);
     if (engine.load === undefined || engine.loadReadAt < (own?.at ?? 0)) return own;
@@ -47,8 +46,8 @@
   const read = async (engine: EngineReplica, signal: AbortSignal): Promise<EngineLoad> => {
     const at = clock.monotonic();
     try {
-      const load = await withTimeLimit(clock, signal, parts.loadTimeout, (limit) =>
-        parts.connect(engine).readLoad(limit),
+      const load = await withTimeLimit(clock, signal, dependencies.loadTimeout, (limit) =>
+        dependencies.connect(engine).readLoad(limit),
       );
       reports.set(engine.id, { load, at });
       return load;
@@ -65,9 +64,9 @@
       const now = clock.monotonic();
       const stale = engines
         .map((engine) => ({ engine, at: latest(engine)?.at ?? Number.NEGATIVE_INFINITY }))
-        .filter(({ at }) => now - at >= surveyAge)
+        .filter(({ at }) => now - at >= maxReportAge)
         .sort((left, right) => left.at - right.at)
-        .slice(0, surveyBatch);
+        .slice(0, maxReportsPerPass);
       await Promise.all(stale.map(({ engine }) => read(engine, signal).catch(() => undefined)));
     },
     keepOnly: (engines) => {
--- a/src/coordination/orders/engineOrders.ts
+++ b/src/coordination/orders/engineOrders.ts
@@ -1,4 +1,4 @@
-/** Gives orders to engines under one tenure of a deployment's lease. */
+/** Sends orders to engines under one tenure of a deployment's lease. */
 import { randomUUID } from "node:crypto";
 import { UpstreamError, upstreamError } from "../../protocol/errors.ts";
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
@@ -10,46 +10,48 @@
 import type { Tenure } from "../leases/types.ts";
 import { withTimeLimit } from "../timeLimit.ts";
 
-/** What orders work with. */
-export interface EngineOrdersParts {
+export interface EngineOrdersDependencies {
   readonly tenure: Tenure;
   readonly metrics: Metrics;
   readonly clock: Clock;
   readonly signal: AbortSignal;
 }
 
-/** The engine that an order is for. */
+/** The engine that an order is sent to. */
 export interface OrderTarget {
   readonly id: string;
   readonly connection: ModelEngine;
-  /** Longest wait for the order to be carried out, milliseconds. */
+  /** Timeout for the execution of an order, in milliseconds. */
   readonly longestOrder: number;
 }
 
-/** See {@link createEngineOrders}. */
+/** Sends orders to engines under one tenure. */
 export interface EngineOrders {
-  /** True once an engine has refused this tenure's number: somebody else holds the lease. */
+  /** Whether an engine has refused this tenure's fencing number because a newer holder has the lease. */
   readonly isSuperseded: () => boolean;
-  /** True while orders may be given. */
-  readonly mayOrder: () => boolean;
-  /** Gives an order on condition of what has been seen of the engine. Throws `UpstreamError`. */
-  readonly give: (target: OrderTarget, action: EngineOrderAction, seen: EngineLoad) => Promise<void>;
-  /** Makes an engine that checks refuse every earlier holder's orders, by an order that changes nothing. */
-  readonly raiseFence: (target: OrderTarget, seen: EngineLoad) => Promise<void>;
+  /** Whether the tenure is valid, not superseded and not stopped. */
+  readonly maySendOrders: () => boolean;
+  /** Sends an order on condition that the engine still is as in its last report. Throws `UpstreamError`. */
+  readonly send: (target: OrderTarget, action: EngineOrderAction, lastLoad: EngineLoad) => Promise<void>;
+  /**
+   * Sends an order that changes nothing, so that an engine which checks fencing numbers refuses orders of earlier
+   * holders.
+   */
+  readonly raiseFence: (target: OrderTarget, lastLoad: EngineLoad) => Promise<void>;
 }
 
 const writeLog = createLogger("orders");
 
 const outcomeOf = (error: unknown): string => (error instanceof UpstreamError ? error.fault : "failed");
 
-/** Creates the orders of one tenure. */
-export const createEngineOrders = (parts: EngineOrdersParts): EngineOrders => {
-  const { tenure, metrics, clock, signal } = parts;
-  /** Engines that have seen this tenure's number, and in which incarnation. */
-  const raised = new Map<string, string>();
+/** Creates a sender of orders under one tenure. */
+export const createEngineOrders = (dependencies: EngineOrdersDependencies): EngineOrders => {
+  const { tenure, metrics, clock, signal } = dependencies;
+  /** Incarnations of the engines that have accepted this tenure's fencing number, by engine id. */
+  const fencedIncarnations = new Map<string, string>();
   let superseded = false;
 
-  const mayOrder = (): boolean => tenure.isValid() && !superseded && !signal.aborted;
+  const maySendOrders = (): boolean => tenure.isValid() && !superseded && !signal.aborted;
 
   const noteFailure = (target: OrderTarget, error: unknown): void => {
     if (!(error instanceof UpstreamError) || error.fault !== "stale_fencing") return;
@@ -57,22 +59,26 @@
     writeLog("superseded", { engine: target.id, fencingNumber: tenure.fencingNumber });
   };
 
-  const give = async (target: OrderTarget, action: EngineOrderAction, seen: EngineLoad): Promise<void> => {
+  const send = async (
+    target: OrderTarget,
+    action: EngineOrderAction,
+    lastLoad: EngineLoad,
+  ): Promise<void> => {
     const order = {
       id: `${tenure.fencingNumber}/${randomUUID()}`,
       fencingNumber: tenure.fencingNumber,
-      ifIncarnation: seen.incarnation,
-      ifWeightsVersion: seen.weightsVersion,
+      ifIncarnation: lastLoad.incarnation,
+      ifWeightsVersion: lastLoad.weightsVersion,
       action,
     };
-    // The last thing before the order leaves: this process may have been paused until now.
-    if (!mayOrder()) throw upstreamError("the lease is no longer held", "cancelled", "not_sent");
+    // Checked immediately before the order is sent, because this process may have been paused until now.
+    if (!maySendOrders()) throw upstreamError("the lease is no longer held", "cancelled", "not_sent");
     let outcome = "done";
     try {
       await withTimeLimit(clock, signal, target.longestOrder, (limit) =>
         target.connection.order(order, limit),
       );
-      raised.set(target.id, seen.incarnation);
+      fencedIncarnations.set(target.id, lastLoad.incarnation);
     } catch (error) {
       outcome = outcomeOf(error);
       noteFailure(target, error);
@@ -84,11 +90,11 @@
 
   return {
     isSuperseded: () => superseded,
-    mayOrder,
-    give,
-    raiseFence: async (target, seen) => {
-      if (raised.get(target.id) === seen.incarnation) return;
-      await give(target, { kind: "set_role", role: seen.role }, seen);
+    maySendOrders,
+    send,
+    raiseFence: async (target, lastLoad) => {
+      if (fencedIncarnations.get(target.id) === lastLoad.incarnation) return;
+      await send(target, { kind: "set_role", role: lastLoad.role }, lastLoad);
     },
   };
 };
--- a/src/coordination/orders/reconcileEngine.ts
+++ b/src/coordination/orders/reconcileEngine.ts
@@ -1,31 +1,31 @@
 /**
- * Brings one engine to what the configuration wants: drain, wait for its answers to end, change, verify,
- * admit. Each turn begins with a fresh report and does the one thing that it calls for, so the task goes on
- * from wherever an earlier holder, a lost answer or a crash of the engine left it.
+ * Brings one engine to the desired state: drain, wait until its requests have ended, change, verify, admit. Each
+ * iteration reads a fresh report and takes the single step that it calls for, so that the task continues from any
+ * state left by an earlier lease holder, a lost answer or a crash of the engine.
  */
 import { UpstreamError } from "../../protocol/errors.ts";
 import type { EngineLoad, EngineOrderAction } from "../../protocol/types.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { maximumOrderFailures, phases } from "./constants.ts";
+import { maxOrderFailures, phases } from "./constants.ts";
 import { nextChange } from "./desiredState.ts";
-import type { DesiredState, GiveOrder, RollOutPhase } from "./types.ts";
+import type { DesiredState, SendOrder, RollOutPhase } from "./types.ts";
 
-/** What the task works with. Times are milliseconds. */
-export interface BringOverParts {
+/** Times are in milliseconds. */
+export interface ReconcileEngineDependencies {
   readonly clock: Clock;
   readonly signal: AbortSignal;
   readonly readLoad: () => Promise<EngineLoad>;
-  readonly giveOrder: GiveOrder;
-  /** Asked in each turn: a newer configuration may have come. */
+  readonly sendOrder: SendOrder;
+  /** Called in each iteration, because the configuration may have changed. */
   readonly desired: () => DesiredState | undefined;
-  /** False once the lease or the engine is gone. */
-  readonly mayGoOn: () => boolean;
-  /** Answers that run longer after the drain are cut by the load. */
+  /** Whether the lease is still held and the engine still listed. */
+  readonly mayContinue: () => boolean;
+  /** Time after the drain at which the load starts, cutting off requests that are still running. */
   readonly longestDrain: number;
-  /** An order whose answer was lost may be carried out for so long. */
+  /** Time for which an order whose answer was lost may still be executing. */
   readonly longestOrder: number;
-  /** Between two looks at the engine. */
+  /** Interval between polls of the engine. */
   readonly interval: number;
   readonly onPhase: (phase: RollOutPhase) => void;
 }
@@ -35,17 +35,18 @@
   return action.kind === "admit" ? phases.admitting : phases.loading;
 };
 
-/** Failures after which the next report says what came of the order. */
-const isWorthALook = (error: unknown): boolean =>
+/** Whether the next report shows the outcome of an order that failed with this error. */
+const isResolvedByNextReport = (error: unknown): boolean =>
   error instanceof UpstreamError && error.fault !== "stale_fencing";
 
+/** Progress with one incarnation of the engine. */
 interface Progress {
-  /** Of the incarnation that all the rest is about. */
+  /** The incarnation that the other fields refer to. */
   incarnation: string | undefined;
-  /** When the drain was first ordered. */
+  /** When the first drain order succeeded. */
   drainedAt: number | undefined;
   admitted: boolean;
-  /** Until then an order that failed may still be carried out. */
+  /** Until this time an order that failed may still be executing. */
   uncertainUntil: number;
   orderFailures: number;
 }
@@ -60,75 +61,82 @@
 
 const isIdle = (load: EngineLoad): boolean => load.leaving && load.running + load.waiting === 0;
 
-/** @returns What to order now; `wait` while answers run; nothing once the engine is as desired. */
+/**
+ * @returns The order to send now; `wait` while requests are running; undefined once the engine is in the desired
+ * state.
+ */
 const chooseAction = (
   load: EngineLoad,
   desired: DesiredState,
   progress: Progress,
-  mustLoad: boolean,
+  isDrainTimedOut: boolean,
 ): EngineOrderAction | "wait" | undefined => {
   const change = nextChange(load, desired);
   if (change === undefined) return load.leaving && !progress.admitted ? { kind: "admit" } : undefined;
   if (progress.drainedAt === undefined || !load.leaving) return { kind: "drain" };
-  return isIdle(load) || mustLoad ? change : "wait";
+  return isIdle(load) || isDrainTimedOut ? change : "wait";
 };
 
 /**
- * Runs the task.
+ * Changes an engine step by step until it is in the desired state.
  *
- * @returns True once the engine is as desired and has been admitted; false if the task may not go on. Throws
- * `UpstreamError` if the engine fails for longer than an order takes, or has seen a newer holder.
+ * @returns True once the engine is in the desired state and admitted; false if the task may not continue. Throws
+ * `UpstreamError` if the engine fails for longer than an order takes, or has seen a newer lease holder.
  */
-export const bringOver = async (parts: BringOverParts): Promise<boolean> => {
-  const { clock, signal } = parts;
+export const reconcileEngine = async (dependencies: ReconcileEngineDependencies): Promise<boolean> => {
+  const { clock, signal } = dependencies;
   let progress = newProgress(undefined);
 
-  const noteDone = (action: EngineOrderAction): void => {
+  const noteSuccess = (action: EngineOrderAction): void => {
     if (action.kind === "drain") progress.drainedAt ??= clock.monotonic();
     progress.admitted = action.kind === "admit";
   };
 
-  /** Lets an engine that can't be changed now, say since the weight store is out, serve as it is. */
+  /**
+   * Admits an engine that cannot be changed now, for example during an outage of the weight store, so that it
+   * serves unchanged.
+   */
   const giveUp = async (load: EngineLoad, failure: unknown): Promise<never> => {
-    if (load.leaving) await parts.giveOrder({ kind: "admit" }, load);
+    if (load.leaving) await dependencies.sendOrder({ kind: "admit" }, load);
     throw failure;
   };
 
   const order = async (action: EngineOrderAction, load: EngineLoad): Promise<void> => {
-    parts.onPhase(phaseOf(action));
+    dependencies.onPhase(phaseOf(action));
     try {
-      await parts.giveOrder(action, load);
-      noteDone(action);
+      await dependencies.sendOrder(action, load);
+      noteSuccess(action);
     } catch (error) {
-      if (!isWorthALook(error)) throw error;
+      if (!isResolvedByNextReport(error)) throw error;
       progress.orderFailures += 1;
-      if (progress.orderFailures >= maximumOrderFailures) await giveUp(load, error);
-      progress.uncertainUntil = clock.monotonic() + parts.longestOrder;
-      await pause(clock, parts.interval, signal);
+      if (progress.orderFailures >= maxOrderFailures) await giveUp(load, error);
+      progress.uncertainUntil = clock.monotonic() + dependencies.longestOrder;
+      await pause(clock, dependencies.interval, signal);
     }
   };
 
   const read = async (): Promise<EngineLoad | undefined> => {
     try {
-      return await parts.readLoad();
+      return await dependencies.readLoad();
     } catch (error) {
       if (clock.monotonic() >= progress.uncertainUntil) throw error;
-      await pause(clock, parts.interval, signal);
+      await pause(clock, dependencies.interval, signal);
       return undefined;
     }
   };
 
-  while (parts.mayGoOn() && !signal.aborted) {
+  while (dependencies.mayContinue() && !signal.aborted) {
     const load = await read();
-    const desired = parts.desired();
+    const desired = dependencies.desired();
     if (desired === undefined) return false;
     if (load === undefined) continue;
     if (load.incarnation !== progress.incarnation) progress = newProgress(load.incarnation);
     const { drainedAt } = progress;
-    const mustLoad = drainedAt !== undefined && clock.monotonic() >= drainedAt + parts.longestDrain;
-    const action = chooseAction(load, desired, progress, mustLoad);
+    const isDrainTimedOut =
+      drainedAt !== undefined && clock.monotonic() >= drainedAt + dependencies.longestDrain;
+    const action = chooseAction(load, desired, progress, isDrainTimedOut);
     if (action === undefined) return !load.leaving;
-    if (action === "wait") await pause(clock, parts.interval, signal);
+    if (action === "wait") await pause(clock, dependencies.interval, signal);
     else await order(action, load);
   }
   return false;
--- a/src/coordination/orders/retryDelays.ts
+++ b/src/coordination/orders/retryDelays.ts
@@ -1,29 +1,29 @@
-/** When engines that failed may be tried again. */
+/** Exponential back-off for engines that failed. */
 import type { Clock } from "../clock.ts";
-import { firstRetryDelay, longestRetryDelay } from "./constants.ts";
+import { initialRetryDelay, maxRetryDelay } from "./constants.ts";
 
-/** See {@link createRetryDelays}. */
+/** Counts failures and decides when each engine may be retried. */
 export interface RetryDelays {
-  /** Failures of an engine in a row. */
+  /** Number of consecutive failures of an engine. */
   readonly failures: (id: string) => number;
-  readonly mayTry: (id: string) => boolean;
-  /** @returns Failures in a row, this one counted. */
+  readonly mayRetry: (id: string) => boolean;
+  /** @returns Number of consecutive failures, including this one. */
   readonly noteFailure: (id: string) => number;
   readonly noteSuccess: (id: string) => void;
-  /** Forgets engines that are not among these. */
+  /** Removes the state of all other engines. */
   readonly keepOnly: (ids: ReadonlySet<string>) => void;
 }
 
-/** Creates delays that grow with each failure in a row. */
+/** Creates delays that double with each consecutive failure. */
 export const createRetryDelays = (clock: Clock): RetryDelays => {
   const entries = new Map<string, { readonly count: number; readonly retryAt: number }>();
   const failures = (id: string): number => entries.get(id)?.count ?? 0;
   return {
     failures,
-    mayTry: (id) => clock.monotonic() >= (entries.get(id)?.retryAt ?? Number.NEGATIVE_INFINITY),
+    mayRetry: (id) => clock.monotonic() >= (entries.get(id)?.retryAt ?? Number.NEGATIVE_INFINITY),
     noteFailure: (id) => {
       const count = failures(id) + 1;
-      const delay = Math.min(longestRetryDelay, firstRetryDelay * 2 ** (count - 1));
+      const delay = Math.min(maxRetryDelay, initialRetryDelay * 2 ** (count - 1));
       entries.set(id, { count, retryAt: clock.monotonic() + delay });
       return count;
     },
--- a/src/coordination/orders/rollOut.test.ts
+++ b/src/coordination/orders/rollOut.test.ts
@@ -11,12 +11,12 @@
 import { createConfigurationIndex } from "../configurationIndex.ts";
 import type { Tenure } from "../leases/types.ts";
 import { createManualClock } from "../manualClock.ts";
-import { createEngineSurvey } from "./engineLoadCache.ts";
+import { createEngineLoadCache } from "./engineLoadCache.ts";
 import { createRollOut } from "./rollOut.ts";
 
 const longestOrder = 15_000;
 
-/** Takes orders at once, or refuses all of them as stale. */
+/** Executes orders immediately, or refuses all of them as stale. */
 class FakeEngine extends ModelEngine {
   readonly orders: EngineOrder[] = [];
   refusesAll = false;
@@ -66,7 +66,7 @@
   }
 }
 
-/** A roll-out of the demo's Trinacria, whose engines are one fake. */
+/** Creates a roll-out of the demo's deployment Trinacria with a single fake engine. */
 const createSubject = async (fencing: "checked" | "ignored") => {
   const file = "examples/demo.json";
   const configuration = parseConfiguration(await readFile(file, "utf8"), file);
@@ -77,17 +77,17 @@
   const directory = createEngineDirectory();
   const vm = { id: "modelli-0", dataCentre: "catania-a", url: "http://127.0.0.1:1", pool: "modelli" };
   directory.applyVms([{ ...vm, role: "engine", state: "live" }]);
-  const held = { valid: true };
+  const lease = { valid: true };
   const tenure: Tenure = {
     fencingNumber: 7,
     followsRelease: false,
     beganAt: clock.monotonic(),
-    isValid: () => held.valid,
+    isValid: () => lease.valid,
     note: () => [],
     setNote: () => undefined,
-    saveNote: () => Promise.resolve(held.valid),
+    saveNote: () => Promise.resolve(lease.valid),
   };
-  const parts = {
+  const dependencies = {
     deployment: "trinacria",
     configuration: () => index,
     directory,
@@ -98,19 +98,19 @@
     interval: 10,
     loadTimeout: 1_000,
   };
-  const rollOut = createRollOut(parts, createEngineSurvey(parts), tenure);
+  const rollOut = createRollOut(dependencies, createEngineLoadCache(dependencies), tenure);
   const passAt = async (time: number): Promise<void> => {
     clock.advanceTo(time);
     await rollOut.pass();
-    for (let turn = 0; turn < 50; turn += 1) await setImmediate();
+    for (let tick = 0; tick < 50; tick += 1) await setImmediate();
   };
-  return { engine, held, rollOut, passAt };
+  return { engine, lease, rollOut, passAt };
 };
 
 const kindsOf = (engine: FakeEngine): readonly string[] => engine.orders.map(({ action }) => action.kind);
 
 describe("roll-out", () => {
-  it("orders nothing of engines that don't check while the last holder's orders may still come", async () => {
+  it("sends no order to engines that ignore fencing numbers while the previous holder's orders may still arrive", async () => {
     const { engine, rollOut, passAt } = await createSubject("ignored");
     await passAt(longestOrder - 1);
     expect(kindsOf(engine)).toEqual([]);
@@ -119,7 +119,7 @@
     await rollOut[Symbol.asyncDispose]();
   });
 
-  it("gives each order on condition of the incarnation and weights seen last", async () => {
+  it("sends each order on condition of the last reported incarnation and weights", async () => {
     const { engine, rollOut, passAt } = await createSubject("checked");
     await passAt(0);
     expect(
@@ -134,35 +134,35 @@
     await rollOut[Symbol.asyncDispose]();
   });
 
-  it("stops between two orders when its lease is over", async () => {
-    const { engine, held, rollOut, passAt } = await createSubject("checked");
+  it("stops between two orders when its lease has ended", async () => {
+    const { engine, lease, rollOut, passAt } = await createSubject("checked");
     engine.load = { ...engine.load, running: 1 };
     await passAt(0);
     expect(kindsOf(engine)).toEqual(["set_role", "drain"]);
-    held.valid = false;
+    lease.valid = false;
     engine.load = { ...engine.load, running: 0 };
     await passAt(2_000);
     expect(kindsOf(engine)).toEqual(["set_role", "drain"]);
     await rollOut[Symbol.asyncDispose]();
   });
 
-  it("gives no order after a pause between its look at the engine and the order", async () => {
-    const { engine, held, rollOut, passAt } = await createSubject("checked");
+  it("sends no order if the process pauses between reading the report and sending, and the lease ends meanwhile", async () => {
+    const { engine, lease, rollOut, passAt } = await createSubject("checked");
     engine.onRead = () => {
-      held.valid = false;
+      lease.valid = false;
     };
     await passAt(0);
     expect(kindsOf(engine)).toEqual([]);
-    held.valid = true;
+    lease.valid = true;
     engine.onRead = () => {
-      if (engine.orders.length === 2) held.valid = false;
+      if (engine.orders.length === 2) lease.valid = false;
     };
     await passAt(2_000);
     expect(kindsOf(engine)).toEqual(["set_role", "drain"]);
     await rollOut[Symbol.asyncDispose]();
   });
 
-  it("stops for good once an engine has seen a newer holder", async () => {
+  it("stops permanently once an engine has seen a newer holder", async () => {
     const { engine, rollOut, passAt } = await createSubject("checked");
     engine.refusesAll = true;
     await passAt(0);
--- a/src/coordination/orders/rollOut.ts
+++ b/src/coordination/orders/rollOut.ts
@@ -1,6 +1,6 @@
 /**
- * One deployment's roll-out under one tenure: finds the engines that are not as desired, and runs a task for
- * each that may be brought over now.
+ * The roll-out of one deployment under one tenure of its lease: finds the engines that are not in the desired state,
+ * and runs a task for each engine that may be changed now.
  */
 import type { EnginePoolConfiguration } from "../../protocol/configuration/schema.ts";
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
@@ -10,20 +10,19 @@
 import type { Clock } from "../clock.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 import type { Tenure } from "../leases/types.ts";
-import { bringOver } from "./reconcileEngine.ts";
+import { reconcileEngine } from "./reconcileEngine.ts";
 import { phases } from "./constants.ts";
 import { desiredStateOf } from "./desiredState.ts";
-import { createDrainNotes } from "./drainRecords.ts";
+import { createDrainRecords } from "./drainRecords.ts";
 import { createEngineOrders } from "./engineOrders.ts";
 import type { OrderTarget } from "./engineOrders.ts";
-import type { EngineSurvey } from "./engineLoadCache.ts";
+import type { EngineLoadCache } from "./engineLoadCache.ts";
 import { createRetryDelays } from "./retryDelays.ts";
-import { createMemberRules, listMembers, longestAnswer } from "./rollOutMembers.ts";
+import { createMemberRules, listMembers, maxCompletionTime } from "./rollOutMembers.ts";
 import type { RollOutMember } from "./rollOutMembers.ts";
 import type { DesiredState, EngineRollOutView, RollOutPhase } from "./types.ts";
 
-/** What roll-outs work with. */
-export interface RollOutParts {
+export interface RollOutDependencies {
   readonly deployment: string;
   readonly configuration: () => ConfigurationIndex | undefined;
   readonly directory: EngineDirectory;
@@ -32,43 +31,46 @@
   readonly connect: (engine: EngineReplica) => ModelEngine;
   /** Whether the platform lists an engine as leaving. */
   readonly isListedLeaving: (engineId: string) => boolean;
-  /** Between two looks at an engine that is being changed, milliseconds. */
+  /** Interval between polls of an engine that is being changed, in milliseconds. */
   readonly interval: number;
 }
 
-/** A roll-out under one tenure; disposing of it ends its tasks. */
+/** A roll-out under one tenure; disposing it stops its tasks. */
 export interface RollOut extends AsyncDisposable {
   readonly tenure: Tenure;
-  /** Looks at all engines once, and starts what can be started. */
+  /** Checks all engines once and starts the changes that are possible now. */
   readonly pass: () => Promise<void>;
+  /** Whether an engine has seen the fencing number of a newer holder. */
   readonly isSuperseded: () => boolean;
-  /** True if the last pass found nothing to change, and nothing is being changed. */
+  /** Whether the last pass found nothing to change and no change is running. */
   readonly isSettled: () => boolean;
   readonly view: () => readonly EngineRollOutView[];
 }
 
 const writeLog = createLogger("orders");
 
-/** What the configuration in force wants of a pool's engines. */
-const desiredOf = (parts: RollOutParts, poolName: string): DesiredState | undefined => {
-  const index = parts.configuration();
+/** @returns The state that the current configuration requires of a pool's engines. */
+const desiredOf = (dependencies: RollOutDependencies, poolName: string): DesiredState | undefined => {
+  const index = dependencies.configuration();
   const pool = index?.pools.get(poolName);
   return index === undefined || pool === undefined ? undefined : desiredStateOf(index, pool);
 };
 
-const isPresent = ({ directory, isListedLeaving }: RollOutParts, { id, url }: EngineReplica): boolean =>
-  directory.get(id)?.url === url && !isListedLeaving(id);
+const isPresent = (
+  { directory, isListedLeaving }: RollOutDependencies,
+  { id, url }: EngineReplica,
+): boolean => directory.get(id)?.url === url && !isListedLeaving(id);
 
-/** Begins a roll-out. */
-export const createRollOut = (parts: RollOutParts, survey: EngineSurvey, tenure: Tenure): RollOut => {
-  const { deployment, clock, directory, isListedLeaving } = parts;
+/** Creates a roll-out, which does nothing until its first pass. */
+export const createRollOut = (deps: RollOutDependencies, loads: EngineLoadCache, tenure: Tenure): RollOut => {
+  const { deployment, clock, directory, isListedLeaving } = deps;
   const stop = new AbortController();
-  const orders = createEngineOrders({ tenure, metrics: parts.metrics, clock, signal: stop.signal });
+  const orders = createEngineOrders({ tenure, metrics: deps.metrics, clock, signal: stop.signal });
   const delays = createRetryDelays(clock);
   const tasks = new Map<string, Promise<void>>();
-  const running = new Map<string, RollOutPhase>();
-  const drained = createDrainNotes(tenure);
-  let behindCount = 0;
+  const runningPhases = new Map<string, RollOutPhase>();
+  const drained = createDrainRecords(tenure);
+  let outdatedCount = 0;
   const rules = createMemberRules({
     isChanging: (id) => tasks.has(id),
     isDrainedByUs: (id) => drained.has(id),
@@ -77,17 +79,20 @@
 
   const targetOf = ({ engine, pool }: RollOutMember): OrderTarget => ({
     id: engine.id,
-    connection: parts.connect(engine),
+    connection: deps.connect(engine),
     longestOrder: pool.longestOrder,
   });
 
-  /** Orders to engines that don't check may still come from the last holder for so long. */
-  const isWaitedOut = ({ fencing, longestOrder }: EnginePoolConfiguration): boolean =>
+  /**
+   * Whether no order of the previous holder can still reach an engine; engines that check fencing numbers refuse
+   * such orders.
+   */
+  const isFenced = ({ fencing, longestOrder }: EnginePoolConfiguration): boolean =>
     fencing === "checked" || clock.monotonic() >= tenure.beganAt + longestOrder;
 
   const setPhase = (id: string, phase: RollOutPhase): void => {
-    if (running.get(id) === phase) return;
-    running.set(id, phase);
+    if (runningPhases.get(id) === phase) return;
+    runningPhases.set(id, phase);
     writeLog("engine", { deployment, engine: id, phase });
   };
 
@@ -98,23 +103,23 @@
   };
 
   const noteFailure = ({ engine }: RollOutMember): void => {
-    if (survey.load(engine)?.leaving === false) drained.remove(engine.id);
+    if (loads.load(engine)?.leaving === false) drained.remove(engine.id);
     const failures = delays.noteFailure(engine.id);
     writeLog("engine_failed", { deployment, engine: engine.id, failures });
   };
 
-  const change = (index: ConfigurationIndex, member: RollOutMember): Promise<boolean> => {
+  const reconcile = (index: ConfigurationIndex, member: RollOutMember): Promise<boolean> => {
     const target = targetOf(member);
-    return bringOver({
+    return reconcileEngine({
       clock,
       signal: stop.signal,
-      readLoad: () => survey.read(member.engine, stop.signal),
-      giveOrder: (action, seen) => orders.give(target, action, seen),
-      desired: () => desiredOf(parts, member.pool.name),
-      mayGoOn: () => orders.mayOrder() && isPresent(parts, member.engine),
-      longestDrain: longestAnswer(index, deployment),
+      readLoad: () => loads.read(member.engine, stop.signal),
+      sendOrder: (action, lastLoad) => orders.send(target, action, lastLoad),
+      desired: () => desiredOf(deps, member.pool.name),
+      mayContinue: () => orders.maySendOrders() && isPresent(deps, member.engine),
+      longestDrain: maxCompletionTime(index, deployment),
       longestOrder: member.pool.longestOrder,
-      interval: parts.interval,
+      interval: deps.interval,
       onPhase: (phase) => setPhase(target.id, phase),
     });
   };
@@ -122,20 +127,20 @@
   const runTask = async (index: ConfigurationIndex, member: RollOutMember): Promise<void> => {
     const { id } = member.engine;
     try {
-      const done = (await drained.add(id)) && (await change(index, member));
+      const done = (await drained.add(id)) && (await reconcile(index, member));
       if (done) noteSuccess(id);
-      else if (orders.mayOrder()) noteFailure(member);
+      else if (orders.maySendOrders()) noteFailure(member);
     } catch {
-      if (orders.mayOrder()) noteFailure(member);
+      if (orders.maySendOrders()) noteFailure(member);
     } finally {
-      running.delete(id);
+      runningPhases.delete(id);
       tasks.delete(id);
     }
   };
 
   const start = (index: ConfigurationIndex, member: RollOutMember): void => {
     setPhase(member.engine.id, phases.waiting);
-    // Begins a turn later, so that the entry is there before the task can end.
+    // Started in a microtask, so that the entry is in the map before the task can end and remove it.
     const task = Promise.resolve().then(() => runTask(index, member));
     tasks.set(member.engine.id, task);
   };
@@ -144,43 +149,44 @@
     for (const member of members) {
       if (member.pool.fencing !== "checked" || member.load === undefined) continue;
       if (tasks.has(member.engine.id) || isListedLeaving(member.engine.id)) continue;
-      if (!orders.mayOrder()) return;
-      // An engine that fails this is tried again in the next pass.
+      if (!orders.maySendOrders()) return;
+      // If this fails, the next pass tries again.
       await orders.raiseFence(targetOf(member), member.load).catch(() => undefined);
     }
   };
 
   const startAll = (index: ConfigurationIndex, members: readonly RollOutMember[]): void => {
-    const behind = members
-      .filter((member) => rules.isBehind(index, member))
-      // Engines that are out of service already come first: an earlier holder may have begun their loads.
+    const outdated = members
+      .filter((member) => rules.isOutdated(index, member))
+      // Engines that are already out of service come first: an earlier holder may have started loading their weights.
       .sort((left, right) => Number(rules.isServing(left)) - Number(rules.isServing(right)));
-    behindCount = behind.length;
-    for (const member of behind) {
+    outdatedCount = outdated.length;
+    for (const member of outdated) {
       if (tasks.size >= index.configuration.limits.simultaneousLoads) return;
-      const mayStart = !tasks.has(member.engine.id) && isWaitedOut(member.pool) && !rules.isLeaving(member);
-      if (mayStart && delays.mayTry(member.engine.id) && rules.isSpare(member, members)) start(index, member);
+      const mayStart = !tasks.has(member.engine.id) && isFenced(member.pool) && !rules.isLeaving(member);
+      if (mayStart && delays.mayRetry(member.engine.id) && rules.canBeSpared(member, members))
+        start(index, member);
     }
   };
 
   const pass = async (): Promise<void> => {
-    const index = parts.configuration();
-    if (index === undefined || !orders.mayOrder()) return;
-    const engines = listMembers(index, deployment, directory, survey).map(({ engine }) => engine);
-    await survey.refresh(engines, stop.signal);
-    const members = listMembers(index, deployment, directory, survey);
-    [drained, delays].forEach((kept) => kept.keepOnly(new Set(members.map(({ engine }) => engine.id))));
+    const index = deps.configuration();
+    if (index === undefined || !orders.maySendOrders()) return;
+    const engines = listMembers(index, deployment, directory, loads).map(({ engine }) => engine);
+    await loads.refresh(engines, stop.signal);
+    const members = listMembers(index, deployment, directory, loads);
+    [drained, delays].forEach((state) => state.keepOnly(new Set(members.map(({ engine }) => engine.id))));
     await raiseFences(members);
     startAll(index, members);
   };
 
   const phaseOf = (index: ConfigurationIndex, member: RollOutMember): RollOutPhase => {
-    const phase = running.get(member.engine.id);
+    const phase = runningPhases.get(member.engine.id);
     if (phase !== undefined) return phase;
     if (rules.isLeaving(member)) return phases.leaving;
     if (member.load === undefined) return phases.unknown;
     if (delays.failures(member.engine.id) > 0) return phases.failed;
-    return rules.isBehind(index, member) ? phases.waiting : phases.asDesired;
+    return rules.isOutdated(index, member) ? phases.waiting : phases.asDesired;
   };
 
   const viewOf = (index: ConfigurationIndex, member: RollOutMember): EngineRollOutView => ({
@@ -195,11 +201,11 @@
     tenure,
     pass,
     isSuperseded: orders.isSuperseded,
-    isSettled: () => tasks.size + behindCount === 0,
+    isSettled: () => tasks.size + outdatedCount === 0,
     view: () => {
-      const index = parts.configuration();
+      const index = deps.configuration();
       if (index === undefined) return [];
-      return listMembers(index, deployment, directory, survey).map((member) => viewOf(index, member));
+      return listMembers(index, deployment, directory, loads).map((member) => viewOf(index, member));
     },
     [Symbol.asyncDispose]: async () => {
       stop.abort();
--- a/src/coordination/orders/rollOutController.ts
+++ b/src/coordination/orders/rollOutController.ts
@@ -1,26 +1,25 @@
-/** One deployment's order holder: acts while this router has the deployment's lease. */
+/** Runs the roll-outs of one deployment while this router holds the deployment's lease. */
 import { pause } from "../clock.ts";
 import type { Lease } from "../leases/lease.ts";
 import type { Tenure } from "../leases/types.ts";
 import { phases } from "./constants.ts";
-import { createEngineSurvey } from "./engineLoadCache.ts";
-import type { EngineSurveyParts } from "./engineLoadCache.ts";
+import { createEngineLoadCache } from "./engineLoadCache.ts";
+import type { EngineLoadCacheDependencies } from "./engineLoadCache.ts";
 import { createRollOut } from "./rollOut.ts";
-import type { RollOut, RollOutParts } from "./rollOut.ts";
+import type { RollOut, RollOutDependencies } from "./rollOut.ts";
 import type { EngineRollOutView, RollOutView } from "./types.ts";
 
-const mostEnginesShown = 100;
+const maxEnginesShown = 100;
 
-/** A deployment that has nothing to change is looked at more rarely. */
-const settledFactor = 4;
+/** Factor on the interval between passes while nothing has to be changed. */
+const settledIntervalFactor = 4;
 
-/** What an order holder works with. */
-export interface OrderHolderParts extends RollOutParts, EngineSurveyParts {
+export interface RollOutControllerDependencies extends RollOutDependencies, EngineLoadCacheDependencies {
   readonly lease: Lease;
 }
 
-/** Runs until it is disposed of; the lease is not its own. */
-export interface OrderHolder extends AsyncDisposable {
+/** Runs until it is disposed; it does not dispose of the lease. */
+export interface RollOutController extends AsyncDisposable {
   readonly view: () => RollOutView;
 }
 
@@ -30,31 +29,35 @@
   return counts;
 };
 
-/** Starts to follow a deployment's lease. */
-export const startOrderHolder = (parts: OrderHolderParts): OrderHolder => {
-  const { lease, clock } = parts;
+/** Starts a controller that follows a deployment's lease. */
+export const startRollOutController = (dependencies: RollOutControllerDependencies): RollOutController => {
+  const { lease, clock } = dependencies;
   const stop = new AbortController();
-  const survey = createEngineSurvey(parts);
+  const loadCache = createEngineLoadCache(dependencies);
   let rollOut: RollOut | undefined;
 
-  /** Every tenure has a roll-out of its own. */
-  const follow = async (tenure: Tenure | undefined): Promise<void> => {
+  /** Ends the roll-out of a former tenure, and creates one for the current tenure. */
+  const applyTenure = async (tenure: Tenure | undefined): Promise<void> => {
     if (rollOut !== undefined && rollOut.tenure.fencingNumber !== tenure?.fencingNumber) {
       const ended = rollOut;
       rollOut = undefined;
       await ended[Symbol.asyncDispose]();
     }
-    if (tenure !== undefined) rollOut ??= createRollOut(parts, survey, tenure);
+    if (tenure !== undefined) rollOut ??= createRollOut(dependencies, loadCache, tenure);
   };
 
   const run = async (): Promise<void> => {
     while (!stop.signal.aborted) {
-      await follow(lease.tenure());
+      await applyTenure(lease.tenure());
       await rollOut?.pass();
       const isSettled = rollOut?.isSettled() === true;
-      await pause(clock, isSettled ? parts.interval * settledFactor : parts.interval, stop.signal);
+      await pause(
+        clock,
+        isSettled ? dependencies.interval * settledIntervalFactor : dependencies.interval,
+        stop.signal,
+      );
     }
-    await follow(undefined);
+    await applyTenure(undefined);
   };
   const task = run();
 
@@ -63,12 +66,12 @@
       const engines = rollOut?.view() ?? [];
       const tenure = lease.tenure();
       return {
-        deployment: parts.deployment,
+        deployment: dependencies.deployment,
         holding: tenure !== undefined,
         fencingNumber: tenure?.fencingNumber ?? null,
         superseded: rollOut?.isSuperseded() ?? false,
         counts: countPhases(engines),
-        engines: engines.filter(({ phase }) => phase !== phases.asDesired).slice(0, mostEnginesShown),
+        engines: engines.filter(({ phase }) => phase !== phases.asDesired).slice(0, maxEnginesShown),
       };
     },
     [Symbol.asyncDispose]: async () => {
--- a/src/coordination/orders/rollOutMembers.ts
+++ b/src/coordination/orders/rollOutMembers.ts
@@ -1,83 +1,88 @@
-/** The engines of a deployment, judged for a roll-out. */
+/** Lists the engines of a deployment and decides what a roll-out may do with each. */
 import type { EnginePoolConfiguration } from "../../protocol/configuration/schema.ts";
 import type { EngineLoad } from "../../protocol/types.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
-import { mayTakeOut } from "./capacity.ts";
+import { mayTakeOutOfService } from "./capacity.ts";
 import { desiredStateOf, nextChange } from "./desiredState.ts";
-import type { EngineSurvey } from "./engineLoadCache.ts";
+import type { EngineLoadCache } from "./engineLoadCache.ts";
 
-/** An engine with its pool and its last report. */
+/** An engine with its pool and its last load report. */
 export interface RollOutMember {
   readonly engine: EngineReplica;
   readonly pool: EnginePoolConfiguration;
   readonly load: EngineLoad | undefined;
 }
 
-/** What is known beside the reports. */
-export interface RollOutKnowledge {
-  /** Engines that are being changed now. */
+export interface MemberRulesDependencies {
+  /** Whether an engine is currently being changed. */
   readonly isChanging: (id: string) => boolean;
-  /** Engines whose drain was ordered by this holder or an earlier one. */
+  /** Whether an engine was drained by this lease holder or an earlier one. */
   readonly isDrainedByUs: (id: string) => boolean;
   /** Whether the platform lists an engine as leaving. */
   readonly isListedLeaving: (id: string) => boolean;
 }
 
-/** Lists the engines of a deployment's pools. */
+/** @returns The engines of all pools of a deployment. */
 export const listMembers = (
   index: ConfigurationIndex,
   deployment: string,
   directory: EngineDirectory,
-  survey: EngineSurvey,
+  loadCache: EngineLoadCache,
 ): readonly RollOutMember[] =>
   index.configuration.enginePools
     .filter((pool) => pool.deployment === deployment)
     .flatMap((pool) => directory.inPool(pool.name).map((engine) => ({ engine, pool })))
-    .map(({ engine, pool }) => ({ engine, pool, load: survey.load(engine) }));
+    .map(({ engine, pool }) => ({ engine, pool, load: loadCache.load(engine) }));
 
-/** Longest time that an answer of a deployment may take, milliseconds. */
-export const longestAnswer = ({ configuration }: ConfigurationIndex, deployment: string): number => {
+/** @returns The longest completion deadline of a deployment, in milliseconds. */
+export const maxCompletionTime = ({ configuration }: ConfigurationIndex, deployment: string): number => {
   const classes = configuration.classes.filter((item) => item.deployment === deployment);
   return Math.max(0, ...classes.map((item) => item.completionDeadline));
 };
 
-/** See {@link createMemberRules}. */
+/** Decisions about single engines of a deployment. */
 export interface MemberRules {
-  /** Leaves by its own word or the platform's: not to be called back. */
+  /** Whether the engine leaves by its own report or the platform's list, and so must not be admitted again. */
   readonly isLeaving: (member: RollOutMember) => boolean;
-  /** Takes work, and will go on doing so. */
+  /** Whether the engine accepts requests and is not about to stop doing so. */
   readonly isServing: (member: RollOutMember) => boolean;
-  /** Is not as desired, as far as it has reported. */
-  readonly isBehind: (index: ConfigurationIndex, member: RollOutMember) => boolean;
-  /** Whether its pool can spare it; always where it serves nothing. */
-  readonly isSpare: (member: RollOutMember, members: readonly RollOutMember[]) => boolean;
+  /**
+   * Whether the last report shows that the engine must be changed, or admitted after a drain; false without a
+   * report.
+   */
+  readonly isOutdated: (index: ConfigurationIndex, member: RollOutMember) => boolean;
+  /** Whether its pool can spare the engine; always true if it is not serving. */
+  readonly canBeSpared: (member: RollOutMember, members: readonly RollOutMember[]) => boolean;
 }
 
-/** Creates the rules. */
-export const createMemberRules = (known: RollOutKnowledge): MemberRules => {
+/** Creates the rules of one roll-out. */
+export const createMemberRules = (dependencies: MemberRulesDependencies): MemberRules => {
   const isLeaving = ({ engine, load }: RollOutMember): boolean =>
-    known.isListedLeaving(engine.id) || (load?.leaving === true && !known.isDrainedByUs(engine.id));
+    dependencies.isListedLeaving(engine.id) ||
+    (load?.leaving === true && !dependencies.isDrainedByUs(engine.id));
 
   const isServing = ({ engine, load }: RollOutMember): boolean => {
     const takesWork = load !== undefined && !load.leaving;
-    return takesWork && !known.isListedLeaving(engine.id) && !known.isChanging(engine.id);
+    return takesWork && !dependencies.isListedLeaving(engine.id) && !dependencies.isChanging(engine.id);
   };
 
   return {
     isLeaving,
     isServing,
-    isBehind: (index, { engine, pool, load }) => {
+    isOutdated: (index, { engine, pool, load }) => {
       const desired = desiredStateOf(index, pool);
       if (load === undefined || desired === undefined) return false;
-      return nextChange(load, desired) !== undefined || (load.leaving && known.isDrainedByUs(engine.id));
+      return (
+        nextChange(load, desired) !== undefined || (load.leaving && dependencies.isDrainedByUs(engine.id))
+      );
     },
-    isSpare: (member, members) => {
+    canBeSpared: (member, members) => {
       if (!isServing(member)) return true;
       const pool = members.filter(
-        ({ engine, pool: { name } }) => name === member.pool.name && !known.isListedLeaving(engine.id),
+        ({ engine, pool: { name } }) => name === member.pool.name && !dependencies.isListedLeaving(engine.id),
       );
-      return mayTakeOut(pool.length, pool.filter(isServing).length);
+      return mayTakeOutOfService(pool.length, pool.filter(isServing).length);
     },
   };
 };
--- a/src/coordination/orders/types.ts
+++ b/src/coordination/orders/types.ts
@@ -1,20 +1,20 @@
 import type { EngineLoad, EngineOrderAction } from "../../protocol/types.ts";
 import type { phases } from "./constants.ts";
 
-/** Where an engine stands in a roll-out. */
+/** Phase of an engine in a roll-out. */
 export type RollOutPhase = (typeof phases)[keyof typeof phases];
 
-/** What the configuration wants an engine to run. */
+/** Model, weights, adapters and role that the configuration requires an engine to run. */
 export interface DesiredState {
   readonly model: string;
   readonly weightsVersion: string;
   /** `NAME@VERSION`, as engines report them. */
   readonly adapters: readonly string[];
-  /** In the engines' own words; nothing if any will do. */
+  /** Role as engines report it; undefined if any role is acceptable. */
   readonly role: string | undefined;
 }
 
-/** One engine in a roll-out, as an operator sees it. */
+/** State of one engine in a roll-out, shown to operators. */
 export interface EngineRollOutView {
   readonly engine: string;
   readonly pool: string;
@@ -23,18 +23,19 @@
   readonly failures: number;
 }
 
-/** A deployment's roll-out, as an operator sees it. */
+/** State of a deployment's roll-out, shown to operators. */
 export interface RollOutView {
   readonly deployment: string;
-  /** False: another router gives the orders, or none does. */
+  /** Whether this router holds the deployment's lease; if not, another router or none sends the orders. */
   readonly holding: boolean;
   readonly fencingNumber: number | null;
-  /** An engine has seen a higher number than ours. */
+  /** Whether an engine has seen a higher fencing number than this router's. */
   readonly superseded: boolean;
+  /** Number of engines in each phase. */
   readonly counts: Readonly<Record<string, number>>;
-  /** Engines that are not as desired; the first hundred. */
+  /** Engines that are not in the desired state, at most 100. */
   readonly engines: readonly EngineRollOutView[];
 }
 
-/** Gives one order under the conditions that a report shows. Throws `UpstreamError`. */
-export type GiveOrder = (action: EngineOrderAction, seen: EngineLoad) => Promise<void>;
+/** Sends one order on condition that the engine still is as in the given report. Throws `UpstreamError`. */
+export type SendOrder = (action: EngineOrderAction, lastLoad: EngineLoad) => Promise<void>;
