--- a/src/coordination/adaptiveTimeout.ts
+++ b/src/coordination/adaptiveTimeout.ts
@@ -1,35 +1,34 @@
-/** How long answers to questions between routers take, and so how long one is waited for. Durations are milliseconds. */
+/** Timeout of queries between routers, adapted to the observed response times. Durations are in milliseconds. */
 
-/** What an expectation is made of. */
 export interface AdaptiveTimeoutOptions {
-  /** Until answers have shown otherwise: how long one takes. */
+  /** Average response time to start with. */
   readonly initialLatency: number;
-  /** Part of a new observation in the average. */
+  /** Weight of a new observation in the exponentially weighted average. */
   readonly smoothingFactor: number;
-  /** Longest wait for an answer: so many times what answers took of late, between two bounds. */
+  /** The timeout is `factor` times the average response time, bounded by `shortest` and `longest`. */
   readonly timeoutRange: { readonly factor: number; readonly shortest: number; readonly longest: number };
 }
 
-/** See {@link createAdaptiveTimeout}. */
+/** Tracks response times and derives a timeout from them. */
 export interface AdaptiveTimeout {
-  /** @returns How long an answer is waited for. */
+  /** @returns The current timeout, in milliseconds. */
   readonly timeout: () => number;
-  /** An answer has come. */
+  /** Records the response time of one answer. */
   readonly observe: (milliseconds: number) => void;
 }
 
-/** Creates an expectation that has seen no answer. */
+/** Creates a timeout that has observed no response yet. */
 export const createAdaptiveTimeout = ({
-  initialLatency: assumed,
-  smoothingFactor: gain,
-  timeoutRange: patience,
+  initialLatency,
+  smoothingFactor,
+  timeoutRange,
 }: AdaptiveTimeoutOptions): AdaptiveTimeout => {
-  const { factor, shortest, longest } = patience;
-  let usual = assumed;
+  const { factor, shortest, longest } = timeoutRange;
+  let average = initialLatency;
   return {
-    timeout: () => Math.min(longest, Math.max(shortest, usual * factor)),
+    timeout: () => Math.min(longest, Math.max(shortest, average * factor)),
     observe: (milliseconds) => {
-      usual += (milliseconds - usual) * gain;
+      average += (milliseconds - average) * smoothingFactor;
     },
   };
 };
--- a/src/coordination/clock.ts
+++ b/src/coordination/clock.ts
@@ -1,24 +1,24 @@
 import { steadyNow } from "../state/steadyTime.ts";
 
-/** Time as decisions see it; tests and the bench bring their own. */
+/** Source of time and timers, which tests and the bench replace. */
 export interface Clock {
   /**
-   * Milliseconds on a clock that never goes back, and that counts the time for which the VM was suspended; for durations,
-   * leases and deadlines.
+   * Milliseconds on a clock that never goes backwards and that includes the time during which the VM was suspended.
+   * Used for durations, leases and deadlines.
    */
   readonly monotonic: () => number;
-  /** Milliseconds since 1970; only for what people or other processes read. */
+  /** Milliseconds since 1970; only for values that people or other processes read. */
   readonly wall: () => number;
   /**
-   * Calls back once.
+   * Calls a function once after a delay.
    *
-   * @param delay - Milliseconds.
-   * @returns A function that calls it off.
+   * @param delay - In milliseconds.
+   * @returns A function that cancels the call.
    */
   readonly after: (delay: number, callback: () => void) => () => void;
 }
 
-/** This process's clocks. */
+/** Clock and timers of this process. */
 export const systemClock: Clock = {
   monotonic: steadyNow,
   wall: () => Date.now(),
@@ -29,10 +29,10 @@
 };
 
 /**
- * Waits.
+ * Resolves after a delay.
  *
- * @param delay - Milliseconds.
- * @param signal - Ends the wait early, without an error.
+ * @param delay - In milliseconds.
+ * @param signal - When aborted, resolves immediately, without an error.
  */
 export const pause = (clock: Clock, delay: number, signal?: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
@@ -42,9 +42,9 @@
     }
     const finish = (): void => {
       signal?.removeEventListener("abort", finish);
-      callOff();
+      cancel();
       resolve();
     };
-    const callOff = clock.after(delay, finish);
+    const cancel = clock.after(delay, finish);
     signal?.addEventListener("abort", finish);
   });
--- a/src/coordination/configurationFollower.ts
+++ b/src/coordination/configurationFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the configuration in force. A few routers of a data centre follow the log; the others learn from them,
- * and read the log themselves only while nobody else does.
+ * Keeps the current configuration up to date. A few routers of a data centre follow the log; the others receive the
+ * configuration from them, and read the log themselves only while no other router does.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { logStreams } from "../protocol/constants.ts";
@@ -14,87 +14,89 @@
 
 const pageSize = 100;
 
-/** How often a router that does not read looks whether it should, milliseconds. */
-const turnInterval = 250;
+/** Interval at which a router that does not read the log checks its read mode, in milliseconds. */
+const readModeInterval = 250;
 
 /**
- * - `follow`: this router waits at the log's end for what is new.
- * - `look`: nobody else is known to read, so it looks once in a while.
- * - `learn`: others read and tell it.
+ * How this router reads the configuration log:
+ *
+ * - `follow`: waits for new records at the end of the log.
+ * - `look`: polls the log occasionally, because no other router is known to read it.
+ * - `learn`: does not read the log; other routers read it and send the configuration.
  */
 export type LogReadMode = "follow" | "look" | "learn";
 
-/** What a follower works with. Times are milliseconds. */
+/** Times are in milliseconds. */
 export interface ConfigurationFollowerDependencies {
   readonly log: LogService;
   readonly history: ConfigurationHistory;
-  /** Longest wait of one read for something new. */
+  /** Longest time that one read waits for new records. */
   readonly longPoll: number;
   readonly retryInterval: number;
-  /** Between reads of a router that only looks; a random part is added so that a herd spreads. */
+  /** Interval between reads in mode `look`; a random delay spreads the reads of many routers. */
   readonly pollInterval?: number;
-  /** Whose turn it is; without it this router follows. */
+  /** Current read mode; `follow` if omitted. */
   readonly readMode?: () => LogReadMode;
   readonly clock?: Clock;
-  /** Told when the log gave a version that was not in force here. */
+  /** Called when a read of the log has changed the current version. */
   readonly onVersion?: () => void;
 }
 
-/** Runs until it is disposed. */
+/** Follows the configuration until it is disposed. */
 export interface ConfigurationFollower extends AsyncDisposable {
-  /** The configuration in force, if there is any yet. */
+  /** The current configuration; undefined until there is one. */
   readonly current: () => ConfigurationIndex | undefined;
-  /** Resolves after the log has been read to its end, or a read has failed, for the first time. */
+  /** Resolves once the log has been read to its end, or a read has failed, for the first time. */
   readonly started: Promise<void>;
-  /** When the log was last read, milliseconds on the monotonic clock. */
+  /** When the log was last read, in milliseconds on the monotonic clock. */
   readonly logReadAt: () => number | undefined;
 }
 
 const writeLog = createLogger("configuration");
 
-const defaultLookInterval = 1_500;
-const longestLookInterval = 6_000;
+const defaultPollInterval = 1_500;
+const maxPollInterval = 6_000;
 
 /** Starts a follower. */
 export const startConfigurationFollower = (
-  parts: ConfigurationFollowerDependencies,
+  dependencies: ConfigurationFollowerDependencies,
 ): ConfigurationFollower => {
-  const { log, history, clock = systemClock, pollInterval: lookInterval = defaultLookInterval } = parts;
-  const turn = parts.readMode ?? ((): LogReadMode => "follow");
+  const { log, history, clock = systemClock, pollInterval = defaultPollInterval } = dependencies;
+  const readMode = dependencies.readMode ?? ((): LogReadMode => "follow");
   const stop = new AbortController();
   let index: ConfigurationIndex | undefined;
   let logReadAt: number | undefined;
-  let reachable: boolean | undefined;
+  let lastReachable: boolean | undefined;
 
   const current = (): ConfigurationIndex | undefined => {
-    const inForce = history.current();
-    if (inForce !== undefined && index?.version !== inForce.version) {
-      index = createConfigurationIndex(inForce.version, inForce.configuration);
+    const latest = history.current();
+    if (latest !== undefined && index?.version !== latest.version) {
+      index = createConfigurationIndex(latest.version, latest.configuration);
     }
     return index;
   };
 
-  const noteReachable = (now: boolean): void => {
-    if (reachable === now) return;
-    reachable = now;
-    writeLog(now ? "log_reachable" : "log_unreachable");
+  const noteReachable = (isReachable: boolean): void => {
+    if (lastReachable === isReachable) return;
+    lastReachable = isReachable;
+    writeLog(isReachable ? "log_reachable" : "log_unreachable");
   };
 
-  /** @returns True if something was read. */
+  /** @returns Whether any record was read. */
   const readOnce = async (wait: number): Promise<boolean> => {
     const from = history.readTo();
-    const before = history.current()?.version;
+    const versionBefore = history.current()?.version;
     const page = await log.read(logStreams.configuration, from, pageSize, wait);
     logReadAt = clock.monotonic();
     noteReachable(true);
-    for (const fate of history.applyPage(from, page)) {
-      writeLog("record", { offset: fate.offset, fate: fate.kind });
+    for (const outcome of history.applyPage(from, page)) {
+      writeLog("record", { offset: outcome.offset, fate: outcome.kind });
     }
-    if (history.current()?.version !== before) parts.onVersion?.();
+    if (history.current()?.version !== versionBefore) dependencies.onVersion?.();
     return page.records.length > 0;
   };
 
-  /** @returns False if the log can't be reached. */
+  /** @returns False if the log service is unreachable. */
   const readToEnd = async (): Promise<boolean> => {
     try {
       while (await readOnce(0));
@@ -110,32 +112,32 @@
 
   const follow = async (): Promise<void> => {
     try {
-      await readOnce(parts.longPoll);
+      await readOnce(dependencies.longPoll);
     } catch {
       noteReachable(false);
-      await pause(parts.retryInterval);
+      await pause(dependencies.retryInterval);
     }
   };
 
-  /** Looks, and waits longer each time in vain. @returns Looks in vain so far. */
-  const look = async (inVain: number): Promise<number> => {
-    const interval = Math.min(longestLookInterval, lookInterval * 2 ** inVain);
+  /** Polls the log, and doubles the interval after each failed poll. @returns Number of consecutive failed polls. */
+  const poll = async (failedPolls: number): Promise<number> => {
+    const interval = Math.min(maxPollInterval, pollInterval * 2 ** failedPolls);
     await pause(interval * Math.random());
-    if (stop.signal.aborted || turn() !== "look") return 0;
-    const read = await readToEnd();
+    if (stop.signal.aborted || readMode() !== "look") return 0;
+    const isReachable = await readToEnd();
     await pause(interval / 2);
-    return read ? 0 : Math.min(inVain + 1, 10);
+    return isReachable ? 0 : Math.min(failedPolls + 1, 10);
   };
 
   const started = readToEnd();
   const run = async (): Promise<void> => {
     await started;
-    let inVain = 0;
+    let failedPolls = 0;
     while (!stop.signal.aborted) {
-      const now = turn();
-      if (now === "follow") await follow();
-      else if (now === "look") inVain = await look(inVain);
-      else await pause(turnInterval);
+      const mode = readMode();
+      if (mode === "follow") await follow();
+      else if (mode === "look") failedPolls = await poll(failedPolls);
+      else await pause(readModeInterval);
     }
   };
   const task = run();
--- a/src/coordination/configurationIndex.ts
+++ b/src/coordination/configurationIndex.ts
@@ -1,4 +1,4 @@
-/** Look-ups by name in one version of the configuration; made once for each version. */
+/** Look-up tables by name for one version of the configuration, built once for each version. */
 import type {
   ClassConfiguration,
   Configuration,
@@ -8,8 +8,9 @@
   ServiceConfiguration,
 } from "../protocol/configuration/schema.ts";
 
-/** One version of the configuration, ready for look-ups. */
+/** One version of the configuration with its look-up tables. */
 export interface ConfigurationIndex {
+  /** Log offset of the configuration. */
   readonly version: number;
   readonly configuration: Configuration;
   readonly organisationByKeyHash: ReadonlyMap<string, OrganisationConfiguration>;
@@ -17,7 +18,7 @@
   readonly classes: ReadonlyMap<string, ClassConfiguration>;
   readonly models: ReadonlyMap<string, ModelConfiguration>;
   readonly services: ReadonlyMap<string, ServiceConfiguration>;
-  /** Engine pools that serve a model, by the model's name. */
+  /** Engine pools that serve a model, by the name of the model. */
   readonly poolsByModel: ReadonlyMap<string, readonly EnginePoolConfiguration[]>;
   readonly pools: ReadonlyMap<string, EnginePoolConfiguration>;
 }
@@ -26,7 +27,7 @@
   new Map(items.map((item) => [item.name, item]));
 
 /**
- * Builds the look-ups.
+ * Builds the look-up tables.
  *
  * @param version - Log offset of the configuration.
  */
--- a/src/coordination/engineMonitor.ts
+++ b/src/coordination/engineMonitor.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the VM list, and the load reports of the engines that this router is home of; the others' reports come
- * from their homes. An engine whose home has been silent for long is asked directly, now and then, whoever its
- * home is.
+ * Polls the VM list, and the load reports of the engines whose home is this router, which means that it polls them
+ * on behalf of all routers. The reports of other engines arrive from their home routers. If no report of an engine
+ * arrives for a long time, this router occasionally polls it directly, whichever router is its home.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ListedVm } from "../protocol/types.ts";
@@ -11,68 +11,68 @@
 import type { Clock } from "./clock.ts";
 import { withTimeLimit } from "./timeLimit.ts";
 
-/** What a monitor works with. Intervals are milliseconds. */
+/** Intervals are in milliseconds. */
 export interface EngineMonitorDependencies {
   readonly directory: EngineDirectory;
   readonly vmList: VmList;
   readonly clock: Clock;
   readonly connect: (engine: EngineReplica) => ModelEngine;
-  /** Told of every list that was read. */
+  /** Called with every VM list that was read or restored. */
   readonly onVms: (vms: readonly ListedVm[]) => void;
-  /** Whether this router is the one that asks an engine for its reports. */
+  /** Whether this router is the engine's home, which polls its load reports. */
   readonly isHome: (engine: EngineReplica) => boolean;
-  /** Whether an engine is worth a direct question where its home is silent. */
+  /** Whether an engine is in this router's data centre, and so may be polled directly if its reports are missing. */
   readonly isLocal: (engine: EngineReplica) => boolean;
   readonly vmListInterval: number;
   readonly loadInterval: number;
   readonly loadTimeout: number;
 }
 
-/** Runs until it is disposed. */
+/** Polls until it is disposed. */
 export interface EngineMonitor extends AsyncDisposable {
-  /** Resolves after the VM list has been read, or has failed, for the first time. */
+  /** Resolves once the VM list has been read, or a read has failed, for the first time. */
   readonly started: Promise<void>;
-  /** The last VM list that was read. */
+  /** The last VM list that was read or restored. */
   readonly lastVms: () => readonly ListedVm[];
-  /** Resolves when the engines of this data centre known by now have been asked, or after a short wait. */
+  /** Resolves when all running polls of engines have ended, or after {@link firstReportsTimeout}. */
   readonly waitForFirstReports: () => Promise<void>;
-  /** Takes a peer's VM list, unless one has been read. */
+  /** Applies a VM list received from a peer, unless this router has read one itself. */
   readonly restoreVms: (vms: readonly ListedVm[]) => void;
 }
 
-/** Load intervals without a report after which an engine is asked directly. */
-const silentIntervals = 8;
+/** Number of load intervals without a report after which an engine is polled directly. */
+const overdueIntervals = 8;
 
-/** Shortest such silence, milliseconds. */
-const shortestSilence = 4_000;
+/** Minimum time without a report before an engine is polled directly, in milliseconds. */
+const minReportTimeout = 4_000;
 
-/** Engines asked directly in one interval: a restarted router asks them all, but not all at once. */
-const maximumDirect = 64;
+/** Maximum number of direct polls in one interval, so that a restarted router does not poll all engines at once. */
+const maxDirectPolls = 64;
 
-/** Longest wait of a starting router for its engines' first reports, milliseconds. */
-const confirmPatience = 500;
+/** How long a starting router waits for the first reports of its engines, in milliseconds. */
+const firstReportsTimeout = 500;
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 /** Starts a monitor. */
-export const startEngineMonitor = (parts: EngineMonitorDependencies): EngineMonitor => {
-  const { directory, clock } = parts;
+export const startEngineMonitor = (dependencies: EngineMonitorDependencies): EngineMonitor => {
+  const { directory, clock } = dependencies;
   const stop = new AbortController();
-  const asking = new Map<string, Promise<void>>();
+  const pendingPolls = new Map<string, Promise<void>>();
   const askedAt = new Map<string, number>();
-  const silence = Math.max(shortestSilence, silentIntervals * parts.loadInterval);
+  const reportTimeout = Math.max(minReportTimeout, overdueIntervals * dependencies.loadInterval);
   let vms: readonly ListedVm[] = [];
-  let hasRead = false;
+  let hasReadList = false;
 
   const pause = (milliseconds: number): Promise<void> =>
-    sleep(milliseconds, undefined, { signal: stop.signal }).catch(ignore);
+    sleep(milliseconds, undefined, { signal: stop.signal }).catch(noop);
 
   const readLoad = async (engine: EngineReplica): Promise<void> => {
     const readAt = clock.monotonic();
-    const engineClient = parts.connect(engine);
+    const client = dependencies.connect(engine);
     try {
-      const load = await withTimeLimit(clock, stop.signal, parts.loadTimeout, (limit) =>
-        engineClient.readLoad(limit),
+      const load = await withTimeLimit(clock, stop.signal, dependencies.loadTimeout, (limit) =>
+        client.readLoad(limit),
       );
       directory.applyLoad(engine.id, load, readAt);
     } catch {
@@ -80,78 +80,78 @@
     }
   };
 
-  const askLoad = (engine: EngineReplica): void => {
+  const pollEngine = (engine: EngineReplica): void => {
     askedAt.set(engine.id, clock.monotonic());
-    const asked = readLoad(engine).finally(() => asking.delete(engine.id));
-    asking.set(engine.id, asked);
+    const poll = readLoad(engine).finally(() => pendingPolls.delete(engine.id));
+    pendingPolls.set(engine.id, poll);
   };
 
-  /** Whether nothing has been heard of an engine for long, or nothing yet. */
-  const isSilent = (engine: EngineReplica, now: number): boolean => {
-    const askedBefore = now - (askedAt.get(engine.id) ?? Number.NEGATIVE_INFINITY) < silence;
-    if (askedBefore || !parts.isLocal(engine)) return false;
-    return engine.state === "unconfirmed" || now - engine.loadReadAt > silence;
+  /** Whether an engine should be polled directly because its last report is too old, or there is none. */
+  const isReportOverdue = (engine: EngineReplica, now: number): boolean => {
+    const wasPolledRecently = now - (askedAt.get(engine.id) ?? Number.NEGATIVE_INFINITY) < reportTimeout;
+    if (wasPolledRecently || !dependencies.isLocal(engine)) return false;
+    return engine.state === "unconfirmed" || now - engine.loadReadAt > reportTimeout;
   };
 
-  const askAll = (): void => {
+  const pollEngines = (): void => {
     const now = clock.monotonic();
-    const idle = directory.all().filter((engine) => !asking.has(engine.id));
-    const home = idle.filter((engine) => parts.isHome(engine));
-    const silent = idle.filter((engine) => !parts.isHome(engine) && isSilent(engine, now));
-    [...home, ...silent.slice(0, maximumDirect)].forEach(askLoad);
+    const idle = directory.all().filter((engine) => !pendingPolls.has(engine.id));
+    const ownEngines = idle.filter((engine) => dependencies.isHome(engine));
+    const overdue = idle.filter((engine) => !dependencies.isHome(engine) && isReportOverdue(engine, now));
+    [...ownEngines, ...overdue.slice(0, maxDirectPolls)].forEach(pollEngine);
   };
 
-  const followEngines = async (): Promise<void> => {
+  const pollEnginesPeriodically = async (): Promise<void> => {
     while (!stop.signal.aborted) {
-      askAll();
-      await pause(parts.loadInterval);
+      pollEngines();
+      await pause(dependencies.loadInterval);
     }
-    await Promise.all(asking.values());
+    await Promise.all(pendingPolls.values());
   };
 
-  const takeVms = (list: readonly ListedVm[]): void => {
+  const applyVms = (list: readonly ListedVm[]): void => {
     vms = list;
     directory.applyVms(list);
-    parts.onVms(list);
+    dependencies.onVms(list);
     for (const id of askedAt.keys()) {
       if (directory.get(id) === undefined) askedAt.delete(id);
     }
-    askAll();
+    pollEngines();
   };
 
   const readList = async (): Promise<void> => {
     if (stop.signal.aborted) return;
     try {
-      const list = await parts.vmList.read();
-      hasRead = true;
-      takeVms(list);
+      const list = await dependencies.vmList.read();
+      hasReadList = true;
+      applyVms(list);
     } catch {
-      // The last list stays in force while the platform can't be asked.
+      // The last list stays in use while the platform is unavailable.
     }
   };
 
   const started = readList();
-  const followList = async (): Promise<void> => {
+  const pollListPeriodically = async (): Promise<void> => {
     await started;
     while (!stop.signal.aborted) {
-      await pause(parts.vmListInterval);
+      await pause(dependencies.vmListInterval);
       await readList();
     }
   };
-  const list = followList();
-  const engines = followEngines();
+  const list = pollListPeriodically();
+  const engines = pollEnginesPeriodically();
 
   return {
     started,
     lastVms: () => vms,
     waitForFirstReports: async () => {
-      const callOff = new AbortController();
-      const wait = sleep(confirmPatience, undefined, { signal: callOff.signal }).catch(ignore);
-      await Promise.race([Promise.all(asking.values()), wait]);
-      callOff.abort();
+      const cancelWait = new AbortController();
+      const timeout = sleep(firstReportsTimeout, undefined, { signal: cancelWait.signal }).catch(noop);
+      await Promise.race([Promise.all(pendingPolls.values()), timeout]);
+      cancelWait.abort();
     },
     restoreVms: (restored) => {
-      if (!hasRead) takeVms(restored);
+      if (!hasReadList) applyVms(restored);
     },
     [Symbol.asyncDispose]: async () => {
       stop.abort();
--- a/src/coordination/manualClock.test.ts
+++ b/src/coordination/manualClock.test.ts
@@ -4,20 +4,20 @@
 import { createManualClock } from "./manualClock.ts";
 
 describe("createManualClock", () => {
-  it("calls back in the order of time, then of setting, without those called off", () => {
-    const timer = fc.record({ delay: fc.integer({ min: 0, max: 50 }), calledOff: fc.boolean() });
+  it("runs timers in the order of their times, then of their creation, except for cancelled ones", () => {
+    const timer = fc.record({ delay: fc.integer({ min: 0, max: 50 }), isCancelled: fc.boolean() });
     fc.assert(
       fc.property(fc.array(timer, { maxLength: 60 }), (given) => {
         const clock = createManualClock();
         const called: number[] = [];
-        given.forEach(({ delay, calledOff }, index) => {
-          const callOff = clock.after(delay, () => called.push(index));
-          if (calledOff) callOff();
+        given.forEach(({ delay, isCancelled }, index) => {
+          const cancel = clock.after(delay, () => called.push(index));
+          if (isCancelled) cancel();
         });
         clock.advanceTo(50);
         const expected = given
-          .map(({ delay, calledOff }, index) => ({ delay, calledOff, index }))
-          .filter(({ calledOff }) => !calledOff)
+          .map(({ delay, isCancelled }, index) => ({ delay, isCancelled, index }))
+          .filter(({ isCancelled }) => !isCancelled)
           .sort((left, right) => left.delay - right.delay || left.index - right.index)
           .map(({ index }) => index);
         expect(called).toEqual(expected);
--- a/src/coordination/manualClock.ts
+++ b/src/coordination/manualClock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when told to, for tests and for runs in simulated time. */
+/** A clock that only advances explicitly, for tests and for simulations. */
 import type { Clock } from "./clock.ts";
 
 interface Timer {
@@ -7,18 +7,18 @@
   readonly callback: () => void;
 }
 
-/** A clock under a test's control. */
+/** A clock that a test or a simulation controls. */
 export interface ManualClock extends Clock {
-  /** Moves on to a time, calling back on the way in the order of time; callbacks may set further timers. */
+  /** Advances to a time and runs the timers that are due until then, in order; callbacks may set further timers. */
   readonly advanceTo: (time: number) => void;
-  /** When the next callback is due, if any. */
+  /** When the next timer is due; undefined if there is none. */
   readonly nextTimer: () => number | undefined;
 }
 
 const isBefore = (left: Timer, right: Timer): boolean =>
   left.at < right.at || (left.at === right.at && left.sequence < right.sequence);
 
-/** A binary heap: the bench keeps many thousands of timers. */
+/** Creates a binary heap, because the bench keeps many thousands of timers. */
 const createTimerHeap = () => {
   const heap: Timer[] = [];
 
@@ -35,7 +35,7 @@
     heap[index] = timer;
   };
 
-  const sink = (timer: Timer): void => {
+  const siftDown = (timer: Timer): void => {
     let index = 0;
     for (;;) {
       let child = 2 * index + 1;
@@ -55,7 +55,7 @@
   const pop = (): Timer | undefined => {
     const top = heap[0];
     const last = heap.pop();
-    if (last !== undefined && heap.length > 0) sink(last);
+    if (last !== undefined && heap.length > 0) siftDown(last);
     return top;
   };
 
@@ -63,9 +63,9 @@
 };
 
 /**
- * Makes a clock.
+ * Creates a clock.
  *
- * @param start - Its first monotonic time, milliseconds.
+ * @param start - Initial monotonic time, in milliseconds.
  */
 export const createManualClock = (start = 0): ManualClock => {
   const timers = createTimerHeap();
@@ -98,19 +98,19 @@
     wall: () => now,
     after: (delay, callback) => {
       sequence += 1;
-      let due = true;
+      let isPending = true;
       const timer: Timer = {
         at: now + Math.max(0, delay),
         sequence,
         callback: () => {
-          due = false;
+          isPending = false;
           callback();
         },
       };
       timers.push(timer);
       return () => {
-        if (due) cancelled.add(timer);
-        due = false;
+        if (isPending) cancelled.add(timer);
+        isPending = false;
       };
     },
     advanceTo,
--- a/src/coordination/republication.test.ts
+++ b/src/coordination/republication.test.ts
@@ -14,10 +14,10 @@
 import { startRepublication } from "./republication.ts";
 
 const retention = 3_000;
-const longestWait = 10_000;
+const testTimeout = 10_000;
 
-describe("restatement", () => {
-  it("lets a reader that knows nothing start after every record of the publication has expired", async () => {
+describe("republication", () => {
+  it("lets a reader without any state start after every record of the original publication has expired", async () => {
     await using logService = await createLogServiceStandIn({ retentionMilliseconds: retention });
     await using log = createHttpLogService({ url: logService.url, timeout: 1_000 });
     const published = createReplacement(configurationOf(1, 2), publisher);
@@ -31,7 +31,7 @@
     });
     await follower.started;
     const metrics = new MemoryMetrics();
-    await using restatement = startRepublication({
+    await using republication = startRepublication({
       holder: "router-0",
       log,
       leases: createLeaseHistory(systemClock),
@@ -42,19 +42,19 @@
       duration: () => 300,
       isCandidate: () => true,
     });
-    const end = performance.now() + longestWait;
-    const isFirstGone = (): boolean => (logService.records(logStreams.configuration)[0]?.offset ?? 0) > 0;
-    let everEmpty = false;
-    while (!isFirstGone() && performance.now() < end) {
-      everEmpty ||= logService.records(logStreams.configuration).length === 0;
+    const end = performance.now() + testTimeout;
+    const isFirstExpired = (): boolean => (logService.records(logStreams.configuration)[0]?.offset ?? 0) > 0;
+    let wasEverEmpty = false;
+    while (!isFirstExpired() && performance.now() < end) {
+      wasEverEmpty ||= logService.records(logStreams.configuration).length === 0;
       await sleep(10);
     }
-    expect(everEmpty).toEqual(false);
-    expect(isFirstGone()).toEqual(true);
-    const late = createConfigurationHistory();
-    late.applyPage(0, await log.read(logStreams.configuration, 0, 100));
-    expect(late.current()?.version).toEqual(0);
-    expect(late.current()?.digest).toEqual(published.digest);
-    expect(restatement.view().held).toEqual(true);
+    expect(wasEverEmpty).toEqual(false);
+    expect(isFirstExpired()).toEqual(true);
+    const newReader = createConfigurationHistory();
+    newReader.applyPage(0, await log.read(logStreams.configuration, 0, 100));
+    expect(newReader.current()?.version).toEqual(0);
+    expect(newReader.current()?.digest).toEqual(published.digest);
+    expect(republication.view().held).toEqual(true);
   });
 });
--- a/src/coordination/republication.ts
+++ b/src/coordination/republication.ts
@@ -1,6 +1,6 @@
 /**
- * Appends the configuration in force again before its records expire from the log, under its old version, so
- * that a reader that knows nothing can always start. One router of all does it, by a lease.
+ * Republishes the current configuration under its existing version before its records expire from the log, so that
+ * a reader without any state can always start. The router that holds a lease does so on behalf of all routers.
  */
 import { encodeConfigurationRecord } from "../protocol/configuration/record.ts";
 import { logStreams } from "../protocol/constants.ts";
@@ -13,58 +13,61 @@
 import type { LeaseParts } from "./leases/lease.ts";
 import type { LeaseView } from "./leases/types.ts";
 
-/** What restating works with. */
 export interface RepublicationDependencies extends Omit<LeaseParts, "name" | "history"> {
   readonly leases: LeaseParts["history"];
   readonly configuration: ConfigurationHistory;
-  /** How long the log keeps a record, milliseconds. */
+  /** How long the log service keeps a record, in milliseconds. */
   readonly retention: number;
 }
 
-/** Runs until it is disposed of. */
+/** Runs until it is disposed. */
 export interface Republication extends AsyncDisposable {
   readonly view: () => LeaseView;
 }
 
-/** The record is appended again once this share of the retention has passed. */
-const restatedShare = 0.5;
+/** Share of the retention after which the record is appended again. */
+const republicationAgeShare = 0.5;
 
-/** Looks at the record's age so often in one retention. */
-const looksPerRetention = 48;
+/** How often the record's age is checked within one retention period. */
+const checksPerRetention = 48;
 
 const writeLog = createLogger("restatement");
 
-/** Starts to look after the configuration's record. */
-export const startRepublication = (parts: RepublicationDependencies): Republication => {
-  const { clock, log, configuration, retention, metrics } = parts;
+/** Starts to republish the configuration when its record becomes old. */
+export const startRepublication = (dependencies: RepublicationDependencies): Republication => {
+  const { clock, log, configuration, retention, metrics } = dependencies;
   const stop = new AbortController();
-  const lease = startLease({ ...parts, name: restatementLease, history: parts.leases });
+  const lease = startLease({ ...dependencies, name: restatementLease, history: dependencies.leases });
 
-  /** The log service's clock and this one may differ by some minutes; the retention is much longer. */
+  /** Compares with the log service's clock: the two may differ by some minutes, but the retention is much longer. */
   const isDue = (): boolean => {
     const record = configuration.wholeRecord();
-    return record === undefined || clock.wall() - record.appendedAt >= retention * restatedShare;
+    return record === undefined || clock.wall() - record.appendedAt >= retention * republicationAgeShare;
   };
 
-  /** The own record takes a while to come back, where this router learns from its peers. */
-  let restatedAt = Number.NEGATIVE_INFINITY;
-  const isRecent = (): boolean => clock.monotonic() - restatedAt < retention * (restatedShare / 2);
+  /**
+   * Prevents appending again before the new record is read back, which takes a while if this router learns from
+   * peers.
+   */
+  let republishedAt = Number.NEGATIVE_INFINITY;
+  const wasRepublishedRecently = (): boolean =>
+    clock.monotonic() - republishedAt < retention * (republicationAgeShare / 2);
 
-  const restate = async (): Promise<void> => {
+  const republish = async (): Promise<void> => {
     const record = configuration.restatement();
-    if (record === undefined || isRecent() || !isDue()) return;
+    if (record === undefined || wasRepublishedRecently() || !isDue()) return;
     if (lease.tenure()?.isValid() !== true) return;
-    // A lost answer does no harm: the next look shows whether the record is there.
+    // A lost answer is harmless: a later check shows whether the record was appended.
     await log.append(logStreams.configuration, [encodeConfigurationRecord(record)]);
-    restatedAt = clock.monotonic();
+    republishedAt = clock.monotonic();
     metrics.count(metricNames.restatements);
     writeLog("restated", { version: record.version });
   };
 
   const run = async (): Promise<void> => {
     while (!stop.signal.aborted) {
-      await restate().catch(() => undefined);
-      await pause(clock, retention / looksPerRetention, stop.signal);
+      await republish().catch(() => undefined);
+      await pause(clock, retention / checksPerRetention, stop.signal);
     }
   };
   const task = run();
--- a/src/coordination/slidingWindowCounter.ts
+++ b/src/coordination/slidingWindowCounter.ts
@@ -1,10 +1,10 @@
-/** A sum over the last part of time, kept in buckets. */
+/** Sum over a sliding time window, divided into buckets. */
 import type { Clock } from "./clock.ts";
 
-/** See {@link createSlidingWindowCounter}. */
+/** Sums the amounts added within a sliding time window. */
 export interface SlidingWindowCounter {
   readonly add: (amount: number) => void;
-  /** @returns The sum over the window, and over up to one bucket more. */
+  /** @returns The sum over the window, which may include up to one bucket beyond it. */
   readonly sum: () => number;
 }
 
@@ -14,36 +14,37 @@
 }
 
 /**
- * Creates a sum of nothing.
+ * Creates a counter with sum 0.
  *
- * @param window - Milliseconds.
+ * @param window - Length of the window, in milliseconds.
+ * @param buckets - Number of buckets that the window is divided into.
  */
 export const createSlidingWindowCounter = (
   clock: Clock,
   window: number,
   buckets: number,
 ): SlidingWindowCounter => {
-  const length = window / buckets;
-  const kept: Bucket[] = [];
+  const bucketLength = window / buckets;
+  const recent: Bucket[] = [];
 
-  const numberNow = (): number => Math.floor(clock.monotonic() / length);
+  const currentNumber = (): number => Math.floor(clock.monotonic() / bucketLength);
 
   const dropOld = (): void => {
-    const oldest = numberNow() - buckets;
-    while (kept[0] !== undefined && kept[0].number < oldest) kept.shift();
+    const oldest = currentNumber() - buckets;
+    while (recent[0] !== undefined && recent[0].number < oldest) recent.shift();
   };
 
   return {
     add: (amount) => {
-      const number = numberNow();
-      const last = kept.at(-1);
+      const number = currentNumber();
+      const last = recent.at(-1);
       if (last?.number === number) last.amount += amount;
-      else kept.push({ number, amount });
+      else recent.push({ number, amount });
       dropOld();
     },
     sum: () => {
       dropOld();
-      return kept.reduce((sum, { amount }) => sum + amount, 0);
+      return recent.reduce((sum, { amount }) => sum + amount, 0);
     },
   };
 };
--- a/src/coordination/timeLimit.test.ts
+++ b/src/coordination/timeLimit.test.ts
@@ -11,14 +11,15 @@
   (runInNewContext("gc") as () => void)();
 };
 
-/** A call that nobody answers. */
+/** A call that receives no answer and ends only when it is aborted. */
 const unanswered = (signal: AbortSignal): Promise<string> =>
   new Promise((resolve) => {
     signal.addEventListener("abort", () => resolve("ended"));
   });
 
 describe("a time limit", () => {
-  it("ends calls that nobody answers, whatever is collected meanwhile", async () => {
+  // Composite abort signals may be garbage collected before they fire; the call then never ends.
+  it("aborts calls without an answer even if garbage is collected meanwhile", async () => {
     const parent = new AbortController();
     const limited = (): Promise<string> => withTimeLimit(systemClock, parent.signal, 100, unanswered);
     const calls = Array.from({ length: 50 }, limited);
@@ -29,7 +30,7 @@
     expect(new Set(await Promise.all(calls))).toEqual(new Set(["ended"]));
   });
 
-  it("ends a call with its parent", async () => {
+  it("aborts a call when the parent signal aborts", async () => {
     const parent = new AbortController();
     const call = withTimeLimit(systemClock, parent.signal, 60_000, unanswered);
     parent.abort();
--- a/src/coordination/timeLimit.ts
+++ b/src/coordination/timeLimit.ts
@@ -1,15 +1,16 @@
 /**
- * A time limit on a call. Node's composite signals (`AbortSignal.any` over `AbortSignal.timeout`) may be collected
- * before they fire, and a call without an answer then waits for good; here the clock's timer holds the signal.
+ * Time limit for asynchronous calls. Node's composite signals (`AbortSignal.any` with `AbortSignal.timeout`) may be
+ * garbage collected before they fire, and a call that receives no answer then never ends. Here the clock's timer
+ * keeps the signal alive.
  */
 import type { Clock } from "./clock.ts";
 
 /**
- * Makes a call with a limit.
+ * Runs a call whose signal aborts after a time limit.
  *
- * @param parent - Ends the call too; nothing if only the limit does.
- * @param milliseconds - The longest that it may take.
- * @returns What the call yields; it is for the call to fail when its signal aborts.
+ * @param parent - Aborts the call as well; undefined if only the time limit does.
+ * @param milliseconds - The time limit.
+ * @returns The result of the call, which must itself end when its signal aborts.
  */
 export const withTimeLimit = async <T>(
   clock: Clock,
@@ -18,14 +19,14 @@
   call: (signal: AbortSignal) => Promise<T>,
 ): Promise<T> => {
   const limit = new AbortController();
-  const end = (): void => limit.abort();
-  parent?.addEventListener("abort", end);
-  if (parent?.aborted === true) end();
-  const callOff = clock.after(milliseconds, end);
+  const abort = (): void => limit.abort();
+  parent?.addEventListener("abort", abort);
+  if (parent?.aborted === true) abort();
+  const cancel = clock.after(milliseconds, abort);
   try {
     return await call(limit.signal);
   } finally {
-    callOff();
-    parent?.removeEventListener("abort", end);
+    cancel();
+    parent?.removeEventListener("abort", abort);
   }
 };
--- a/src/coordination/weightsBinder.test.ts
+++ b/src/coordination/weightsBinder.test.ts
@@ -22,7 +22,7 @@
   throw new TypeError("the demo's configuration has no such model");
 };
 
-/** What one engine reports: its weights, and adapters if any. */
+/** The weights and adapters that one engine reports. */
 interface Report {
   readonly weightsVersion: string;
   readonly adapters?: readonly string[];
@@ -58,8 +58,8 @@
   maxLength: 12,
 });
 
-describe("weights in force", () => {
-  it("are those that a configuration named, and that a live engine runs where they are former ones", () => {
+describe("weights binder", () => {
+  it("chooses only weights that a configuration named, and former ones only if a live engine runs them", () => {
     fc.assert(
       fc.property(reports, fc.string(), (given, prefix) => {
         const { report, bind } = createSubject(modelOf("new"), [modelOf("old"), modelOf("older")]);
@@ -78,7 +78,7 @@
     );
   });
 
-  it("move a prefix once while engine after engine is brought over, and never back", () => {
+  it("moves a prefix to the new weights once and never back while engines change one after another", () => {
     fc.assert(
       fc.property(fc.string(), fc.integer({ min: 1, max: 12 }), (prefix, engines) => {
         const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
@@ -98,7 +98,7 @@
     );
   });
 
-  it("stay with the former ones while none is ready, and leave them for good when most are", () => {
+  it("keeps the former weights while no engine has the new ones, and drops them when most engines have", () => {
     const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
     report([{ weightsVersion: "old" }, { weightsVersion: "old", leaving: true }]);
     expect(bind().weightsVersion).toEqual("old");
@@ -106,7 +106,7 @@
     expect(bind().weightsVersion).toEqual("new");
   });
 
-  it("do not come back with one engine that was cut off and still runs the former ones", () => {
+  it("does not return to the former weights because of one disconnected engine that still runs them", () => {
     const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
     const ready = Array.from({ length: 7 }, () => ({ weightsVersion: "new" }));
     report([...ready, { weightsVersion: "old" }]);
@@ -114,7 +114,7 @@
     expect(bound).toEqual(bound.map(() => "new"));
   });
 
-  it("count an adapter's version as well", () => {
+  it("distinguishes versions of an adapter", () => {
     const { report, bind } = createSubject(modelOf("new", "3"), [modelOf("new", "2")]);
     const two = { weightsVersion: "new", adapters: ["first-aid@2"] };
     report([two, two]);
