--- a/src/coordination/claims/logClaimLedger.test.ts
+++ b/src/coordination/claims/logClaimLedger.test.ts
@@ -183,7 +183,7 @@
     await first.acquire(context, "same");
     for (const age of [1, 2, 3]) {
       log.clockError = age * indexSpan;
-      // Advances the index of every partition: 40 random keys reach all of them.
+      // Advances the index: 40 random keys, so that each of the four partitions very likely gets some.
       for (let index = 0; index < 40; index += 1) {
         await first.acquire(contextOf(clock, newKey(clock, -log.clockError)), "x").catch(() => undefined);
       }
--- a/src/coordination/configurationFollower.ts
+++ b/src/coordination/configurationFollower.ts
@@ -12,6 +12,7 @@
 import type { ConfigurationIndex } from "./configurationIndex.ts";
 import { createConfigurationIndex } from "./configurationIndex.ts";
 
+/** Maximum number of records in one read. */
 const pageSize = 100;
 
 /** Interval at which a router that does not read the log checks its read mode, in milliseconds. */
@@ -54,6 +55,7 @@
 
 const writeLog = createLogger("configuration");
 
+/** Interval between polls in mode `look`, in milliseconds, and its maximum while the log service is unreachable. */
 const defaultPollInterval = 1_500;
 const maxPollInterval = 6_000;
 
--- a/src/coordination/orders/deploymentOrders.test.ts
+++ b/src/coordination/orders/deploymentOrders.test.ts
@@ -50,9 +50,9 @@
 
 describe("orders of a deployment", () => {
   it("change every engine with at most two simultaneous loads while three quarters keep serving", async () => {
-    for (const { engines, kept, loads } of [
-      { engines: 4, kept: 3, loads: 1 },
-      { engines: 12, kept: 10, loads: 2 },
+    for (const { engines, required, loads } of [
+      { engines: 4, required: 3, loads: 1 },
+      { engines: 12, required: 10, loads: 2 },
     ]) {
       await using system = await startRollOutSystem({ engines, loadMilliseconds: 20 });
       await startHolding(system);
@@ -63,7 +63,7 @@
         return allServe(system, newWeights)();
       });
       expect(allServe(system, newWeights)()).toEqual(true);
-      expect(minServing >= kept).toEqual(true);
+      expect(minServing >= required).toEqual(true);
       expect(system.weightStore.mostSimultaneousLoads()).toEqual(loads);
       const [first] = system.engines;
       if (first === undefined) throw new Error("no engine");
@@ -164,19 +164,19 @@
 
   it("never admit an engine that leaves by its own report or the platform's list", async () => {
     await using system = await startRollOutSystem({ engines: 6 });
-    const [own, listed, ...others] = system.engines;
-    if (own === undefined || listed === undefined) return;
-    own.faults.leaving = true;
-    system.listLeaving(listed);
+    const [selfLeaving, listedLeaving, ...others] = system.engines;
+    if (selfLeaving === undefined || listedLeaving === undefined) return;
+    selfLeaving.faults.leaving = true;
+    system.listLeaving(listedLeaving);
     await startHolding(system);
     system.publish(newWeights);
     await system.until(() => others.every((engine) => isServing(engine, newWeights)));
     expect(others.map((engine) => engine.load().weightsVersion)).toEqual(others.map(() => newWeights));
-    expect(kindsOf(own)).toEqual(["set_role"]);
-    expect(kindsOf(listed)).toEqual([]);
-    own.faults.leaving = false;
-    await system.until(() => isServing(own, newWeights));
-    expect(isServing(own, newWeights)).toEqual(true);
+    expect(kindsOf(selfLeaving)).toEqual(["set_role"]);
+    expect(kindsOf(listedLeaving)).toEqual([]);
+    selfLeaving.faults.leaving = false;
+    await system.until(() => isServing(selfLeaving, newWeights));
+    expect(isServing(selfLeaving, newWeights)).toEqual(true);
   });
 
   it("make every engine refuse an earlier holder's orders, even if nothing has to be changed", async () => {
--- a/src/coordination/orders/engineLoadCache.ts
+++ b/src/coordination/orders/engineLoadCache.ts
@@ -38,8 +38,8 @@
 
   /** The newer of this cache's report and the directory's, which is used for routing requests. */
   const latest = (engine: EngineReplica): Report | undefined => {
-    const own = reports.get(engine.id);
-    if (engine.load === undefined || engine.loadReadAt < (own?.at ?? 0)) return own;
+    const cached = reports.get(engine.id);
+    if (engine.load === undefined || engine.loadReadAt < (cached?.at ?? 0)) return cached;
     return { load: engine.load, at: engine.loadReadAt };
   };
 
--- a/src/coordination/orders/rollOut.test.ts
+++ b/src/coordination/orders/rollOut.test.ts
@@ -67,7 +67,7 @@
 }
 
 /** Creates a roll-out of the demo's deployment Trinacria with a single fake engine. */
-const createSubject = async (fencing: "checked" | "ignored") => {
+const createFixture = async (fencing: "checked" | "ignored") => {
   const file = "examples/demo.json";
   const configuration = parseConfiguration(await readFile(file, "utf8"), file);
   const enginePools = configuration.enginePools.map((pool) => ({ ...pool, fencing, longestOrder }));
@@ -111,7 +111,7 @@
 
 describe("roll-out", () => {
   it("sends no order to engines that ignore fencing numbers while the previous holder's orders may still arrive", async () => {
-    const { engine, rollOut, passAt } = await createSubject("ignored");
+    const { engine, rollOut, passAt } = await createFixture("ignored");
     await passAt(longestOrder - 1);
     expect(kindsOf(engine)).toEqual([]);
     await passAt(longestOrder);
@@ -120,7 +120,7 @@
   });
 
   it("sends each order on condition of the last reported incarnation and weights", async () => {
-    const { engine, rollOut, passAt } = await createSubject("checked");
+    const { engine, rollOut, passAt } = await createFixture("checked");
     await passAt(0);
     expect(
       engine.orders.map(({ ifIncarnation, ifWeightsVersion }) => [ifIncarnation, ifWeightsVersion]),
@@ -135,7 +135,7 @@
   });
 
   it("stops between two orders when its lease has ended", async () => {
-    const { engine, lease, rollOut, passAt } = await createSubject("checked");
+    const { engine, lease, rollOut, passAt } = await createFixture("checked");
     engine.load = { ...engine.load, running: 1 };
     await passAt(0);
     expect(kindsOf(engine)).toEqual(["set_role", "drain"]);
@@ -147,7 +147,7 @@
   });
 
   it("sends no order if the process pauses between reading the report and sending, and the lease ends meanwhile", async () => {
-    const { engine, lease, rollOut, passAt } = await createSubject("checked");
+    const { engine, lease, rollOut, passAt } = await createFixture("checked");
     engine.onRead = () => {
       lease.valid = false;
     };
@@ -163,7 +163,7 @@
   });
 
   it("stops permanently once an engine has seen a newer holder", async () => {
-    const { engine, rollOut, passAt } = await createSubject("checked");
+    const { engine, rollOut, passAt } = await createFixture("checked");
     engine.refusesAll = true;
     await passAt(0);
     await passAt(2_000);
--- a/src/coordination/weightsBinder.test.ts
+++ b/src/coordination/weightsBinder.test.ts
@@ -29,11 +29,11 @@
   readonly leaving?: boolean;
 }
 
-const createSubject = (desired: ModelConfiguration, former: readonly ModelConfiguration[]) => {
+const createFixture = (desired: ModelConfiguration, former: readonly ModelConfiguration[]) => {
   const directory = createEngineDirectory();
   const models = base.models.map((model) => (model.name === name ? desired : model));
   const index = createConfigurationIndex(1, { ...base, models });
-  const choose = createWeightsBinder({ directory, formerModels: () => former });
+  const bindWeights = createWeightsBinder({ directory, formerModels: () => former });
   let time = 0;
   return {
     report: (reports: readonly Report[]): void => {
@@ -48,7 +48,7 @@
         directory.applyLoad(`engine-${number}`, { ...load, weightsVersion, adapters }, time);
       });
     },
-    bind: (prefix = "rules", adapter?: string) => choose({ index, model: name, adapter, prefix }),
+    bind: (prefix = "rules", adapter?: string) => bindWeights({ index, model: name, adapter, prefix }),
   };
 };
 
@@ -62,7 +62,7 @@
   it("chooses only weights that a configuration named, and former ones only if a live engine runs them", () => {
     fc.assert(
       fc.property(reports, fc.string(), (given, prefix) => {
-        const { report, bind } = createSubject(modelOf("new"), [modelOf("old"), modelOf("older")]);
+        const { report, bind } = createFixture(modelOf("new"), [modelOf("old"), modelOf("older")]);
         report(given);
         const { weightsVersion } = bind(prefix);
         const live: readonly string[] = given
@@ -81,7 +81,7 @@
   it("moves a prefix to the new weights once and never back while engines change one after another", () => {
     fc.assert(
       fc.property(fc.string(), fc.integer({ min: 1, max: 12 }), (prefix, engines) => {
-        const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+        const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
         const bound = Array.from({ length: engines + 1 }, (_, ready) => {
           report(
             Array.from({ length: engines }, (_, number) => ({
@@ -99,7 +99,7 @@
   });
 
   it("keeps the former weights while no engine has the new ones, and drops them when most engines have", () => {
-    const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+    const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
     report([{ weightsVersion: "old" }, { weightsVersion: "old", leaving: true }]);
     expect(bind().weightsVersion).toEqual("old");
     report([{ weightsVersion: "old" }, { weightsVersion: "new" }]);
@@ -107,7 +107,7 @@
   });
 
   it("does not return to the former weights because of one disconnected engine that still runs them", () => {
-    const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+    const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
     const ready = Array.from({ length: 7 }, () => ({ weightsVersion: "new" }));
     report([...ready, { weightsVersion: "old" }]);
     const bound = Array.from({ length: 100 }, (_, course) => bind(`course ${course}`).weightsVersion);
@@ -115,7 +115,7 @@
   });
 
   it("distinguishes versions of an adapter", () => {
-    const { report, bind } = createSubject(modelOf("new", "3"), [modelOf("new", "2")]);
+    const { report, bind } = createFixture(modelOf("new", "3"), [modelOf("new", "2")]);
     const two = { weightsVersion: "new", adapters: ["first-aid@2"] };
     report([two, two]);
     expect(bind("rules", "first-aid")).toEqual({ weightsVersion: "new", adapter: "first-aid@2" });
