--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -1,5 +1,5 @@
 /** A router of the lab: the decisions that serve, with beliefs of their own and peers over delayed datagrams. */
-import { createAdmit } from "../../src/coordination/forwarding/admit.ts";
+import { createRequestAdmission } from "../../src/coordination/forwarding/requestAdmission.ts";
 import { createCacheHolders } from "../../src/coordination/forwarding/cacheHolders.ts";
 import { followCacheStores } from "../../src/coordination/forwarding/cacheStoreFollower.ts";
 import { createConfigurationState } from "../../src/coordination/forwarding/configurationState.ts";
@@ -13,7 +13,7 @@
   countComputedTokens,
   createReplicaOwners,
 } from "../../src/coordination/replicaOwners/replicaOwners.ts";
-import { createKeeping } from "../../src/coordination/keepers/keeping.ts";
+import { createKeyCoordination } from "../../src/coordination/coordinators/keyCoordination.ts";
 import { createReplicaLimits } from "../../src/coordination/replicaLimits/replicaLimits.ts";
 import { noEpochs } from "../../src/coordination/storeEpochs/recoveryWindow.ts";
 import { createShutdown } from "../../src/coordination/forwarding/shutdown.ts";
@@ -150,7 +150,7 @@
     replicas,
     configuration,
     holders,
-    longestReadAge: () => Number.POSITIVE_INFINITY,
+    maxReadAge: () => Number.POSITIVE_INFINITY,
     onNewerConfiguration: () => undefined,
     ...noEpochs,
     quarantine: noQuarantine,
@@ -165,25 +165,25 @@
     peers,
     cacheStores: () => configuration.table()?.cacheStores ?? [],
   });
-  const keeping = createKeeping({
+  const keeping = createKeyCoordination({
     self,
     link,
     clock,
     others: peers.serving,
-    nearestTo: (subject) => replicas.get(subject)?.entry.dataCentre,
+    nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
     random,
   });
   const cacheStore = followCacheStores({
-    configured: () => configuration.table()?.cacheStores ?? [],
+    configuredStores: () => configuration.table()?.cacheStores ?? [],
     client,
     holders,
     clock,
-    stretch: () => 1,
+    intervalFactor: () => 1,
   });
   const { forwarder } = createDecisions({
     dataCentre: self.dataCentre,
     client,
-    beliefs: {
+    view: {
       configuration,
       replicas,
       holders,
@@ -191,10 +191,16 @@
       owners,
       cacheStore,
       limits: noUsageLimits,
-      replicaLimits: createReplicaLimits({ keeping, replicas, clock, tell: peers.tellLimit, random }),
+      replicaLimits: createReplicaLimits({
+        coordination: keeping,
+        replicas,
+        clock,
+        announce: peers.tellLimit,
+        random,
+      }),
       quarantine: noQuarantine,
     },
-    admit: createAdmit(configuration, bounds, clock),
+    admit: createRequestAdmission(configuration, bounds, clock),
     shutdown: createShutdown(clock, bounds),
     bounds,
     policy,
--- a/src/coordination/keepers/keepers.ts
+++ b/src/coordination/coordinators/coordinators.ts
@@ -18,34 +18,34 @@
   standstill,
   takeoverSilence,
 } from "./constants.ts";
-import { createWatches } from "./watches.ts";
+import { createWatches } from "./monitors.ts";
 
 /** What keepers are found with. */
-export interface KeepersParts {
+export interface CoordinatorsDependencies {
   readonly self: LiveRouter;
   /** @returns The other routers that may be serving, silent ones included. */
   readonly others: () => readonly LiveRouter[];
   /** @returns The data centre whose routers come first for a subject; nothing if none is nearer than others. */
-  readonly nearestTo?: (subject: string) => string | undefined;
+  readonly nearestDataCentre?: (subject: string) => string | undefined;
   readonly clock: Clock;
 }
 
-/** See {@link createKeepers}. */
-export interface Keepers {
+/** See {@link createCoordinators}. */
+export interface Coordinators {
   /** @returns The routers from the first to the last that may keep a subject, this one included. */
   readonly orderFor: (subject: string) => readonly LiveRouter[];
   /** Whether this router is the one to grant at this moment. */
   readonly isActing: (subject: string) => boolean;
   /** The subject is of use now: those that come after its keeper notice its silence from here on. */
-  readonly watch: (subject: string) => void;
+  readonly monitor: (subject: string) => void;
   /** Any datagram has come. */
-  readonly hear: (from: DatagramAddress) => void;
+  readonly noteReceived: (from: DatagramAddress) => void;
   /** A router has answered: it has heard of this one. */
-  readonly hearAnswer: (from: DatagramAddress) => void;
+  readonly noteAnswer: (from: DatagramAddress) => void;
   /** @returns The routers to ask for a sign of life, since a subject that is watched may wait for it. */
-  readonly worthProbing: () => ReadonlySet<LiveRouter>;
+  readonly routersToProbe: () => ReadonlySet<LiveRouter>;
   /** To be called at least every {@link lookInterval}: notices that this process stood still. */
-  readonly look: () => void;
+  readonly poll: () => void;
 }
 
 interface Known {
@@ -81,7 +81,12 @@
 };
 
 /** Creates a view of the keepers as one router has it. */
-export const createKeepers = ({ self, others, nearestTo, clock }: KeepersParts): Keepers => {
+export const createCoordinators = ({
+  self,
+  others,
+  nearestDataCentre: nearestTo,
+  clock,
+}: CoordinatorsDependencies): Coordinators => {
   const startedAt = clock.monotonic();
   let known = new Map<string, Known>();
   let byAddress = new Map<string, Known>();
@@ -204,20 +209,20 @@
       if (before.some(isHeard) || (before.length > 0 && !watches.isLong(subject))) return false;
       return mayBegin(subject) && hearsMost();
     },
-    watch: watches.watch,
-    hear: (from) => {
+    monitor: watches.watch,
+    noteReceived: (from) => {
       const entry = entryAt(from);
       if (entry !== undefined) entry.heardAt = clock.monotonic();
     },
-    hearAnswer: (from) => {
+    noteAnswer: (from) => {
       const entry = entryAt(from);
       if (entry !== undefined) entry.answeredAt = clock.monotonic();
     },
-    worthProbing: () => {
+    routersToProbe: () => {
       const subjects = watches.subjects();
       const mayKeep = subjects.some((subject) => !aroundSelf(subject).before.some(isHeard));
       return new Set([...subjects.flatMap(worthProbingFor), ...(mayKeep ? silentCentres() : [])]);
     },
-    look: noteStandstill,
+    poll: noteStandstill,
   };
 };
--- a/src/coordination/keepers/keeping.ts
+++ b/src/coordination/coordinators/keyCoordination.ts
@@ -9,19 +9,19 @@
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
 import { keepersTried, lookInterval, passedOver } from "./constants.ts";
-import { createKeeperQuestions } from "./keeperQuestions.ts";
-import type { Keepers } from "./keepers.ts";
-import { createKeepers } from "./keepers.ts";
+import { createKeeperQuestions } from "./coordinatorQueries.ts";
+import type { Coordinators } from "./coordinators.ts";
+import { createCoordinators } from "./coordinators.ts";
 
 /** What keeping works with. */
-export interface KeepingParts {
+export interface KeyCoordinationDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
   readonly clock: Clock;
   /** @returns The other routers that may be serving, silent ones included. */
   readonly others: () => readonly LiveRouter[];
   /** @returns The data centre whose routers come first for a subject; nothing if none is nearer than others. */
-  readonly nearestTo?: (subject: string) => string | undefined;
+  readonly nearestDataCentre?: (subject: string) => string | undefined;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
@@ -29,20 +29,20 @@
 type QuestionOf<Kind extends KeeperQuestion["kind"]> = Extract<KeeperQuestion, { readonly kind: Kind }>;
 
 /** Answers questions of one kind about what this router keeps; anything else is `elsewhere`. */
-export interface KeeperRole<Kind extends KeeperQuestion["kind"]> {
+export interface CoordinatorRole<Kind extends KeeperQuestion["kind"]> {
   readonly answer: (question: QuestionOf<Kind>) => LimitAnswer;
   /** Called in every turn of looking after what is kept. */
-  readonly look: () => void;
+  readonly poll: () => void;
 }
 
 /** By the kind of their questions. */
-export type KeeperRoles = { readonly [Kind in KeeperQuestion["kind"]]?: KeeperRole<Kind> };
+export type CoordinatorRoles = { readonly [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> };
 
-/** See {@link createKeeping}. */
-export interface Keeping extends AsyncDisposable {
-  readonly keepers: Pick<Keepers, "isActing" | "watch">;
+/** See {@link createKeyCoordination}. */
+export interface KeyCoordination extends AsyncDisposable {
+  readonly coordinators: Pick<Coordinators, "isActing" | "watch">;
   /** This router answers questions of these kinds from now on. */
-  readonly take: (taken: KeeperRoles) => void;
+  readonly addRoles: (taken: CoordinatorRoles) => void;
   /** @returns What the keeper of a subject says; nothing if there is none that answers. */
   readonly ask: (subject: string, question: KeeperQuestion) => Promise<LimitAnswer | undefined>;
   /** @returns How many routers there may be, this one included. */
@@ -59,16 +59,16 @@
 });
 
 /** Starts to ask and answer, until it is disposed of. */
-export const createKeeping = (parts: KeepingParts): Keeping => {
+export const createKeyCoordination = (parts: KeyCoordinationDependencies): KeyCoordination => {
   const { link, clock, random, others } = parts;
   const { name, dataCentre, address, port } = parts.self;
   const self: LiveRouter = { name, dataCentre, at: { address, port } };
-  const { nearestTo = () => undefined } = parts;
-  const keepers = createKeepers({ self, others, nearestTo, clock });
+  const { nearestDataCentre: nearestTo = () => undefined } = parts;
+  const keepers = createCoordinators({ self, others, nearestDataCentre: nearestTo, clock });
   const questions = createKeeperQuestions({ link, clock, random });
   /** By name of a router: until when it is not asked. */
   const passed = new Map<string, number>();
-  const roles: { [Kind in KeeperQuestion["kind"]]?: KeeperRole<Kind> } = {};
+  const roles: { [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> } = {};
 
   const answer = (question: KeeperQuestion): LimitAnswer => {
     const said =
@@ -87,25 +87,25 @@
 
   const look = (): void => {
     callOff = clock.after(lookInterval, look);
-    keepers.look();
-    roles.question?.look();
-    roles.replicaQuestion?.look();
-    keepers.worthProbing().forEach(questions.probe);
+    keepers.poll();
+    roles.question?.poll();
+    roles.replicaQuestion?.poll();
+    keepers.routersToProbe().forEach(questions.probe);
   };
   let callOff = clock.after(lookInterval, look);
 
   link.receive((datagram, from) => {
-    keepers.hear(from);
+    keepers.noteReceived(from);
     const message = decodeLimitMessage(datagram);
     if (message?.kind === "answer") {
-      keepers.hearAnswer(from);
+      keepers.noteAnswer(from);
       questions.hear(message);
     } else if (message !== undefined) link.send(from, encodeLimitMessage(answer(message)));
   });
 
   return {
-    keepers,
-    take: (role) => Object.assign(roles, role),
+    coordinators: keepers,
+    addRoles: (role) => Object.assign(roles, role),
     ask: async (subject, question) => {
       for (const router of askable(subject)) {
         const isSelf = router.name === name;
--- a/src/coordination/forwarding/limitedTurns.ts
+++ b/src/coordination/forwarding/limitGrants.ts
@@ -4,34 +4,38 @@
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import type { ReplicaLimits, Turn } from "../replicaLimits/replicaLimits.ts";
-import type { TurnSearch } from "../replicaLimits/turnSearch.ts";
+import type { ReplicaLimits, Grant } from "../replicaLimits/replicaLimits.ts";
+import type { GrantSearch } from "../replicaLimits/grantSearch.ts";
 import { failures } from "./failures.ts";
 import type { ForwardRun } from "./forwardRun.ts";
 import type { PlacementChoice } from "./placementTypes.ts";
 
 /** What it works with. */
-export interface LimitedTurnsParts {
+export interface LimitGrantsDependencies {
   readonly limits: Pick<ReplicaLimits, "take" | "comeBackAfter">;
   readonly metrics: Metrics;
   readonly clock: Clock;
 }
 
-/** See {@link createLimitedTurns}. */
-export interface LimitedTurns {
+/** See {@link createLimitGrants}. */
+export interface LimitGrants {
   /** @returns The request's turn at the chosen replica, once it has come; nothing if there is none. */
-  readonly take: (run: ForwardRun, choice: PlacementChoice, search: TurnSearch) => Promise<Turn | undefined>;
+  readonly acquire: (
+    run: ForwardRun,
+    choice: PlacementChoice,
+    search: GrantSearch,
+  ) => Promise<Grant | undefined>;
   /** @returns The final answer to a request that limits leave no room for. */
   readonly refuse: (run: ForwardRun) => RequestError;
 }
 
 /** Creates turns. */
-export const createLimitedTurns = ({ limits, metrics, clock }: LimitedTurnsParts): LimitedTurns => ({
-  take: async ({ admission, deadline, stopper }, { replica }, search) => {
+export const createLimitGrants = ({ limits, metrics, clock }: LimitGrantsDependencies): LimitGrants => ({
+  acquire: async ({ admission, deadline, stopper }, { replica }, search) => {
     const left = deadline - clock.monotonic();
-    const turn = await limits.take(replica, search.patience(left, admission.route.latencyObjective));
+    const turn = await limits.take(replica, search.maxWait(left, admission.route.latencyObjective));
     if (turn === undefined) {
-      search.noteNoTurn(replica.entry.id);
+      search.noteRefused(replica.entry.id);
       return undefined;
     }
     metrics.count(metricNames.underLimit);
--- a/src/coordination/forwarding/retryShare.ts
+++ b/src/coordination/forwarding/retryShare.ts
@@ -28,15 +28,19 @@
 }
 
 /** What retries are shared by. */
-export interface RetryShareParts {
+export interface RetryShareDependencies {
   readonly clock: Clock;
   readonly bounds: ForwardingBounds;
   /** Routers that may make retries, those included that are silent. */
-  readonly routers: () => number;
+  readonly routerCount: () => number;
 }
 
 /** Creates a share that has counted nothing. */
-export const createRetryShare = ({ clock, bounds, routers }: RetryShareParts): RetryShare => {
+export const createRetryShare = ({
+  clock,
+  bounds,
+  routerCount: routers,
+}: RetryShareDependencies): RetryShare => {
   const services = new Map<string, Counts>();
 
   const countsOf = (service: string): Counts => {
--- a/src/coordination/forwarding/usageAdmission.ts
+++ b/src/coordination/forwarding/usageAdmission.ts
@@ -4,12 +4,12 @@
 import { createLogger } from "../../state/log.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import { refusals } from "../requests/refusals.ts";
-import type { UsageCounting } from "../usageLimits/usageLimits.ts";
+import type { UsageLimits } from "../usageLimits/usageLimits.ts";
 import type { ForwardRun } from "./forwardRun.ts";
 
 /** What it works with. */
-export interface UsageAdmissionParts {
-  readonly limits: UsageCounting;
+export interface UsageAdmissionDependencies {
+  readonly limits: UsageLimits;
   readonly metrics: Metrics;
 }
 
@@ -32,7 +32,7 @@
 ): number => (unit === "tokens" ? (countedTokens ?? plainTokens) : 1);
 
 /** Creates an admission. */
-export const createUsageAdmission = ({ limits, metrics }: UsageAdmissionParts): UsageAdmission => {
+export const createUsageAdmission = ({ limits, metrics }: UsageAdmissionDependencies): UsageAdmission => {
   /** Requests that were counted, with what they count. */
   const counted = new WeakMap<ForwardRun, number>();
 
@@ -41,7 +41,7 @@
       const { organisation } = run.admission;
       if (organisation?.limit === undefined) return;
       const amount = usageOf(run.request, organisation.limit);
-      const wait = await limits.take(organisation.name, amount);
+      const wait = await limits.acquire(organisation.name, amount);
       if (wait === undefined) {
         counted.set(run, amount);
         return;
@@ -59,8 +59,8 @@
       const amount = counted.get(run);
       const name = run.admission.organisation?.name;
       if (amount === undefined || name === undefined) return;
-      const runs = run.runs();
-      if (runs === 0) limits.giveBack(name, amount);
+      const runs = run.executions();
+      if (runs === 0) limits.refund(name, amount);
       if (runs > 1) limits.charge(name, amount * (runs - 1));
     },
   };
--- a/src/coordination/orders/deploymentOrders.ts
+++ b/src/coordination/orders/deploymentOrders.ts
@@ -1,7 +1,7 @@
 /** Runs a lease and a roll-out controller for each deployment in the configuration. */
 import type { LogService } from "../../protocol/LogService.ts";
 import { pause } from "../clock.ts";
-import { orderLease } from "../leases/constants.ts";
+import { orderLeaseName } from "../leases/constants.ts";
 import { startLease } from "../leases/lease.ts";
 import type { LeaseHistory } from "../leases/leaseHistory.ts";
 import type { LeaseView } from "../leases/types.ts";
@@ -36,7 +36,7 @@
     dependencies.configuration()?.configuration.limits.leaseDuration ?? defaultLeaseDuration;
 
   const startOne = (deployment: string) => {
-    const name = orderLease(deployment);
+    const name = orderLeaseName(deployment);
     const lease = startLease({
       ...dependencies,
       name,
--- a/src/coordination/replicaLimits/constants.ts
+++ b/src/coordination/replicaLimits/constants.ts
@@ -46,7 +46,7 @@
  * What a replica with a limit counts more than another one, milliseconds: the few requests that it takes are to be those
  * that gain most there. Less, the longer nothing was heard of the limit: its end shows in an answer only.
  */
-export const scarcity = { cost: 30, fadesIn: 2_000 } as const;
+export const limitPenalty = { cost: 30, decayTime: 2_000 } as const;
 
 /** Requests turned away within so long come back spread over the time in which there is room for as many. */
 export const returnWindow = 4_000;
@@ -61,4 +61,4 @@
 export const shortestReturn = 50;
 
 /** What a router told of a limit is passed on to those that ask for so long after an answer named it. */
-export const toldMemory = 10_000;
+export const announcedLimitMaxAge = 10_000;
--- a/src/coordination/replicaLimits/keptLimit.test.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.test.ts
@@ -3,7 +3,7 @@
 import type { AnswerSpan } from "../../state/forwarding/limitWord.ts";
 import { createManualClock } from "../manualClock.ts";
 import { endedAfter } from "./constants.ts";
-import { createKeptLimit } from "./keptLimit.ts";
+import { createKeptLimit } from "./coordinatedLimit.ts";
 
 const span = (askedAt: number, heardAt: number): AnswerSpan => ({ askedAt, heardAt });
 
--- a/src/coordination/replicaLimits/keptLimit.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.ts
@@ -5,8 +5,8 @@
 import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
 import { supersedes } from "../../state/forwarding/limitWord.ts";
 import type { Clock } from "../clock.ts";
-import type { BucketFilling } from "../keepers/usageBucket.ts";
-import { createUsageBucket } from "../keepers/usageBucket.ts";
+import type { BucketFilling } from "../coordinators/tokenBucket.ts";
+import { createUsageBucket } from "../coordinators/tokenBucket.ts";
 import { burstTime, doubtedAfter, doubtFactor, endedAfter, leastRate } from "./constants.ts";
 
 /** See {@link createKeptLimit}. */
--- a/src/coordination/replicaLimits/turnSearch.ts
+++ b/src/coordination/replicaLimits/grantSearch.ts
@@ -1,19 +1,19 @@
 /** One request's search for a replica that has room for it, where replicas name limits. */
-import type { LimitedChoice, PlacementFailure } from "../forwarding/placementTypes.ts";
+import type { LimitedCandidates, PlacementFailure } from "../forwarding/placementTypes.ts";
 import { bookingShare, mostBookings, mostRefusals } from "./constants.ts";
 
-/** See {@link createTurnSearch}. */
-export interface TurnSearch {
+/** See {@link createGrantSearch}. */
+export interface GrantSearch {
   /** Which of the replicas with a limit come into question now. */
-  readonly limited: () => LimitedChoice;
+  readonly limitedChoice: () => LimitedCandidates;
   /** @returns Replicas that are left out: those that it was sent to, and those that had no turn for it. */
   readonly excluded: (sentTo: ReadonlySet<string>) => ReadonlySet<string>;
   /** How long it may wait for a turn, milliseconds: not at all while there may be room elsewhere. */
-  readonly patience: (left: number, objective: number) => number;
+  readonly maxWait: (left: number, objective: number) => number;
   /** A replica had no turn for it. */
-  readonly noteNoTurn: (id: string) => void;
+  readonly noteRefused: (id: string) => void;
   /** Whether it has asked for as many turns as are worth asking for. */
-  readonly isOver: () => boolean;
+  readonly isExhausted: () => boolean;
   /** There is no candidate. @returns Whether to look again, among more. */
   readonly widen: (failure: PlacementFailure) => boolean;
   /** Whether it found none because of limits. */
@@ -21,17 +21,17 @@
 }
 
 /** Creates a search that has looked nowhere. */
-export const createTurnSearch = (): TurnSearch => {
+export const createGrantSearch = (): GrantSearch => {
   const withoutTurn = new Set<string>();
-  let limited: LimitedChoice = "open";
+  let limited: LimitedCandidates = "open";
   let refusals = 0;
   let wasLimited = false;
 
   return {
-    limited: () => limited,
+    limitedChoice: () => limited,
     excluded: (sentTo) => (withoutTurn.size === 0 ? sentTo : new Set([...sentTo, ...withoutTurn])),
-    patience: (left, objective) => (limited === "all" ? Math.min(left, objective) * bookingShare : 0),
-    noteNoTurn: (id) => {
+    maxWait: (left, objective) => (limited === "all" ? Math.min(left, objective) * bookingShare : 0),
+    noteRefused: (id) => {
       if (limited === "all") {
         withoutTurn.add(id);
         wasLimited = true;
@@ -40,7 +40,7 @@
       refusals += 1;
       if (refusals >= mostRefusals) limited = "none";
     },
-    isOver: () => withoutTurn.size >= mostBookings,
+    isExhausted: () => withoutTurn.size >= mostBookings,
     widen: (failure) => {
       wasLimited = failure === "limited" || withoutTurn.size > 0;
       if (failure === "no_replica" || limited === "all") return false;
--- a/src/coordination/replicaLimits/limitKeeper.ts
+++ b/src/coordination/replicaLimits/limitCoordinator.ts
@@ -4,16 +4,16 @@
 import { takeSpan, takeWord } from "../../state/forwarding/limitWord.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
-import type { Keepers } from "../keepers/keepers.ts";
-import type { KeeperRole } from "../keepers/keeping.ts";
-import { elsewhere } from "../keepers/keeping.ts";
+import type { Coordinators } from "../coordinators/coordinators.ts";
+import type { CoordinatorRole } from "../coordinators/keyCoordination.ts";
+import { elsewhere } from "../coordinators/keyCoordination.ts";
 import { endMemory } from "./constants.ts";
-import type { KeptLimit } from "./keptLimit.ts";
-import { createKeptLimit } from "./keptLimit.ts";
+import type { KeptLimit } from "./coordinatedLimit.ts";
+import { createKeptLimit } from "./coordinatedLimit.ts";
 
 /** What keeping works with. */
 export interface LimitKeeperParts {
-  readonly keepers: Pick<Keepers, "isActing" | "watch">;
+  readonly keepers: Pick<Coordinators, "isActing" | "watch">;
   readonly replicas: Pick<ReplicaTable, "get">;
   readonly clock: Clock;
 }
@@ -25,7 +25,7 @@
   keepers,
   replicas,
   clock,
-}: LimitKeeperParts): KeeperRole<"replicaQuestion"> => {
+}: LimitKeeperParts): CoordinatorRole<"replicaQuestion"> => {
   const kept = new Map<string, KeptLimit>();
 
   const letGo = (id: string): void => {
@@ -34,7 +34,7 @@
 
   const keptFor = ({ replica: id, word }: ReplicaQuestion): KeptLimit | undefined => {
     if (replicas.get(id) === undefined) return undefined;
-    keepers.watch(id);
+    keepers.monitor(id);
     if (!keepers.isActing(id)) {
       letGo(id);
       return undefined;
@@ -73,7 +73,7 @@
       const { isGranted, wait } = limit.take(question.patience);
       return say(number, isGranted ? "granted" : "refused", wait);
     },
-    look: () => {
+    poll: () => {
       const now = clock.monotonic();
       for (const [id, limit] of kept) {
         const isOld = now - (limit.endedAt() ?? now) > endMemory;
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -14,9 +14,9 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
-import type { Keeping } from "../keepers/keeping.ts";
-import type { UsageBucket } from "../keepers/usageBucket.ts";
-import { createUsageBucket } from "../keepers/usageBucket.ts";
+import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
+import type { UsageBucket } from "../coordinators/tokenBucket.ts";
+import { createUsageBucket } from "../coordinators/tokenBucket.ts";
 import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
 import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
@@ -30,21 +30,21 @@
   unansweredPause,
   unaskedShare,
 } from "./constants.ts";
-import { createLimitKeeper } from "./limitKeeper.ts";
+import { createLimitKeeper } from "./limitCoordinator.ts";
 
 /** What keeping to limits works with. */
-export interface ReplicaLimitsParts {
-  readonly keeping: Keeping;
+export interface ReplicaLimitsDependencies {
+  readonly coordination: KeyCoordination;
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
   /** Tells other routers of a limit that they may not have heard of. */
-  readonly tell: (replica: ReplicaState) => void;
+  readonly announce: (replica: ReplicaState) => void;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
 
 /** A request's turn at a replica. Milliseconds on the monotonic clock. */
-export interface Turn {
+export interface Grant {
   readonly from: number;
   /** The request must have left by then. */
   readonly until: number;
@@ -58,11 +58,11 @@
    * @param patience - How long it may wait for its turn, milliseconds.
    * @returns Its turn, or nothing if there is none; no promise where the replica names no limit.
    */
-  readonly take: (replica: ReplicaState, patience: number) => Promise<Turn | undefined> | undefined;
+  readonly take: (replica: ReplicaState, patience: number) => Promise<Grant | undefined> | undefined;
   /** An answer named a limit. */
-  readonly hear: (replica: ReplicaState, word: LimitWord) => void;
+  readonly observeLimit: (replica: ReplicaState, word: LimitWord) => void;
   /** An answer named none. */
-  readonly hearUnnamed: (replica: ReplicaState, span: AnswerSpan) => void;
+  readonly observeNoLimit: (replica: ReplicaState, span: AnswerSpan) => void;
   /** @returns Milliseconds after which a request that a service has no room for is to come back. */
   readonly comeBackAfter: (service: string) => number;
 }
@@ -75,9 +75,11 @@
 const createUnasked = (clock: Clock): UsageBucket => createUsageBucket(clock, 0);
 
 /** Creates the limits of replicas as one router keeps to them. */
-export const createReplicaLimits = (parts: ReplicaLimitsParts): ReplicaLimits => {
-  const { keeping, replicas, clock, random } = parts;
-  keeping.take({ replicaQuestion: createLimitKeeper({ keepers: keeping.keepers, replicas, clock }) });
+export const createReplicaLimits = (parts: ReplicaLimitsDependencies): ReplicaLimits => {
+  const { coordination: keeping, replicas, clock, random } = parts;
+  keeping.addRoles({
+    replicaQuestion: createLimitKeeper({ keepers: keeping.coordinators, replicas, clock }),
+  });
   /** By id of a replica. */
   const unasked = new Map<string, UsageBucket>();
   /** By service: requests that were turned away. */
@@ -116,7 +118,7 @@
     if (answer?.verdict === "unlimited") end(replica);
   };
 
-  const turnIn = (wait: number): Turn => {
+  const turnIn = (wait: number): Grant => {
     const from = clock.monotonic() + wait;
     return { from, until: from + grantLife };
   };
@@ -126,7 +128,7 @@
   };
 
   /** Nobody grants: an even part of half the limit stays within what may be sent beyond it. */
-  const takeUnasked = (replica: ReplicaState, { perSecond }: LimitWord): Turn | undefined => {
+  const takeUnasked = (replica: ReplicaState, { perSecond }: LimitWord): Grant | undefined => {
     const { id } = replica.entry;
     const bucket = unasked.get(id) ?? createUnasked(clock);
     unasked.set(id, bucket);
@@ -137,7 +139,11 @@
     return undefined;
   };
 
-  const ask = async (replica: ReplicaState, word: LimitWord, patience: number): Promise<Turn | undefined> => {
+  const ask = async (
+    replica: ReplicaState,
+    word: LimitWord,
+    patience: number,
+  ): Promise<Grant | undefined> => {
     const question = questionOf(replica, word, {
       unnamed: undefined,
       isAsked: true,
@@ -162,16 +168,16 @@
   return {
     take: (replica, patience) =>
       replica.limit === undefined ? undefined : ask(replica, replica.limit, patience),
-    hear: (replica, word) => {
+    observeLimit: (replica, word) => {
       const known = replica.limit;
       if (known === undefined || supersedes(word, known)) replica.limit = word;
       if (known === undefined) {
         writeLog("limit_named", { replica: replica.entry.id, perSecond: word.perSecond });
-        parts.tell(replica);
+        parts.announce(replica);
       }
       void report(replica, word);
     },
-    hearUnnamed: (replica, span) => {
+    observeNoLimit: (replica, span) => {
       const known = replica.limit;
       if (known !== undefined && span.askedAt >= known.heardAt) void report(replica, known, span);
     },
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -16,9 +16,9 @@
 import { workWithout } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
-import { preferOthers, preferOthersUntil } from "../replicaReports/backoff.ts";
-import { toldMemory } from "../replicaLimits/constants.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
+import { avoidReplica, avoidReplicaUntil } from "../replicaReports/backoff.ts";
+import { announcedLimitMaxAge } from "../replicaLimits/constants.ts";
 import { holdersNamed, reportMemory } from "./constants.ts";
 
 /** What an owner works with. */
@@ -52,7 +52,7 @@
 
 /** Whoever asks hears the limit from the replica itself if nobody has for long. */
 const tellRecentLimit = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
-  limit === undefined || now - limit.heardAt > toldMemory ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
 
 /** A teller that has none at a replica any more. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -79,7 +79,7 @@
     replicas.noteWorkAt(tellerOf(name), key, report);
     // Whoever can't reach it may be cut off itself: the owner looks before it believes.
     if (report.isUnreachable) state.isSuspected = true;
-    if (report.isBackingOff) preferOthers(state, clock.monotonic());
+    if (report.isBackingOff) avoidReplica(state, clock.monotonic());
     if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
   };
 
@@ -105,7 +105,7 @@
       replica: replicaKeyOf(state.entry.id),
       requests: work.requests,
       promptTokens: work.promptTokens.map((tokens) => Math.max(0, Math.round(tokens))),
-      ejectedFor: Math.max(0, Math.round(preferOthersUntil(state) - clock.monotonic())),
+      ejectedFor: Math.max(0, Math.round(avoidReplicaUntil(state) - clock.monotonic())),
       limit: tellRecentLimit(state, clock.monotonic()),
     };
   };
@@ -113,7 +113,7 @@
   return {
     takeWork: (message) => {
       for (const report of message.reports) takeReport(message, report);
-      takeHolders(message.holders, parts);
+      applyAnnouncedHolders(message.holders, parts);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
--- a/src/coordination/replicaReports/backoff.ts
+++ b/src/coordination/replicaReports/backoff.ts
@@ -67,13 +67,13 @@
 };
 
 /** The replica asked another router for backoff: a preference, since it may have room for this one. */
-export const preferOthers = (replica: ReplicaState, now: number): void => {
+export const avoidReplica = (replica: ReplicaState, now: number): void => {
   const backoff = open(replica);
   backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + avoidance.longest);
 };
 
 /** @returns When other routers may stop preferring other replicas, milliseconds on the monotonic clock. */
-export const preferOthersUntil = ({ ejectedUntil, backoff }: ReplicaState): number =>
+export const avoidReplicaUntil = ({ ejectedUntil, backoff }: ReplicaState): number =>
   Math.max(ejectedUntil, backoff?.avoidedUntil ?? ejectedUntil);
 
 /** A request is sent to the replica. */
--- a/src/coordination/replicaReports/backoffExchange.ts
+++ b/src/coordination/replicaReports/backoffExchange.ts
@@ -5,14 +5,14 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
-import { preferOthers } from "./backoff.ts";
+import { avoidReplica } from "./backoff.ts";
 
 export interface BackoffExchangeDependencies {
   readonly link: DatagramLink;
   readonly replicas: Pick<ReplicaTable, "getByKey">;
   readonly clock: Clock;
   /** @returns Peers to notify. */
-  readonly audience: () => readonly { readonly at: DatagramAddress }[];
+  readonly recipients: () => readonly { readonly at: DatagramAddress }[];
 }
 
 /** Starts to apply notifications of peers. @returns A function that notifies them of a replica. */
@@ -20,12 +20,12 @@
   link,
   replicas,
   clock,
-  audience,
+  recipients: audience,
 }: BackoffExchangeDependencies): ((replica: ReplicaState) => void) => {
   link.receive((datagram) => {
     for (const key of decodeBackoffMessage(datagram) ?? []) {
       const replica = replicas.getByKey(key);
-      if (replica !== undefined) preferOthers(replica, clock.monotonic());
+      if (replica !== undefined) avoidReplica(replica, clock.monotonic());
     }
   });
   return ({ entry }) => {
--- a/src/coordination/replicaReports/reportObserver.test.ts
+++ b/src/coordination/replicaReports/reportObserver.test.ts
@@ -28,8 +28,8 @@
   const metrics = new MemoryMetrics();
   const observe = createReportObserver({
     limits: {
-      hear: (_, { perSecond }) => heard.push(perSecond),
-      hearUnnamed: () => heard.push("none"),
+      observeLimit: (_, { perSecond }) => heard.push(perSecond),
+      observeNoLimit: () => heard.push("none"),
     },
     replicas,
     onDraining: () => undefined,
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -83,11 +83,11 @@
       return;
     }
     if (limit === undefined || limit >= bindingRate) {
-      limits.hearUnnamed(replica, span);
+      limits.observeNoLimit(replica, span);
       return;
     }
     metrics.count(metricNames.limitsNamed);
-    limits.hear(replica, { perSecond: limit, ...span });
+    limits.observeLimit(replica, { perSecond: limit, ...span });
   };
 
   const observeDraining = (request: AnsweredRequest, { isDraining, status }: ReplicaReport): void => {
--- a/src/coordination/republication.ts
+++ b/src/coordination/republication.ts
@@ -8,13 +8,13 @@
 import { metricNames } from "../state/constants.ts";
 import { createLogger } from "../state/log.ts";
 import { pause } from "./clock.ts";
-import { restatementLease } from "./leases/constants.ts";
+import { republicationLeaseName } from "./leases/constants.ts";
 import { startLease } from "./leases/lease.ts";
-import type { LeaseParts } from "./leases/lease.ts";
+import type { LeaseDependencies } from "./leases/lease.ts";
 import type { LeaseView } from "./leases/types.ts";
 
-export interface RepublicationDependencies extends Omit<LeaseParts, "name" | "history"> {
-  readonly leases: LeaseParts["history"];
+export interface RepublicationDependencies extends Omit<LeaseDependencies, "name" | "history"> {
+  readonly leases: LeaseDependencies["history"];
   readonly configuration: ConfigurationHistory;
   /** How long the log service keeps a record, in milliseconds. */
   readonly retention: number;
@@ -37,7 +37,7 @@
 export const startRepublication = (dependencies: RepublicationDependencies): Republication => {
   const { clock, log, configuration, retention, metrics } = dependencies;
   const stop = new AbortController();
-  const lease = startLease({ ...dependencies, name: restatementLease, history: dependencies.leases });
+  const lease = startLease({ ...dependencies, name: republicationLeaseName, history: dependencies.leases });
 
   /** Compares with the log service's clock: the two may differ by some minutes, but the retention is much longer. */
   const isDue = (): boolean => {
--- a/src/coordination/usageLimits/usageKeeper.ts
+++ b/src/coordination/usageLimits/usageCoordinator.ts
@@ -5,15 +5,15 @@
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
 import { overshootShares } from "./constants.ts";
-import type { Keepers } from "../keepers/keepers.ts";
-import { elsewhere } from "../keepers/keeping.ts";
+import type { Coordinators } from "../coordinators/coordinators.ts";
+import { elsewhere } from "../coordinators/keyCoordination.ts";
 import { overshootOf } from "./overshoot.ts";
-import type { BucketFilling, UsageBucket } from "../keepers/usageBucket.ts";
-import { createUsageBucket } from "../keepers/usageBucket.ts";
+import type { BucketFilling, UsageBucket } from "../coordinators/tokenBucket.ts";
+import { createUsageBucket } from "../coordinators/tokenBucket.ts";
 
 /** What keeping counts works with. */
 export interface UsageKeeperParts {
-  readonly keepers: Pick<Keepers, "isActing">;
+  readonly keepers: Pick<Coordinators, "isActing">;
   readonly limitOf: (organisation: string) => OrganisationLimit | undefined;
   readonly bounds: ForwardingBounds;
   readonly clock: Clock;
--- a/src/coordination/usageLimits/usageLimits.test.ts
+++ b/src/coordination/usageLimits/usageLimits.test.ts
@@ -5,9 +5,9 @@
 import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createManualClock } from "../manualClock.ts";
-import { lookInterval, takeoverSilence } from "../keepers/constants.ts";
-import { createKeepers } from "../keepers/keepers.ts";
-import { createKeeping } from "../keepers/keeping.ts";
+import { lookInterval, takeoverSilence } from "../coordinators/constants.ts";
+import { createCoordinators } from "../coordinators/coordinators.ts";
+import { createKeyCoordination } from "../coordinators/keyCoordination.ts";
 import { createUsageLimits } from "./usageLimits.ts";
 
 const organisation = "levant";
@@ -56,11 +56,11 @@
       .filter((entry) => entry !== self)
       .map(({ name, dataCentre, address, port }) => ({ name, dataCentre, at: { address, port } }));
     const limits = createUsageLimits({
-      keeping: createKeeping({ self, link, clock, others: () => others, random: () => 0.5 }),
+      coordination: createKeyCoordination({ self, link, clock, others: () => others, random: () => 0.5 }),
       clock,
       bounds: kept,
       limitOf: () => limit,
-      limited: () => (limit === undefined ? [] : [organisation]),
+      limitedOrganisations: () => (limit === undefined ? [] : [organisation]),
       random: () => 0.5,
     });
     // Routers hear of one another all the time, by messages that don't matter here.
@@ -83,7 +83,7 @@
   };
 
   const send = (router: number, amount: number): void => {
-    const wanted = Promise.resolve(routers[router]?.limits.take(organisation, amount));
+    const wanted = Promise.resolve(routers[router]?.limits.acquire(organisation, amount));
     void wanted.then((wait) => {
       if (wait === undefined) passed.push({ at: clock.monotonic(), amount });
       else refusals.push({ wait, amount });
@@ -111,7 +111,7 @@
       }));
       const [self, ...others] = all;
       if (self === undefined) throw new Error("There are no routers.");
-      const keepers = createKeepers({ self, others: () => others, clock });
+      const keepers = createCoordinators({ self, others: () => others, clock });
       const order = keepers.orderFor(organisation);
       return order.map((router) => entries.findIndex(({ name }) => name === router.name));
     },
@@ -270,7 +270,7 @@
     const after = system.passed.filter(({ at }) => at >= loweredAt);
     expect(mostInWindow(after) <= allowed(smallLimit)).toEqual(true);
     system.changeLimit(undefined);
-    expect(system.routers[0]?.limits.take(organisation, 1_000_000)).toEqual(undefined);
+    expect(system.routers[0]?.limits.acquire(organisation, 1_000_000)).toEqual(undefined);
   });
 
   it("count again what has not run", async () => {
@@ -279,7 +279,7 @@
     for (let index = 0; index < 30; index += 1) {
       system.send(3, 12_000);
       await system.advance(100);
-      system.routers[3]?.limits.giveBack(organisation, 12_000);
+      system.routers[3]?.limits.refund(organisation, 12_000);
     }
     expect(system.refusals).toEqual([]);
   });
@@ -308,7 +308,7 @@
     await system.advance(8_000);
     system.send(3, 2_400);
     await system.advance(50);
-    expect(system.routers[3]?.limits.take(organisation, 2_400)).toEqual(undefined);
+    expect(system.routers[3]?.limits.acquire(organisation, 2_400)).toEqual(undefined);
   });
 
   it("are kept whatever is lost, frozen, restarted or changed", async () => {
@@ -349,16 +349,16 @@
       at: { address: "10.0.0.1", port: index + 1 },
     }));
     const all = routers.map((self) =>
-      createKeepers({ self, others: () => routers.filter((each) => each !== self), clock }),
+      createCoordinators({ self, others: () => routers.filter((each) => each !== self), clock }),
     );
     for (let time = 0; time < 3 * takeoverSilence; time += lookInterval) {
       clock.advanceTo(time);
       for (const keepers of all) {
-        routers.forEach(({ at }) => keepers.hear(at));
-        keepers.look();
+        routers.forEach(({ at }) => keepers.noteReceived(at));
+        keepers.poll();
       }
       if (time === takeoverSilence / 2) {
-        for (const keepers of all) routers.forEach(({ at }) => keepers.hearAnswer(at));
+        for (const keepers of all) routers.forEach(({ at }) => keepers.noteAnswer(at));
       }
       const acting = all.filter((keepers) => keepers.isActing(organisation)).length;
       expect(acting).toEqual(time < takeoverSilence / 2 ? 0 : 1);
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -13,36 +13,36 @@
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
-import type { Keeping } from "../keepers/keeping.ts";
+import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
 import { bucketsPerWindow, returnSpread, shortestReturn } from "./constants.ts";
 import type { UsageAccount } from "./usageAccount.ts";
 import { createUsageAccount, noteRoom, spendUnasked, unaskedPart } from "./usageAccount.ts";
-import { createUsageKeeper } from "./usageKeeper.ts";
+import { createUsageKeeper } from "./usageCoordinator.ts";
 
 /** What limits are kept with. */
-export interface UsageLimitsParts {
-  readonly keeping: Keeping;
+export interface UsageLimitsDependencies {
+  readonly coordination: KeyCoordination;
   readonly clock: Clock;
   readonly bounds: ForwardingBounds;
   readonly limitOf: (organisation: string) => OrganisationLimit | undefined;
   /** @returns Names of the organisations that have a limit. */
-  readonly limited: () => Iterable<string>;
+  readonly limitedOrganisations: () => Iterable<string>;
   /** A number from 0 to 1. */
   readonly random: () => number;
 }
 
 /** What decisions about requests ask of limits. */
-export interface UsageCounting {
+export interface UsageLimits {
   /**
    * A request is to be passed on.
    *
    * @returns Milliseconds after which it is worth another try; nothing if it may be passed on.
    */
-  readonly take: (organisation: string, amount: number) => Promise<number | undefined> | undefined;
+  readonly acquire: (organisation: string, amount: number) => Promise<number | undefined> | undefined;
   /** A request runs once more. */
   readonly charge: (organisation: string, amount: number) => void;
   /** A request that may be passed on was not, or has not run. */
-  readonly giveBack: (organisation: string, amount: number) => void;
+  readonly refund: (organisation: string, amount: number) => void;
 }
 
 const millisecondsPerSecond = 1_000;
@@ -50,24 +50,24 @@
 const writeLog = createLogger("limits");
 
 /** Where no organisation has a limit. */
-export const noUsageLimits: UsageCounting = {
-  take: () => undefined,
+export const noUsageLimits: UsageLimits = {
+  acquire: () => undefined,
   charge: () => undefined,
-  giveBack: () => undefined,
+  refund: () => undefined,
 };
 
 /** Creates the limits of organisations, as one router asks for them and keeps them. */
-export const createUsageLimits = (parts: UsageLimitsParts): UsageCounting => {
-  const { keeping, clock, bounds, limitOf, random } = parts;
-  const { keepers, countRouters } = keeping;
+export const createUsageLimits = (parts: UsageLimitsDependencies): UsageLimits => {
+  const { coordination: keeping, clock, bounds, limitOf, random } = parts;
+  const { coordinators: keepers, countRouters } = keeping;
   const keeper = createUsageKeeper({ keepers, limitOf, bounds, clock });
   const accounts = new Map<string, UsageAccount>();
   const look = (): void => {
-    const limited = [...parts.limited()];
-    limited.forEach(keepers.watch);
+    const limited = [...parts.limitedOrganisations()];
+    limited.forEach(keepers.monitor);
     keeper.look(limited);
   };
-  keeping.take({ question: { answer: keeper.answer, look } });
+  keeping.addRoles({ question: { answer: keeper.answer, poll: look } });
 
   /** An even part of what an organisation may use in a window. */
   const evenPart = (organisation: string): number => {
@@ -144,7 +144,7 @@
   };
 
   return {
-    take: (organisation, amount) => {
+    acquire: (organisation, amount) => {
       const limit = limitOf(organisation);
       if (limit === undefined) return undefined;
       const account = accountOf(organisation);
@@ -156,7 +156,7 @@
     charge: (organisation, amount) => {
       if (limitOf(organisation) !== undefined) accountOf(organisation).spent += amount;
     },
-    giveBack: (organisation, amount) => {
+    refund: (organisation, amount) => {
       if (limitOf(organisation) !== undefined) accountOf(organisation).returned += amount;
     },
   };
--- a/src/daemons/forwardingBeliefs.ts
+++ b/src/daemons/forwardingBeliefs.ts
@@ -6,15 +6,18 @@
 import type { CacheStoreFollower } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { followCacheStores } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { createConfigurationState } from "../coordination/forwarding/configurationState.ts";
-import { cachedMemoryShare, cacheStoreAskers } from "../coordination/forwarding/constants.ts";
+import {
+  cachedMemoryShare,
+  cacheStorePollersAtShortestInterval,
+} from "../coordination/forwarding/constants.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import { createRouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import type { Quarantine } from "../coordination/crashes/quarantine.ts";
 import { createQuarantine } from "../coordination/crashes/quarantine.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import type { ReplicaOwners } from "../coordination/replicaOwners/replicaOwners.ts";
-import type { UsageCounting } from "../coordination/usageLimits/usageLimits.ts";
-import { createKeeping } from "../coordination/keepers/keeping.ts";
+import type { UsageLimits } from "../coordination/usageLimits/usageLimits.ts";
+import { createKeyCoordination } from "../coordination/coordinators/keyCoordination.ts";
 import type { ReplicaLimits } from "../coordination/replicaLimits/replicaLimits.ts";
 import type { RecoveryWindow } from "../coordination/storeEpochs/recoveryWindow.ts";
 import { createRecoveryWindow } from "../coordination/storeEpochs/recoveryWindow.ts";
@@ -50,7 +53,7 @@
   readonly peers: RouterPeers;
   readonly owners: ReplicaOwners;
   readonly cacheStore: CacheStoreFollower;
-  readonly limits: UsageCounting;
+  readonly limits: UsageLimits;
   readonly replicaLimits: ReplicaLimits;
   readonly quarantine: Quarantine;
   /** Whether the registry has been read. */
@@ -101,7 +104,7 @@
       replicas,
       configuration,
       holders,
-      longestReadAge: () => following.longestReadAge(),
+      maxReadAge: () => following.longestReadAge(),
       onNewerConfiguration: () => following.readOn(),
       onNewerEpoch: () => following.readEpoch(),
       epochs,
@@ -115,11 +118,11 @@
 
   const cacheStore = resources.use(
     followCacheStores({
-      configured: () => configuration.table()?.cacheStores ?? [],
+      configuredStores: () => configuration.table()?.cacheStores ?? [],
       client: platform.replicaClient,
       holders,
       clock,
-      stretch: () => Math.max(1, peers.countServing() / cacheStoreAskers),
+      intervalFactor: () => Math.max(1, peers.countServing() / cacheStorePollersAtShortestInterval),
     }),
   );
 
@@ -136,30 +139,30 @@
   );
 
   const keeping = resources.use(
-    createKeeping({
+    createKeyCoordination({
       self,
       link: parts.link,
       clock,
       others: peers.serving,
-      nearestTo: (subject) => replicas.get(subject)?.entry.dataCentre,
+      nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
       random: Math.random,
     }),
   );
 
   const limits = createUsageLimits({
-    keeping,
+    coordination: keeping,
     clock,
     bounds,
     limitOf: (organisation) => configuration.table()?.limits.get(organisation),
-    limited: () => configuration.table()?.limits.keys() ?? [],
+    limitedOrganisations: () => configuration.table()?.limits.keys() ?? [],
     random: Math.random,
   });
 
   const replicaLimits = createReplicaLimits({
-    keeping,
+    coordination: keeping,
     replicas,
     clock,
-    tell: peers.tellLimit,
+    announce: peers.tellLimit,
     random: Math.random,
   });
 
--- a/src/daemons/router.ts
+++ b/src/daemons/router.ts
@@ -107,7 +107,7 @@
     clock,
     configuration: follower.current,
     dataCentre: settings.dataCentre,
-    liveRouters: () => peers.membership.livePeers().length,
+    liveRouters: () => peers.membership.liveMembers().length,
     organisationShare: beliefs.routerShare,
   });
   resources.defer(() => {
--- a/src/daemons/routerBeliefs.ts
+++ b/src/daemons/routerBeliefs.ts
@@ -82,8 +82,8 @@
       longPoll: settings.configurationLongPoll,
       retryInterval,
       clock,
-      readMode: peers.configuration.turn,
-      onVersion: peers.configuration.noteRead,
+      readMode: peers.configuration.logReadMode,
+      onVersion: peers.configuration.noteLogVersion,
     }),
   );
 
@@ -120,7 +120,7 @@
     if (routersOf?.vms !== vms) {
       routersOf = { vms, count: vms.filter(({ role }) => role === "router").length };
     }
-    return 1 / Math.max(1, routersOf.count, peers.membership.livePeers().length);
+    return 1 / Math.max(1, routersOf.count, peers.membership.liveMembers().length);
   };
 
   const start = async (): Promise<string> => {
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -1,6 +1,6 @@
 /** What one router of several does for all of them, by leases: orders to engines, and the restatement. */
 import type { Clock } from "../coordination/clock.ts";
-import { restatementLease } from "../coordination/leases/constants.ts";
+import { republicationLeaseName } from "../coordination/leases/constants.ts";
 import { createLeaseHistory } from "../coordination/leases/leaseHistory.ts";
 import type { LeaseView } from "../coordination/leases/types.ts";
 import { startDeploymentOrders } from "../coordination/orders/deploymentOrders.ts";
@@ -61,7 +61,7 @@
     startRepublication({
       ...common,
       leases,
-      isCandidate: () => peers.membership.isHome(restatementLease),
+      isCandidate: () => peers.membership.isHome(republicationLeaseName),
       configuration: history,
       retention: settings.logRetention,
       duration: () => follower.current()?.configuration.limits.leaseDuration ?? idleLeaseDuration,
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -1,7 +1,7 @@
 /** Routers in simulated time that keep to the limit of one replica, and what the replica gets. */
 import type { Clock } from "../../src/coordination/clock.ts";
-import { createKeepers } from "../../src/coordination/keepers/keepers.ts";
-import { createKeeping } from "../../src/coordination/keepers/keeping.ts";
+import { createCoordinators } from "../../src/coordination/coordinators/coordinators.ts";
+import { createKeyCoordination } from "../../src/coordination/coordinators/keyCoordination.ts";
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
 import { createReplicaLimits } from "../../src/coordination/replicaLimits/replicaLimits.ts";
@@ -116,12 +116,12 @@
     const time = createSuspendableClock(clock);
     const replicas = createReplicaTable();
     replicas.put(engineEntry(replicaId, { dataCentre: "centre-0" }));
-    const keeping = createKeeping({
+    const keeping = createKeyCoordination({
       self,
       link,
       clock: time.clock,
       others: () => others,
-      nearestTo: (subject) => replicas.get(subject)?.entry.dataCentre,
+      nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
       random: () => 0.5,
     });
     const tell = ({ limit }: ReplicaState): void => {
@@ -132,10 +132,10 @@
       });
     };
     const limits = createReplicaLimits({
-      keeping,
+      coordination: keeping,
       replicas,
       clock: time.clock,
-      tell,
+      announce: tell,
       random: () => 0.5,
     });
     const state = (): ReplicaState => {
@@ -180,8 +180,8 @@
       if (state === undefined) return;
       if (named !== undefined && !toldAt.has(index)) toldAt.set(index, clock.monotonic());
       const span = { askedAt, heardAt: router.time.clock.monotonic() };
-      if (named === undefined) router.limits.hearUnnamed(state, span);
-      else router.limits.hear(state, { perSecond: named, ...span });
+      if (named === undefined) router.limits.observeNoLimit(state, span);
+      else router.limits.observeLimit(state, { perSecond: named, ...span });
     });
   };
 
@@ -269,10 +269,10 @@
       }));
       const [self, ...others] = all;
       if (self === undefined) throw new Error("There are no routers.");
-      const keepers = createKeepers({
+      const keepers = createCoordinators({
         self,
         others: () => others,
-        nearestTo: () => "centre-0",
+        nearestDataCentre: () => "centre-0",
         clock,
       });
       const order = keepers.orderFor(replicaId);
