--- a/src/coordination/weightsBinder.test.ts
+++ b/src/coordination/weightsBinder.test.ts
@@ -22,18 +22,18 @@
   throw new TypeError("the demo's configuration has no such model");
 };
 
-/** What one engine reports: its weights, and adapters if any. */
+/** The weights and adapters that one engine reports. */
 interface Report {
   readonly weightsVersion: string;
   readonly adapters?: readonly string[];
   readonly leaving?: boolean;
 }
 
-const createSubject = (desired: ModelConfiguration, former: readonly ModelConfiguration[]) => {
+const createFixture = (desired: ModelConfiguration, former: readonly ModelConfiguration[]) => {
   const directory = createEngineDirectory();
   const models = base.models.map((model) => (model.name === name ? desired : model));
   const index = createConfigurationIndex(1, { ...base, models });
-  const choose = createWeightsBinder({ directory, formerModels: () => former });
+  const bindWeights = createWeightsBinder({ directory, formerModels: () => former });
   let time = 0;
   return {
     report: (reports: readonly Report[]): void => {
@@ -48,7 +48,7 @@
         directory.applyLoad(`engine-${number}`, { ...load, weightsVersion, adapters }, time);
       });
     },
-    bind: (prefix = "rules", adapter?: string) => choose({ index, model: name, adapter, prefix }),
+    bind: (prefix = "rules", adapter?: string) => bindWeights({ index, model: name, adapter, prefix }),
   };
 };
 
@@ -58,11 +58,11 @@
   maxLength: 12,
 });
 
-describe("weights in force", () => {
-  it("are those that a configuration named, and that a live engine runs where they are former ones", () => {
+describe("weights binder", () => {
+  it("chooses only weights that a configuration named, and former ones only if a live engine runs them", () => {
     fc.assert(
       fc.property(reports, fc.string(), (given, prefix) => {
-        const { report, bind } = createSubject(modelOf("new"), [modelOf("old"), modelOf("older")]);
+        const { report, bind } = createFixture(modelOf("new"), [modelOf("old"), modelOf("older")]);
         report(given);
         const { weightsVersion } = bind(prefix);
         const live: readonly string[] = given
@@ -78,10 +78,10 @@
     );
   });
 
-  it("move a prefix once while engine after engine is brought over, and never back", () => {
+  it("moves a prefix to the new weights once and never back while engines change one after another", () => {
     fc.assert(
       fc.property(fc.string(), fc.integer({ min: 1, max: 12 }), (prefix, engines) => {
-        const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+        const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
         const bound = Array.from({ length: engines + 1 }, (_, ready) => {
           report(
             Array.from({ length: engines }, (_, number) => ({
@@ -98,24 +98,24 @@
     );
   });
 
-  it("stay with the former ones while none is ready, and leave them for good when most are", () => {
-    const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+  it("keeps the former weights while no engine has the new ones, and drops them when most engines have", () => {
+    const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
     report([{ weightsVersion: "old" }, { weightsVersion: "old", leaving: true }]);
     expect(bind().weightsVersion).toEqual("old");
     report([{ weightsVersion: "old" }, { weightsVersion: "new" }]);
     expect(bind().weightsVersion).toEqual("new");
   });
 
-  it("do not come back with one engine that was cut off and still runs the former ones", () => {
-    const { report, bind } = createSubject(modelOf("new"), [modelOf("old")]);
+  it("does not return to the former weights because of one disconnected engine that still runs them", () => {
+    const { report, bind } = createFixture(modelOf("new"), [modelOf("old")]);
     const ready = Array.from({ length: 7 }, () => ({ weightsVersion: "new" }));
     report([...ready, { weightsVersion: "old" }]);
     const bound = Array.from({ length: 100 }, (_, course) => bind(`course ${course}`).weightsVersion);
     expect(bound).toEqual(bound.map(() => "new"));
   });
 
-  it("count an adapter's version as well", () => {
-    const { report, bind } = createSubject(modelOf("new", "3"), [modelOf("new", "2")]);
+  it("distinguishes versions of an adapter", () => {
+    const { report, bind } = createFixture(modelOf("new", "3"), [modelOf("new", "2")]);
     const two = { weightsVersion: "new", adapters: ["first-aid@2"] };
     report([two, two]);
     expect(bind("rules", "first-aid")).toEqual({ weightsVersion: "new", adapter: "first-aid@2" });
