--- a/src/coordination/forwarding/limitGrants.ts
+++ b/src/coordination/forwarding/limitGrants.ts
@@ -47,7 +47,7 @@
   },
   // Refused at once instead of queued: without a booking, a grant may never come.
   refuse: ({ admission }) => {
-    metrics.count(metricNames.limitedAway);
+    metrics.count(metricNames.rejectedByLimits);
     return failures.limited(limits.comeBackAfter(admission.service.name));
   },
 });
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -105,7 +105,7 @@
    */
   const scarcityOf = ({ limit }: ReplicaState): number => {
     if (limit === undefined) return 0;
-    const age = clock.monotonic() - limit.heardAt;
+    const age = clock.monotonic() - limit.receivedAt;
     return limitPenalty.cost * Math.max(0, 1 - age / limitPenalty.decayTime);
   };
 
--- a/src/coordination/forwarding/routerUpdates.ts
+++ b/src/coordination/forwarding/routerUpdates.ts
@@ -6,8 +6,8 @@
   ToldWeights,
 } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import type { LimitWord } from "../../state/forwarding/limitWord.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import type { ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
@@ -31,7 +31,7 @@
   /** Adds that a replica leaves. */
   readonly addLeaving: (replica: string) => void;
   /** Adds a rate limit that a replica has reported. */
-  readonly addLimit: (replica: string, limit: LimitWord) => void;
+  readonly addLimit: (replica: string, limit: ReportedLimit) => void;
   /**
    * Adds that a replica computes or caches a prompt part. It is announced at each use and not repeated: a cached copy
    * that is missed because a message was lost costs little.
@@ -48,7 +48,7 @@
   const weights = createUpdates<ToldWeights>(clock, updateRepetitionTime);
   const changing = createUpdates<number>(clock, updateRepetitionTime);
   const leaving = createUpdates<true>(clock, updateRepetitionTime);
-  const limited = createUpdates<LimitWord>(clock, updateRepetitionTime);
+  const limited = createUpdates<ReportedLimit>(clock, updateRepetitionTime);
   const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
 
   return {
@@ -76,7 +76,7 @@
         holders: announced,
         limited: limited.entries().map(([id, word]) => ({
           replica: replicaKeyOf(id),
-          word: tellWord(word, now),
+          word: toReportedLimitMessage(word, now),
         })),
       };
     },
@@ -111,7 +111,7 @@
   }
   for (const { replica: key, word } of message.limited) {
     const replica = replicas.getByKey(key);
-    if (replica !== undefined) noteToldLimit(replica, word, now);
+    if (replica !== undefined) noteAnnouncedLimit(replica, word, now);
   }
   for (const key of message.leaving) {
     const id = idOf(key);
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -7,7 +7,7 @@
 import { metricNames } from "../../state/constants.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { isOfAnother, totalRequests } from "../../state/forwarding/replicaState.ts";
+import { isDifferentIncarnation, totalRequests } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
 import type { Tenure } from "../leases/types.ts";
@@ -93,7 +93,8 @@
   /** Rejects the status of another incarnation, whose weights and number of accepted orders started anew. */
   const readStatus = async ({ entry }: ReplicaState): Promise<EngineStatus> => {
     const status = await withOrderTimeout((limit) => client.readStatus(entry, limit));
-    if (isOfAnother(entry, status)) throw upstreamError("the engine has restarted", "leaving", "sent");
+    if (isDifferentIncarnation(entry, status))
+      throw upstreamError("the engine has restarted", "leaving", "sent");
     return status;
   };
 
--- a/src/coordination/membership/constants.ts
+++ b/src/coordination/membership/constants.ts
@@ -1,5 +1,5 @@
 /** Timing and limits of the membership. Times are in milliseconds. */
-import type { PeerPatience } from "../../state/peerDirectory.ts";
+import type { PeerTimeouts } from "../../state/peerDirectory.ts";
 
 /** Intervals of the messages to peers. */
 export const heartbeats = {
@@ -17,7 +17,7 @@
 } as const;
 
 /** When a peer that sends no heartbeats becomes suspect, dead and forgotten. */
-export const peerTimeouts: PeerPatience = {
+export const peerTimeouts: PeerTimeouts = {
   missedIntervals: 2.5,
   suspectIntervals: 1.5,
   slack: 250,
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -152,7 +152,7 @@
 
   const self = (): Member => ({ name, dataCentre, incarnation });
   const identity = (): RouterFields => ({ name, dataCentre, incarnation, peerUrl: url });
-  const guard = createProcessPauseGuard(clock.monotonic(), directory.forgive);
+  const guard = createProcessPauseGuard(clock.monotonic(), directory.resetTimeouts);
   const members = createLiveMembers({ directory, self, isLeaving: () => leaving });
 
   const sender = createHeartbeatSender({
@@ -189,7 +189,7 @@
     const now = clock.monotonic();
     guard.detectPause(now);
     guard.noteTick(now, sender.interval());
-    directory.judge(now);
+    directory.updateStates(now);
     suspicions.askAll();
     links.reconcile();
     sender.sendToLocalPeers();
@@ -212,9 +212,10 @@
     guard.detectPause(now);
     if (!guard.isTrusted(from)) return false;
     const { nextWithin, leaving: isSenderLeaving, sightings } = message;
-    if (!directory.hear(from.name, message.incarnation, nextWithin, isSenderLeaving, now)) return false;
+    if (!directory.noteMessage(from.name, message.incarnation, nextWithin, isSenderLeaving, now))
+      return false;
     for (const { name: sightedName, incarnation: sightedIncarnation, age } of sightings) {
-      directory.sight(sightedName, sightedIncarnation, now - age, now);
+      directory.noteSighting(sightedName, sightedIncarnation, now - age, now);
     }
     if (message.suspicions.length > 0) suspicions.answer(from.name, message.suspicions);
     for (const extension of extensions) extension.receive(from, message);
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -10,7 +10,7 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ToldWord } from "../../protocol/forwarding/toldWord.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { workWithout } from "../../state/forwarding/replicaState.ts";
@@ -52,7 +52,9 @@
  * @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself.
  */
 const recentLimitOf = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
-  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.receivedAt > announcedLimitMaxAge
+    ? undefined
+    : toReportedLimitMessage(limit, now);
 
 /** The work of a source without any at a replica. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -80,7 +82,7 @@
     // The reporting router may be cut off itself: the owner tries a connection before it marks the replica unreachable.
     if (report.isUnreachable) state.isSuspected = true;
     if (report.isBackingOff) avoidReplica(state, clock.monotonic());
-    if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
+    if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, clock.monotonic());
   };
 
   const expireReports = (): void => {
--- a/src/coordination/republication.ts
+++ b/src/coordination/republication.ts
@@ -54,7 +54,7 @@
     clock.monotonic() - republishedAt < retention * (republicationAgeShare / 2);
 
   const republish = async (): Promise<void> => {
-    const record = configuration.restatement();
+    const record = configuration.republication();
     if (record === undefined || wasRepublishedRecently() || !isDue()) return;
     if (lease.tenure()?.isValid() !== true) return;
     // A lost answer is harmless: a later check shows whether the record was appended.
