--- a/src/coordination/forwarding/answerCheck.ts
+++ b/src/coordination/forwarding/answerCheck.ts
@@ -9,7 +9,7 @@
 } from "../../protocol/forwarding/types.ts";
 import { createLogger } from "../../state/log.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
-import { isOfAnother } from "../../state/forwarding/replicaState.ts";
+import { isDifferentIncarnation } from "../../state/forwarding/replicaState.ts";
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { Clock } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
@@ -40,7 +40,7 @@
     const status: EngineStatus = await withTimeLimit(clock, undefined, doubtTimeout, (limit) =>
       client.readStatus(entry, limit),
     );
-    if (isOfAnother(entry, status)) return;
+    if (isDifferentIncarnation(entry, status)) return;
     for (const [model, version] of status.weights) replicas.noteWeights(replica, model, version);
   };
 
--- a/src/coordination/forwarding/limitedTurns.ts
+++ b/src/coordination/forwarding/limitedTurns.ts
@@ -45,7 +45,7 @@
   },
   // What has no room now is told so at once: a turn that isn't booked may never come.
   refuse: ({ admission }) => {
-    metrics.count(metricNames.limitedAway);
+    metrics.count(metricNames.rejectedByLimits);
     return failures.limited(limits.comeBackAfter(admission.service.name));
   },
 });
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -101,7 +101,7 @@
   /** The few requests that a limit allows go where they gain most, as long as the limit was heard of just now. */
   const scarcityOf = ({ limit }: ReplicaState): number => {
     if (limit === undefined) return 0;
-    const age = clock.monotonic() - limit.heardAt;
+    const age = clock.monotonic() - limit.receivedAt;
     return limitPenalty.cost * Math.max(0, 1 - age / limitPenalty.decayTime);
   };
 
--- a/src/coordination/forwarding/routerNews.ts
+++ b/src/coordination/forwarding/routerNews.ts
@@ -6,8 +6,8 @@
   ToldWeights,
 } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import type { LimitWord } from "../../state/forwarding/limitWord.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import type { ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
@@ -30,7 +30,7 @@
   readonly addChanging: (replica: string, until: number) => void;
   readonly addLeaving: (replica: string) => void;
   /** A replica names a limit. */
-  readonly addLimit: (replica: string, word: LimitWord) => void;
+  readonly addLimit: (replica: string, word: ReportedLimit) => void;
   /**
    * A replica computes or keeps a prompt part. Told at each use and not repeated: a copy that is not found for want
    * of it costs little.
@@ -47,7 +47,7 @@
   const weights = createNews<ToldWeights>(clock, newsRepetition);
   const changing = createNews<number>(clock, newsRepetition);
   const leaving = createNews<true>(clock, newsRepetition);
-  const limited = createNews<LimitWord>(clock, newsRepetition);
+  const limited = createNews<ReportedLimit>(clock, newsRepetition);
   const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
 
   return {
@@ -75,7 +75,7 @@
         holders: told,
         limited: limited.entries().map(([id, word]) => ({
           replica: replicaKeyOf(id),
-          word: tellWord(word, now),
+          word: toReportedLimitMessage(word, now),
         })),
       };
     },
@@ -111,7 +111,7 @@
   }
   for (const { replica: key, word } of message.limited) {
     const replica = replicas.getByKey(key);
-    if (replica !== undefined) noteToldLimit(replica, word, now);
+    if (replica !== undefined) noteAnnouncedLimit(replica, word, now);
   }
   for (const key of message.leaving) {
     const id = idOf(key);
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -148,7 +148,7 @@
 
   const self = (): Member => ({ name, dataCentre, incarnation });
   const identity = (): RouterFields => ({ name, dataCentre, incarnation, peerUrl: url });
-  const guard = createStallGuard(clock.monotonic(), directory.forgive);
+  const guard = createStallGuard(clock.monotonic(), directory.resetTimeouts);
   const members = createLiveMembers({ directory, self, isLeaving: () => leaving });
 
   const sender = createHeartbeatSender({
@@ -185,7 +185,7 @@
     const now = clock.monotonic();
     guard.check(now);
     guard.noteTick(now, sender.interval());
-    directory.judge(now);
+    directory.updateStates(now);
     suspicions.askAll();
     links.reconcile();
     sender.sendNear();
@@ -208,9 +208,9 @@
     guard.check(now);
     if (!guard.isTrusted(from)) return false;
     const { nextWithin, leaving: fromLeaves, sightings } = message;
-    if (!directory.hear(from.name, message.incarnation, nextWithin, fromLeaves, now)) return false;
+    if (!directory.noteMessage(from.name, message.incarnation, nextWithin, fromLeaves, now)) return false;
     for (const { name: seen, incarnation: seenIncarnation, age } of sightings) {
-      directory.sight(seen, seenIncarnation, now - age, now);
+      directory.noteSighting(seen, seenIncarnation, now - age, now);
     }
     if (message.suspicions.length > 0) suspicions.answer(from.name, message.suspicions);
     for (const feature of features) feature.receive(from, message);
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -10,7 +10,7 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ToldWord } from "../../protocol/forwarding/toldWord.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { workWithout } from "../../state/forwarding/replicaState.ts";
@@ -52,7 +52,9 @@
 
 /** Whoever asks hears the limit from the replica itself if nobody has for long. */
 const tellRecentLimit = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
-  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.receivedAt > announcedLimitMaxAge
+    ? undefined
+    : toReportedLimitMessage(limit, now);
 
 /** A teller that has none at a replica any more. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -80,7 +82,7 @@
     // Whoever can't reach it may be cut off itself: the owner looks before it believes.
     if (report.isUnreachable) state.isSuspected = true;
     if (report.isBackingOff) avoidReplica(state, clock.monotonic());
-    if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
+    if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, clock.monotonic());
   };
 
   const forgetOld = (): void => {
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -11,7 +11,7 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { createResourceStack } from "../../protocol/resourceStack.ts";
 import type { CacheStore, RouterEntry } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
@@ -90,7 +90,7 @@
       // The owner looks after replicas that can't be reached; it has looked since this router found one so.
       if (report.ejectedFor === 0 && now >= state.ejectedUntil) state.isUnreachable = false;
       state.ejectedUntil = Math.max(state.ejectedUntil, now + report.ejectedFor);
-      if (report.limit !== undefined) noteToldLimit(state, report.limit, now);
+      if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, now);
       return [state];
     });
   };
--- a/src/coordination/restatement.ts
+++ b/src/coordination/restatement.ts
@@ -51,7 +51,7 @@
   const isRecent = (): boolean => clock.monotonic() - restatedAt < retention * (restatedShare / 2);
 
   const restate = async (): Promise<void> => {
-    const record = configuration.restatement();
+    const record = configuration.republication();
     if (record === undefined || isRecent() || !isDue()) return;
     if (lease.tenure()?.isValid() !== true) return;
     // A lost answer does no harm: the next look shows whether the record is there.
