--- a/src/state/configurationHistory.property.test.ts
+++ b/src/state/configurationHistory.property.test.ts
@@ -63,19 +63,19 @@
   return inForce === undefined ? "none" : `${inForce.version} ${inForce.digest}`;
 };
 
-/** Publishers and readers around one log, and the state that the log has at each offset. */
+/** Readers that publish to one log, and the expected state after each of its offsets. */
 const createWorld = () => {
   const log = createFakeLog();
-  const truth = createConfigurationHistory();
-  const truthAt = [identityOf(truth)];
+  const reference = createConfigurationHistory();
+  const referenceAt = [identityOf(reference)];
   const readers = Array.from({ length: readerCount }, createConfigurationHistory);
   const versions = readers.map(() => -1);
   const lateRecords: string[] = [];
   const latePages: { from: number; page: LogPage }[] = [];
 
   const append = (data: string): void => {
-    truth.apply(log.append(data));
-    truthAt.push(identityOf(truth));
+    reference.apply(log.append(data));
+    referenceAt.push(identityOf(reference));
   };
 
   const write = (data: string, late: boolean): void => {
@@ -101,7 +101,7 @@
     else history.applyPage(from, page);
   };
 
-  const restate = (history: ConfigurationHistory, late: boolean): void => {
+  const republish = (history: ConfigurationHistory, late: boolean): void => {
     const record = history.republication();
     if (record !== undefined) write(encodeConfigurationRecord(record), late);
   };
@@ -115,7 +115,7 @@
         return;
       }
       case "restate": {
-        restate(historyOf(action.reader), action.late);
+        republish(historyOf(action.reader), action.late);
         return;
       }
       case "replace": {
@@ -159,20 +159,20 @@
     expect(version).toBeGreaterThanOrEqual(versions[index] ?? -1);
     versions[index] = version;
     if (history.isCertain())
-      expect(identityOf(history)).toEqual(truthAt[history.readTo()] ?? "beyond the end");
-    else expect(truthAt).toInclude(identityOf(history));
+      expect(identityOf(history)).toEqual(referenceAt[history.readTo()] ?? "beyond the end");
+    else expect(referenceAt).toInclude(identityOf(history));
   };
 
   const settle = (): void => {
-    restate(truth, false);
+    republish(reference, false);
     readers.forEach((history) => readAll(history, log));
   };
 
-  return { run, settle, check: () => readers.forEach(checkReader), readers, truth };
+  return { run, settle, check: () => readers.forEach(checkReader), readers, reference };
 };
 
-describe("createConfigurationHistory, whatever happens", () => {
-  it("comes to one result at all readers and never steps back", () => {
+describe("createConfigurationHistory under random events", () => {
+  it("reaches the same result at all readers and never returns to an earlier version", () => {
     const property = fc.property(fc.array(step, { maxLength: 60, size: "max" }), (steps) => {
       const world = createWorld();
       for (const action of steps) {
@@ -182,7 +182,7 @@
       world.settle();
       world.check();
       const results = world.readers.map(identityOf);
-      expect(results).toEqual(results.map(() => identityOf(world.truth)));
+      expect(results).toEqual(results.map(() => identityOf(world.reference)));
     });
     fc.assert(property, { numRuns: 300, seed: 20_261_202 });
   });
--- a/src/state/configurationHistory.test.ts
+++ b/src/state/configurationHistory.test.ts
@@ -45,12 +45,12 @@
     expect(history.current()?.publishedBy).toEqual("layla");
   });
 
-  it("carries only the sections that changed", () => {
+  it("lists only the changed sections of a publication", () => {
     const { history } = createFilledLog();
     expect(history.history().map(({ put }) => put.length)).toEqual([7, 1, 1]);
   });
 
-  it("names the version that beat a publication", () => {
+  it("voids a publication with a stale base and names the version that came first", () => {
     const { log, history } = createFilledLog();
     const winner = publishTo(log, history, configurationOf(4), "layla");
     const loser = publishTo(log, history, configurationOf(5), "rosalia");
@@ -64,11 +64,11 @@
     expect(standingOf(history)).toEqual(4);
   });
 
-  it("voids a publication that leads to an invalid configuration, and then takes the next", () => {
+  it("voids a publication that leads to an invalid configuration and applies the next one", () => {
     const { log, history } = createFilledLog();
     const broken = { ...configurationOf(9), dataCentres: [] };
-    const fate = history.apply(publishTo(log, history, broken));
-    expect(fate).toEqual({
+    const outcome = history.apply(publishTo(log, history, broken));
+    expect(outcome).toEqual({
       kind: "void",
       offset: 3,
       reason: {
@@ -79,22 +79,22 @@
     expect(history.apply(publishTo(log, history, configurationOf(4))).kind).toEqual("applied");
   });
 
-  it("voids a publication whose result is not the published file", () => {
+  it("voids a publication whose result has another digest", () => {
     const { log, history } = createFilledLog();
     const publication = createPublication(configurationOf(4), history.current(), publisher);
-    const crippled = { ...publication, put: [] };
-    const fate = history.apply(log.append(encodeConfigurationRecord(crippled)));
-    expect(fate.kind === "void" ? fate.reason.kind : fate.kind).toEqual("digest_mismatch");
+    const incomplete = { ...publication, put: [] };
+    const outcome = history.apply(log.append(encodeConfigurationRecord(incomplete)));
+    expect(outcome.kind === "void" ? outcome.reason.kind : outcome.kind).toEqual("digest_mismatch");
   });
 
-  it("voids a publication based on a version that never was", () => {
+  it("voids a publication based on an unknown version", () => {
     const { log, history } = createFilledLog();
     const publication = createPublication(configurationOf(4), history.current(), publisher);
-    const fate = history.apply(log.append(encodeConfigurationRecord({ ...publication, base: 77 })));
-    expect(fate).toEqual({ kind: "void", offset: 3, reason: { kind: "unknown_base", base: 77 } });
+    const outcome = history.apply(log.append(encodeConfigurationRecord({ ...publication, base: 77 })));
+    expect(outcome).toEqual({ kind: "void", offset: 3, reason: { kind: "unknown_base", base: 77 } });
   });
 
-  it("voids what is no record", () => {
+  it("voids a record that cannot be decoded", () => {
     const { log, history } = createFilledLog();
     expect(history.apply(log.append("{"))).toEqual({
       kind: "void",
@@ -103,11 +103,11 @@
     });
   });
 
-  it("keeps the version of a restated configuration, and voids an older restatement", () => {
+  it("keeps the version of a republished configuration and voids an older republication", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.republication();
-    if (restatement === undefined) throw new TypeError("no restatement");
-    const data = encodeConfigurationRecord(restatement);
+    const republication = history.republication();
+    if (republication === undefined) throw new TypeError("no republication");
+    const data = encodeConfigurationRecord(republication);
     expect(history.apply(log.append(data))).toEqual({ kind: "restated", offset: 3, version: 2 });
     expect(history.wholeRecord()).toEqual({ offset: 3, appendedAt: 3_000 });
     history.apply(publishTo(log, history, configurationOf(4)));
@@ -119,73 +119,73 @@
     expect(history.current()?.version).toEqual(4);
   });
 
-  it("is ignorant where records expired, until a restatement tells the state", () => {
+  it("stays uncertain after records expired unread, until a republication provides the state", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.republication();
+    const republication = history.republication();
     publishTo(log, history, configurationOf(4));
-    if (restatement === undefined) throw new TypeError("no restatement");
-    log.append(encodeConfigurationRecord(restatement));
+    if (republication === undefined) throw new TypeError("no republication");
+    log.append(encodeConfigurationRecord(republication));
     log.expire(3);
-    const late = createConfigurationHistory();
-    const fates = late.applyPage(0, log.read(0, 1));
-    expect(fates).toEqual([{ kind: "undecided", offset: 3 }]);
-    expect([late.isCertain(), late.current()]).toEqual([false, undefined]);
-    readAll(late, log);
-    expect(late.isCertain()).toEqual(true);
-    expect(late.current()?.version).toEqual(3);
-    expect(standingOf(late)).toEqual(4);
+    const newReader = createConfigurationHistory();
+    const outcomes = newReader.applyPage(0, log.read(0, 1));
+    expect(outcomes).toEqual([{ kind: "undecided", offset: 3 }]);
+    expect([newReader.isCertain(), newReader.current()]).toEqual([false, undefined]);
+    readAll(newReader, log);
+    expect(newReader.isCertain()).toEqual(true);
+    expect(newReader.current()?.version).toEqual(3);
+    expect(standingOf(newReader)).toEqual(4);
   });
 
-  it("does not start from a restatement whose writer had not read what expired", () => {
+  it("does not start from a republication whose writer had not read the expired records", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.republication();
+    const republication = history.republication();
     publishTo(log, history, configurationOf(4));
-    if (restatement === undefined) throw new TypeError("no restatement");
-    log.append(encodeConfigurationRecord(restatement));
+    if (republication === undefined) throw new TypeError("no republication");
+    log.append(encodeConfigurationRecord(republication));
     log.expire(4);
-    const late = createConfigurationHistory();
-    readAll(late, log);
-    expect([late.isCertain(), late.current()]).toEqual([false, undefined]);
+    const newReader = createConfigurationHistory();
+    readAll(newReader, log);
+    expect([newReader.isCertain(), newReader.current()]).toEqual([false, undefined]);
   });
 
-  it("lets a replacement start a log that no longer tells its state", () => {
+  it("starts from a replacement if the earlier records have expired", () => {
     const { log, history } = createFilledLog();
     log.expire(3);
-    const late = createConfigurationHistory();
+    const newReader = createConfigurationHistory();
     const replacement = createReplacement(configurationOf(6), publisher);
     const record = log.append(encodeConfigurationRecord(replacement));
-    readAll(late, log);
+    readAll(newReader, log);
     history.apply(record);
-    expect([late.isCertain(), late.current()?.version]).toEqual([true, 3]);
+    expect([newReader.isCertain(), newReader.current()?.version]).toEqual([true, 3]);
     expect(history.current()?.version).toEqual(3);
   });
 
-  it("does not start from a restatement that claims to know what follows it", () => {
+  it("does not start from a republication whose readTo is beyond its own offset", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.republication();
-    if (restatement === undefined) throw new TypeError("no restatement");
-    const data = encodeConfigurationRecord({ ...restatement, readTo: 99 });
+    const republication = history.republication();
+    if (republication === undefined) throw new TypeError("no republication");
+    const data = encodeConfigurationRecord({ ...republication, readTo: 99 });
     expect(history.apply(log.append(data)).kind).toEqual("void");
     log.expire(3);
-    const late = createConfigurationHistory();
-    readAll(late, log);
-    expect(late.isCertain()).toEqual(false);
+    const newReader = createConfigurationHistory();
+    readAll(newReader, log);
+    expect(newReader.isCertain()).toEqual(false);
   });
 
-  it("decides only what the writer of a restatement had not read", () => {
+  it("decides only the records that the writer of a republication had not read", () => {
     const { log, history } = createFilledLog();
     log.append("?");
     readAll(history, log);
-    const restatement = history.republication();
-    if (restatement === undefined) throw new TypeError("no restatement");
-    log.append(encodeConfigurationRecord(restatement));
+    const republication = history.republication();
+    if (republication === undefined) throw new TypeError("no republication");
+    log.append(encodeConfigurationRecord(republication));
     log.expire(3);
-    const late = createConfigurationHistory();
-    readAll(late, log);
-    expect(late.history().map(({ offset, fate }) => [offset, fate.kind])).toEqual([[4, "restated"]]);
+    const newReader = createConfigurationHistory();
+    readAll(newReader, log);
+    expect(newReader.history().map(({ offset, fate }) => [offset, fate.kind])).toEqual([[4, "restated"]]);
   });
 
-  it("stays ignorant with a peer's state from before what expired", () => {
+  it("stays uncertain with a peer's state that is older than the expired records", () => {
     const { log, history } = createFilledLog();
     const snapshot = history.snapshot();
     if (snapshot === undefined) throw new TypeError("no snapshot");
@@ -193,16 +193,16 @@
     publishTo(log, history, configurationOf(5));
     readAll(history, log);
     log.expire(4);
-    const late = createConfigurationHistory();
-    readAll(late, log);
-    expect(late.adopt(snapshot)).toEqual({ kind: "adopted", version: 2 });
-    expect([late.isCertain(), late.republication()]).toEqual([false, undefined]);
+    const newReader = createConfigurationHistory();
+    readAll(newReader, log);
+    expect(newReader.adopt(snapshot)).toEqual({ kind: "adopted", version: 2 });
+    expect([newReader.isCertain(), newReader.republication()]).toEqual([false, undefined]);
     const newer = history.snapshot();
-    expect(newer && late.adopt(newer)).toEqual({ kind: "adopted", version: 3 });
-    expect(late.isCertain()).toEqual(true);
+    expect(newer && newReader.adopt(newer)).toEqual({ kind: "adopted", version: 3 });
+    expect(newReader.isCertain()).toEqual(true);
   });
 
-  it("voids a section that is not named after its body", () => {
+  it("voids a publication with a section that is not named after its body", () => {
     const { log, history } = createFilledLog();
     const publication = createPublication(configurationOf(4, 1), history.current(), publisher);
     const put = publication.put.map(({ body }) => ({ section: "organisations/carrier-9", body }));
@@ -218,7 +218,7 @@
     });
   });
 
-  it("remembers a bounded number of records", () => {
+  it("keeps a bounded number of records", () => {
     const { log, history } = createFilledLog();
     for (let count = 0; count < 250; count += 1) log.append("?");
     readAll(history, log);
@@ -226,7 +226,7 @@
     expect(history.current()?.version).toEqual(2);
   });
 
-  it("sends no changes from before a snapshot that it took", () => {
+  it("provides no changes from before the snapshot that it adopted", () => {
     const { history } = createFilledLog();
     const snapshot = history.snapshot();
     const peer = createConfigurationHistory();
@@ -235,7 +235,7 @@
     expect(peer.changesSince(2)?.put).toEqual([]);
   });
 
-  it("sends a peer only what changed", () => {
+  it("provides only the changed sections to a peer", () => {
     const { log, history } = createFilledLog();
     const peer = createConfigurationHistory();
     peer.applyPage(0, log.read(0, 2));
@@ -249,7 +249,7 @@
     expect(createConfigurationHistory().adopt(changes)).toEqual({ kind: "other_base" });
   });
 
-  it("refuses a peer's state that is damaged or older", () => {
+  it("refuses a damaged state of a peer and does not adopt an older one", () => {
     const { history } = createFilledLog();
     const snapshot = history.snapshot();
     if (snapshot === undefined) throw new TypeError("no snapshot");
--- a/src/state/configurationOutcome.ts
+++ b/src/state/configurationOutcome.ts
@@ -1,38 +1,38 @@
-/** What became of a record of the configuration stream. */
+/** Results of applying a record of the log's configuration stream, or the state of a peer. */
 import type { FileProblem } from "../protocol/errors.ts";
 
-/** Why a record changed nothing, for all readers alike. */
+/** Why a record has no effect. Every reader comes to the same reason. */
 export type VoidReason =
-  /** Not a record of the configuration stream. */
+  /** The record cannot be decoded. */
   | { readonly kind: "unreadable" }
-  /** Another publication with the same base was first; `beatenBy` is its version. */
+  /** Another publication with the same base came first; `beatenBy` is its version. */
   | { readonly kind: "stale_base"; readonly base: number | null; readonly beatenBy: number }
-  /** Based on a version that is not in force, nor was before. */
+  /** Based on a version that is not in force and never was. */
   | { readonly kind: "unknown_base"; readonly base: number }
-  /** The result is no valid configuration. */
+  /** The resulting configuration is invalid. */
   | { readonly kind: "invalid"; readonly problems: readonly FileProblem[] }
-  /** The result is not what the publisher meant. */
+  /** The digest of the resulting configuration differs from the one that the publisher gave. */
   | { readonly kind: "digest_mismatch"; readonly expected: string; readonly found: string }
-  /** Restates a version that is no longer in force. */
+  /** Republishes a version that is no longer in force. */
   | { readonly kind: "older_restatement"; readonly version: number; readonly inForce: number | undefined };
 
-/** What became of a record, by its offset. */
+/** The outcome of a record; `offset` is the record's offset in the log. */
 export type ConfigurationOutcome =
-  /** In force as `version`, which is the record's offset. */
+  /** The configuration is in force as `version`, which is the record's offset. */
   | { readonly kind: "applied"; readonly offset: number; readonly version: number }
-  /** Restates what is in force, or gives it to a reader that could not know it. */
+  /** Republishes the version in force, or provides it to a reader that could not reconstruct it. */
   | { readonly kind: "restated"; readonly offset: number; readonly version: number }
   | { readonly kind: "void"; readonly offset: number; readonly reason: VoidReason }
-  /** Handed over before; nothing changed. */
+  /** The record was applied before; nothing changed. */
   | { readonly kind: "seen"; readonly offset: number }
-  /** Records before it expired unread, so its fate waits for a restatement or a peer's snapshot. */
+  /** Records before it expired unread: its outcome is open until a republication or a peer's snapshot arrives. */
   | { readonly kind: "undecided"; readonly offset: number };
 
-/** What became of a state that a peer sent. */
-export type Adoption =
+/** The outcome of adopting the state that a peer sent. */
+export type AdoptionOutcome =
   | { readonly kind: "adopted"; readonly version: number }
-  /** Nothing in it is newer. */
+  /** It is no newer than the local state. */
   | { readonly kind: "unchanged" }
-  /** The changes start from a version that is not in force here; ask for a snapshot. */
+  /** The changes are based on a version that is not in force here; a snapshot is needed. */
   | { readonly kind: "other_base" }
   | { readonly kind: "refused"; readonly reason: VoidReason };
--- a/src/state/configurationReplay.ts
+++ b/src/state/configurationReplay.ts
@@ -1,7 +1,7 @@
 /**
- * Decides the fate of one record of the configuration stream after another: the first valid publication by
- * offset whose base is the version in force is applied, the others are void. A version is the offset of its
- * publication, so it only rises.
+ * Decides the outcomes of the configuration stream's records in order. Of the publications based on the version in
+ * force, the first valid one by offset is applied; the others are void. A version is the offset of its publication, so
+ * versions only increase.
  */
 import { checkConfiguration } from "../protocol/configuration/check.ts";
 import { decodeConfigurationRecord } from "../protocol/configuration/record.ts";
@@ -26,10 +26,10 @@
 import { createSectionChanges } from "./sectionChanges.ts";
 import type { SectionChanges } from "./sectionChanges.ts";
 
-/** Records whose fate is remembered. */
+/** Records whose outcome is kept. */
 const maximumEntries = 200;
 
-/** Which version it is, and who published it. */
+/** A version, its digest and its publisher. */
 export interface VersionIdentity extends Publisher {
   /** Offset of the publication. */
   readonly version: number;
@@ -42,52 +42,52 @@
   readonly sections: SectionMap;
 }
 
-/** A record of the log from which a reader that knows nothing can start. */
+/** A log record that contains a complete configuration: a new reader can start from it. */
 export interface WholeRecord {
   readonly offset: number;
   /** Milliseconds since 1970 on the log service's clock. */
   readonly appendedAt: number;
 }
 
-/** A record and its fate. */
+/** A record and its outcome. */
 export interface HistoryEntry extends Publisher {
   readonly offset: number;
   /** Milliseconds since 1970 on the log service's clock. */
   readonly appendedAt: number;
   readonly kind: ConfigurationRecord["kind"] | "unreadable";
   readonly base: number | null;
-  /** Names of the sections that it puts. */
+  /** Names of the sections that it adds or replaces. */
   readonly put: readonly string[];
   readonly remove: readonly string[];
   readonly fate: ConfigurationOutcome;
 }
 
-/** The records decided so far. */
+/** The state after the records decided so far. */
 export interface ConfigurationReplay {
   current(): ConfigurationInForce | undefined;
   entries(): readonly HistoryEntry[];
   wholeRecord(): WholeRecord | undefined;
   readonly changes: SectionChanges;
-  /** What earlier versions named for a model, the last first. */
+  /** @returns A model's entries in earlier versions, the latest first. */
   formerModels(name: string): readonly ModelConfiguration[];
-  /** Decides a record, all of whose predecessors have been decided. */
+  /** Decides the outcome of a record and applies it. Every record before it must have been decided. */
   decide(record: LogRecord): ConfigurationOutcome;
   /**
-   * Puts a state that somebody else came to in force, unless it is no newer.
+   * Puts the state of a peer or of a republication in force, unless it is no newer.
    *
-   * @returns Why it was refused, if it was.
+   * @returns The reason if it is refused.
    */
-  takeOver(identity: VersionIdentity, sections: SectionMap, whole?: WholeRecord): VoidReason | undefined;
+  adoptState(identity: VersionIdentity, sections: SectionMap, whole?: WholeRecord): VoidReason | undefined;
 }
 
-type Built =
+type BuildResult =
   | { readonly valid: true; readonly configuration: Configuration }
   | { readonly valid: false; readonly reason: VoidReason };
 
 const emptySections: SectionMap = new Map();
 
-/** Checks that sections are what their publisher meant, and a valid configuration. */
-export const buildConfiguration = (sections: SectionMap, expected: string): Built => {
+/** Builds a configuration from its sections. Checks their digest, their names and the configuration's validity. */
+export const buildConfiguration = (sections: SectionMap, expected: string): BuildResult => {
   const found = digestSections(sections);
   if (found !== expected) return { valid: false, reason: { kind: "digest_mismatch", expected, found } };
   const misnamed = findMisnamedSections([...sections.values()]);
@@ -103,7 +103,7 @@
 const describeRecord = (
   { offset, appendedAt }: LogRecord,
   decoded: ConfigurationRecord | undefined,
-  fate: ConfigurationOutcome,
+  outcome: ConfigurationOutcome,
 ): HistoryEntry => ({
   offset,
   appendedAt,
@@ -113,29 +113,29 @@
   publishedAt: decoded?.publishedAt ?? 0,
   put: decoded?.put.map(({ section }) => section) ?? [],
   remove: decoded?.kind === "publication" ? decoded.remove : [],
-  fate,
+  fate: outcome,
 });
 
-const isWhole = (record: ConfigurationRecord, fate: ConfigurationOutcome): boolean =>
-  fate.kind !== "void" && (record.kind !== "publication" || record.base === null);
+const isCompleteConfiguration = (record: ConfigurationRecord, outcome: ConfigurationOutcome): boolean =>
+  outcome.kind !== "void" && (record.kind !== "publication" || record.base === null);
 
-/** Creates a replay that has decided nothing. */
+/** Creates a replay without any records. */
 export const createConfigurationReplay = (): ConfigurationReplay => {
   const changes = createSectionChanges();
   const formerModels = createFormerModels();
   const entries: HistoryEntry[] = [];
-  /** Which version followed a version. */
-  const successors = new Map<number | null, number>();
+  /** By version: the version that replaced it. */
+  const successorVersions = new Map<number | null, number>();
   let inForce: ConfigurationInForce | undefined;
   let wholeRecord: WholeRecord | undefined;
 
   const noteSuccessor = (version: number): void => {
-    successors.set(inForce?.version ?? null, version);
-    const [oldest] = successors.keys();
-    if (oldest !== undefined && successors.size > maximumEntries) successors.delete(oldest);
+    successorVersions.set(inForce?.version ?? null, version);
+    const [oldest] = successorVersions.keys();
+    if (oldest !== undefined && successorVersions.size > maximumEntries) successorVersions.delete(oldest);
   };
 
-  /** Puts a record's result in force as a new version. */
+  /** Puts the configuration that a record leads to in force as a new version. */
   const publish = (
     version: number,
     { digest, publishedBy, publishedAt }: Publisher & { readonly digest: string },
@@ -161,11 +161,11 @@
     if (inForce === undefined || (base !== null && base > inForce.version)) {
       return { kind: "void", offset, reason: { kind: "unknown_base", base: base ?? 0 } };
     }
-    const beatenBy = successors.get(base) ?? inForce.version;
+    const beatenBy = successorVersions.get(base) ?? inForce.version;
     return { kind: "void", offset, reason: { kind: "stale_base", base, beatenBy } };
   };
 
-  const decideRestatement = (
+  const decideRepublication = (
     offset: number,
     { version, digest, readTo }: Restatement,
   ): ConfigurationOutcome => {
@@ -178,7 +178,7 @@
 
   const decideRecord = (offset: number, record: ConfigurationRecord): ConfigurationOutcome => {
     if (record.kind === "publication") return decidePublication(offset, record);
-    if (record.kind === "restatement") return decideRestatement(offset, record);
+    if (record.kind === "restatement") return decideRepublication(offset, record);
     return publish(offset, record, emptySections, { put: record.put, remove: [] });
   };
 
@@ -195,14 +195,15 @@
     changes,
     formerModels: formerModels.of,
     decide: (record) => {
-      const [decoded, fate] = decode(record);
+      const [decoded, outcome] = decode(record);
       const { offset, appendedAt } = record;
-      if (decoded !== undefined && isWhole(decoded, fate)) wholeRecord = { offset, appendedAt };
-      entries.push(describeRecord(record, decoded, fate));
+      if (decoded !== undefined && isCompleteConfiguration(decoded, outcome))
+        wholeRecord = { offset, appendedAt };
+      entries.push(describeRecord(record, decoded, outcome));
       if (entries.length > maximumEntries) entries.shift();
-      return fate;
+      return outcome;
     },
-    takeOver: ({ version, digest, publishedBy, publishedAt }, sections, whole) => {
+    adoptState: ({ version, digest, publishedBy, publishedAt }, sections, whole) => {
       if (whole !== undefined && whole.offset > (wholeRecord?.offset ?? -1)) wholeRecord = whole;
       if (version === inForce?.version && digest === inForce.digest) return undefined;
       if (inForce !== undefined && version <= inForce.version) {
--- a/src/state/formerModels.ts
+++ b/src/state/formerModels.ts
@@ -1,30 +1,32 @@
-/** What earlier versions of the configuration named for each model: engines run it until they are brought over. */
+/**
+ * Keeps the entries that earlier versions of the configuration had for each model. Engines run the weights of those
+ * entries until they are switched to the current ones.
+ */
 import type { Configuration, ModelConfiguration } from "../protocol/configuration/schema.ts";
 
-/** Former weights remembered of each model. */
-const maximumFormer = 4;
+/** Earlier entries that are kept of each model. */
+const maximumFormerModels = 4;
 
-/** See {@link createFormerModels}. */
+/** Earlier entries of models, by the model's name. */
 export interface FormerModels {
-  /** Compares a version with the next one. */
+  /** Records the models whose weights or adapters changed from one version to the next, or that were removed. */
   readonly note: (before: Configuration | undefined, after: Configuration) => void;
-  /** @returns What was named for a model before, the last first. */
+  /** @returns A model's earlier entries, the latest first. */
   readonly of: (name: string) => readonly ModelConfiguration[];
 }
 
 const weightsOf = ({ weightsVersion, adapters }: ModelConfiguration): string =>
   JSON.stringify([weightsVersion, adapters]);
 
-/** Creates a memory that knows of no earlier version. */
 export const createFormerModels = (): FormerModels => {
-  const formers = new Map<string, readonly ModelConfiguration[]>();
+  const formerByName = new Map<string, readonly ModelConfiguration[]>();
 
   const noteModel = (before: ModelConfiguration, after: ModelConfiguration | undefined): void => {
     if (after !== undefined && weightsOf(before) === weightsOf(after)) return;
-    const others = (formers.get(before.name) ?? []).filter(
+    const remaining = (formerByName.get(before.name) ?? []).filter(
       (former) => weightsOf(former) !== weightsOf(before),
     );
-    formers.set(before.name, [before, ...others].slice(0, maximumFormer));
+    formerByName.set(before.name, [before, ...remaining].slice(0, maximumFormerModels));
   };
 
   return {
@@ -32,6 +34,6 @@
       const models = new Map(after.models.map((model) => [model.name, model]));
       for (const model of before?.models ?? []) noteModel(model, models.get(model.name));
     },
-    of: (name) => formers.get(name) ?? [],
+    of: (name) => formerByName.get(name) ?? [],
   };
 };
--- a/src/state/peerConfiguration.ts
+++ b/src/state/peerConfiguration.ts
@@ -1,4 +1,4 @@
-/** The state of a configuration as it travels between peers. */
+/** Encoding of the configuration state that routers exchange. */
 import { z } from "zod";
 import type { ConfigurationChanges, ConfigurationSnapshot } from "./configurationHistory.ts";
 
@@ -25,10 +25,10 @@
   }),
 ]);
 
-/** What one peer tells another of its configuration. */
+/** The configuration state that one peer sends to another. */
 export type ConfigurationState = ConfigurationSnapshot | ConfigurationChanges;
 
-/** Writes a state; empty where there is none. */
+/** @returns The state as JSON; an empty text for `undefined`. */
 export const encodeConfigurationState = (state: ConfigurationState | undefined): string =>
   state === undefined ? "" : JSON.stringify(state);
 
@@ -40,7 +40,7 @@
   }
 };
 
-/** @returns Nothing if the text is empty or no such state; whether it is valid is for the history to say. */
+/** @returns `undefined` if the text is empty or malformed. The digest and the configuration are not checked. */
 export const decodeConfigurationState = (json: string): ConfigurationState | undefined => {
   if (json === "") return undefined;
   const result = stateSchema.safeParse(parseJson(json));
--- a/src/state/sectionChanges.ts
+++ b/src/state/sectionChanges.ts
@@ -1,20 +1,19 @@
-/** Remembers which sections changed at which version, so that a peer can be sent just these. */
+/** Tracks at which version each section changed, so that a peer can be sent only the sections that it lacks. */
 import type { SectionDifference, SectionMap } from "../protocol/configuration/sections.ts";
 
-/** Removed sections that are remembered. */
+/** Removed sections that are tracked. */
 const maximumRemoved = 1_000;
 
-/** The sections' changes by version. */
+/** The changes of sections, by version. */
 export interface SectionChanges {
-  /** Notes a difference that led to a version. */
+  /** Records the difference that led to a version. */
   note(version: number, difference: SectionDifference): void;
-  /** Forgets everything; changes are known from this version on. */
+  /** Discards all changes; they are known from this version on. */
   restart(version: number): void;
-  /** Tells what changed after a version; nothing if that is no longer known. */
+  /** @returns The changes after version `base`; `undefined` if they are no longer known. */
   since(base: number, sections: SectionMap): SectionDifference | undefined;
 }
 
-/** Creates an empty memory of changes. */
 export const createSectionChanges = (): SectionChanges => {
   const changedAt = new Map<string, number>();
   const removedAt = new Map<string, number>();
