--- a/src/state/forwarding/peerWork.ts
+++ b/src/state/forwarding/peerWork.ts
@@ -1,4 +1,4 @@
-/** The work of other routers at replicas, as far as they reported it, kept with its sums. */
+/** Tracks the work that other routers report to have at replicas, and its totals by replica. */
 import type { ReplicaKey } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaState, ReplicaWork } from "./replicaState.ts";
 import { priorities } from "./replicaState.ts";
@@ -10,31 +10,30 @@
   });
 };
 
-/** See {@link createPeerWork}. */
+/** The work of other routers at replicas. Work at a replica that is not known is ignored. */
 export interface PeerWork {
-  /** Replaces all that a peer reported before. */
+  /** Replaces all work that a peer reported before. */
   readonly note: (peer: string, work: ReadonlyMap<ReplicaKey, ReplicaWork>) => void;
-  /** Replaces what a teller reported of one replica. */
-  readonly noteAt: (teller: string, key: ReplicaKey, work: ReplicaWork) => void;
-  /** Replaces what anybody reported of one replica. */
-  readonly replaceAt: (teller: string, key: ReplicaKey, work: ReplicaWork) => void;
+  /** Replaces the work that one router reported at one replica. */
+  readonly noteAt: (reporter: string, key: ReplicaKey, work: ReplicaWork) => void;
+  /** Replaces the work that any router reported at one replica. */
+  readonly replaceAt: (reporter: string, key: ReplicaKey, work: ReplicaWork) => void;
 }
 
-/** Creates an account without work. */
 export const createPeerWork = (stateOf: (key: ReplicaKey) => ReplicaState | undefined): PeerWork => {
-  /** By peer: the replicas where its last message told of work. */
-  const busyFor = new Map<string, readonly ReplicaState[]>();
+  /** By peer: the replicas at which its last message reported work. */
+  const busyReplicas = new Map<string, readonly ReplicaState[]>();
 
-  const dropWorkAt = (state: ReplicaState, teller: string): void => {
-    const work = state.peers.get(teller);
+  const dropWorkAt = (state: ReplicaState, reporter: string): void => {
+    const work = state.peers.get(reporter);
     if (work === undefined) return;
-    state.peers.delete(teller);
+    state.peers.delete(reporter);
     addToTotals(state, work, -1);
   };
 
   const dropWork = (peer: string): void => {
-    for (const state of busyFor.get(peer) ?? []) dropWorkAt(state, peer);
-    busyFor.delete(peer);
+    for (const state of busyReplicas.get(peer) ?? []) dropWorkAt(state, peer);
+    busyReplicas.delete(peer);
   };
 
   const note = (peer: string, work: ReadonlyMap<ReplicaKey, ReplicaWork>): void => {
@@ -47,24 +46,24 @@
       addToTotals(state, atReplica, 1);
       busy.push(state);
     }
-    if (busy.length > 0) busyFor.set(peer, busy);
+    if (busy.length > 0) busyReplicas.set(peer, busy);
   };
 
-  const noteAt = (teller: string, key: ReplicaKey, work: ReplicaWork): void => {
+  const noteAt = (reporter: string, key: ReplicaKey, work: ReplicaWork): void => {
     const state = stateOf(key);
     if (state === undefined) return;
-    dropWorkAt(state, teller);
+    dropWorkAt(state, reporter);
     if (work.requests === 0) return;
-    state.peers.set(teller, work);
+    state.peers.set(reporter, work);
     addToTotals(state, work, 1);
   };
 
-  const replaceAt = (teller: string, key: ReplicaKey, work: ReplicaWork): void => {
+  const replaceAt = (reporter: string, key: ReplicaKey, work: ReplicaWork): void => {
     const state = stateOf(key);
-    for (const each of [...(state?.peers.keys() ?? [])]) {
-      if (state !== undefined) dropWorkAt(state, each);
+    for (const other of [...(state?.peers.keys() ?? [])]) {
+      if (state !== undefined) dropWorkAt(state, other);
     }
-    noteAt(teller, key, work);
+    noteAt(reporter, key, work);
   };
 
   return { note, noteAt, replaceAt };
--- a/src/state/forwarding/replicaState.ts
+++ b/src/state/forwarding/replicaState.ts
@@ -1,123 +1,127 @@
-/** What this router knows of one replica, and the work that all routers have there. */
+/** The state that this router keeps of one replica, including the work that all routers have there. */
 import { hash32 } from "../../protocol/prefixLevels.ts";
 import type { EngineStatus, ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { ReportedLimit } from "./reportedLimit.ts";
 
-/** Priorities that engines tell apart: 0 is the most urgent. */
+/** Number of priorities that engines distinguish; 0 is the most urgent. */
 export const priorities = 10;
 
 /** Work at a replica. */
 export interface ReplicaWork {
-  /** Requests sent and not ended. */
+  /** Requests in progress. */
   readonly requests: number;
-  /** By priority: prompt tokens of those that have not given a first token yet. */
+  /** By priority: prompt tokens of the requests that have not returned a first token yet. */
   readonly promptTokens: readonly number[];
 }
 
-/** How a replica has made this router send less. Times are milliseconds on the monotonic clock. */
+/** The backoff that a replica asked this router for. Times are milliseconds on the monotonic clock. */
 export interface ReplicaBackoff {
-  /** When the newest period that the replica asked for began. */
+  /** When the latest backoff period began. */
   startedAt: number;
-  /** Nothing is sent before then: the replica asked for it. */
+  /** End of the period: the replica asked that nothing be sent before. */
   until: number;
-  /** After that, no further request is sent before then. */
+  /** After the period: the earliest time of the next request. */
   nextAt: number;
-  /** Between two requests as the replica is tried again; shorter with each answer. */
+  /** Minimum time between two requests after the period; it shrinks with each response. */
   interval: number;
-  /** An answer has shown since that the period is over. */
+  /** True once a response after the period has shown that the replica accepts requests again. */
   hasReopened: boolean;
-  /** When the last request was sent after a period had ended. */
+  /** When the last request after a period was sent. */
   sentAt: number;
-  /** Other replicas are preferred before then: it turned requests away without saying for how long. */
+  /** Other replicas are preferred before then: it refused requests without giving a time to retry after. */
   avoidedUntil: number;
-  /** Such refusals in a row. */
+  /** Consecutive refusals without such a time. */
   refusals: number;
 }
 
-/** What is believed of one replica. */
+/** The state of one replica. */
 export interface ReplicaState {
   entry: ReplicaEntry;
-  /** 32 bits of its name's hash: the same in every process, and for every incarnation. */
+  /** 32-bit hash of its name: the same in every process and for every incarnation. */
   readonly hash: number;
-  /** The newest weights version heard of, by model: from registrations, answers, orders and peers. */
+  /** By model: the newest weights version seen in registrations, responses, orders and messages of peers. */
   readonly weights: Map<string, number>;
-  /** Requests of this router. */
+  /** This router's requests in progress. */
   requests: number;
-  /** By priority: prompt tokens of this router's requests that have not given a first token yet. */
+  /** By priority: prompt tokens of this router's requests that have not returned a first token yet. */
   readonly promptTokens: number[];
-  /** Prompt tokens of this router that were computed there by now. */
+  /** Prompt tokens of this router's requests that the replica has computed so far. */
   computedTokens: number;
-  /** Prompt tokens of other routers that were computed there, as far as they reported them to this one. */
+  /** Prompt tokens of other routers' requests that the replica has computed, as far as they reported them. */
   reportedTokens: number;
-  /** By teller: the work that was last told of; changed by the table's functions only. */
+  /** By reporting router: the work that it reported last. Only the functions of the table change it. */
   readonly peers: Map<string, ReplicaWork>;
-  /** The sums over `peers`: choosing by them costs the same however many routers there are. */
+  /** The sums over `peers`, so that the cost of a placement decision does not depend on the number of routers. */
   readonly peerTotals: { requests: number; readonly promptTokens: number[] };
-  /** Gets no new work before then, milliseconds on the monotonic clock: its weights are being changed. */
+  /** Gets no new work before then, since its weights are being changed; milliseconds on the monotonic clock. */
   changingUntil: number;
-  /** Gets no new work before then: it failed. */
+  /** Gets no new work before then, since it failed; milliseconds on the monotonic clock. */
   ejectedUntil: number;
-  /** The limit that its answers named last, heard here or told by other routers; nothing if it names none. */
+  /** The limit that its responses reported last, to this or another router; `undefined` if they report none. */
   limit: ReportedLimit | undefined;
-  /** What was heard of its limit before is of no use any more, milliseconds on the monotonic clock. */
+  /** Limits that were reported up to this time are no longer valid, milliseconds on the monotonic clock. */
   limitEndedAt: number;
-  /** Gets no request of this router before then unless there is no other: its limit leaves none. */
+  /** Its limit is used up until then: this router sends it requests only if there is no other replica. */
   limitedUntil: number;
-  /** Set from the first refusal until requests are accepted at the usual pace. */
+  /** Set from the first refusal until requests are sent at the normal rate again. */
   backoff: ReplicaBackoff | undefined;
-  /** No connection can be made to it. */
+  /** This router cannot connect to it. */
   isUnreachable: boolean;
-  /** Another router can't reach it: to be tried with a connection of this router's own. */
+  /** Another router cannot reach it; this router must check with a connection of its own. */
   isSuspected: boolean;
-  /** Since when it has sent nothing although it owes an answer, milliseconds on the monotonic clock. */
+  /** Since when it has sent nothing although responses are pending, milliseconds on the monotonic clock. */
   quietSince: number;
-  /** Called once the replica can't be reached: requests under way there that may run again elsewhere. */
+  /**
+   * Callbacks of requests in progress there that may be retried elsewhere. Called when the replica is unreachable or
+   * has restarted.
+   */
   readonly abandon: Set<() => void>;
-  /** Failures in a row. */
+  /** Consecutive failures. */
   failures: number;
   /** Share of recent requests that failed there, 0 to 1. */
   failureShare: number;
 }
 
-/** @returns The requests that all routers have at a replica. */
+/** @returns The number of requests that all routers have in progress at a replica. */
 export const totalRequests = ({ requests, peerTotals }: ReplicaState): number =>
   requests + peerTotals.requests;
 
-const sumTo = (tokens: readonly number[], priority: number): number => {
+const sumThrough = (tokens: readonly number[], priority: number): number => {
   let sum = 0;
   for (let index = 0; index <= priority; index += 1) sum += tokens[index] ?? 0;
   return sum;
 };
 
-/** @returns The prompt tokens of all routers that a replica computes before those of a priority. */
+/** @returns The prompt tokens, of all routers, that a replica computes before a new request of a priority. */
 export const tokensAhead = ({ promptTokens, peerTotals }: ReplicaState, priority: number): number =>
-  sumTo(promptTokens, priority) + sumTo(peerTotals.promptTokens, priority);
+  sumThrough(promptTokens, priority) + sumThrough(peerTotals.promptTokens, priority);
 
-/** @returns Whole tokens, without the priorities at the end that have none. */
+/** @returns The tokens by priority, rounded, without trailing priorities that have none. */
 export const wholeTokens = (tokens: readonly number[]): number[] =>
   tokens.slice(0, tokens.findLastIndex((count) => count > 0) + 1).map(Math.round);
 
-/** @returns The work of all routers at a replica but for what one teller told. */
+/** @returns The work of all routers at a replica, except what one router reported. */
 export const workWithout = (
   { requests, promptTokens, peers, peerTotals }: ReplicaState,
-  teller: string,
+  reporter: string,
 ): ReplicaWork => {
-  const left = peers.get(teller);
+  const reported = peers.get(reporter);
   return {
-    requests: Math.max(0, requests + peerTotals.requests - (left?.requests ?? 0)),
+    requests: Math.max(0, requests + peerTotals.requests - (reported?.requests ?? 0)),
     promptTokens: promptTokens.map(
-      (own, priority) => own + (peerTotals.promptTokens[priority] ?? 0) - (left?.promptTokens[priority] ?? 0),
+      (own, priority) =>
+        own + (peerTotals.promptTokens[priority] ?? 0) - (reported?.promptTokens[priority] ?? 0),
     ),
   };
 };
 
-/** @returns Whether what an engine says of itself is another incarnation's than the one that registered so. */
+/** @returns Whether the status of an engine comes from another incarnation than its registration. */
 export const isDifferentIncarnation = (
   { bornAt }: ReplicaEntry,
   status: Pick<EngineStatus, "bornAt">,
 ): boolean => bornAt !== undefined && status.bornAt !== undefined && bornAt !== status.bornAt;
 
-/** @returns The state of a replica that was just registered. */
+/** @returns The initial state of a registered replica. */
 export const createReplicaState = (entry: ReplicaEntry): ReplicaState => ({
   entry,
   hash: hash32(entry.registeredAs),
--- a/src/state/forwarding/replicaTable.test.ts
+++ b/src/state/forwarding/replicaTable.test.ts
@@ -12,15 +12,15 @@
 const incarnation = (bornAt: number, fields: Partial<ReplicaEntry> = {}): ReplicaEntry =>
   engineEntry(`engine/${bornAt}`, { registeredAs: "engine", bornAt, ...fields });
 
-describe("a replica that starts again under its name", () => {
-  it("has nothing of the incarnation before", () => {
+describe("a replica that restarts under the same name", () => {
+  it("starts without the state of its previous incarnation", () => {
     const table = createReplicaTable();
     const departures: (Departure | undefined)[] = [];
     let isAbandoned = false;
     table.put(incarnation(100));
     table.subscribe((_, departure) => departures.push(departure));
     const before = table.get("engine/100");
-    if (before === undefined) throw new Error("It is not known.");
+    if (before === undefined) throw new Error("replica not found");
     before.requests = 3;
     before.failures = 2;
     before.ejectedUntil = 1_000;
@@ -38,11 +38,11 @@
     expect(isAbandoned).toEqual(true);
     expect(departures).toEqual(["restarted", undefined]);
     expect(table.all().length).toEqual(1);
-    // Homes and owners stay where they are.
+    // Homes and owners are chosen by the hash, so they must not change with the incarnation.
     expect(after?.hash).toEqual(before.hash);
   });
 
-  it("is not told from peers' word of the incarnation before", () => {
+  it("is not affected by late reports of peers about its previous incarnation", () => {
     const table = createReplicaTable();
     table.put(incarnation(100));
     table.put(incarnation(200));
@@ -52,7 +52,7 @@
     expect(table.get("engine/200")?.weights.get("m")).toEqual(1);
   });
 
-  it("takes new work though the one before was leaving", () => {
+  it("gets new work although its previous incarnation was draining", () => {
     const table = createReplicaTable();
     table.put(incarnation(100, { isDraining: true }));
     expect(table.serving("engines").length).toEqual(0);
@@ -60,14 +60,14 @@
     expect(table.serving("engines").length).toEqual(1);
   });
 
-  it("is told from an engine's own word", () => {
+  it("is recognised by the start time in the engine's status", () => {
     expect(isDifferentIncarnation(incarnation(100), { bornAt: 200 })).toEqual(true);
     expect(isDifferentIncarnation(incarnation(100), { bornAt: 100 })).toEqual(false);
     expect(isDifferentIncarnation(incarnation(100), { bornAt: undefined })).toEqual(false);
     expect(isDifferentIncarnation(engineEntry("engine"), { bornAt: 100 })).toEqual(false);
   });
 
-  it("is the newest incarnation that was heard of, in whatever order entries come", () => {
+  it("is the newest registered incarnation, in whatever order entries arrive", () => {
     const step = fc.record({ bornAt: fc.nat({ max: 5 }), isWhole: fc.boolean() });
     fc.assert(
       fc.property(fc.array(step, { minLength: 1, maxLength: 20 }), (steps) => {
@@ -88,8 +88,8 @@
   });
 });
 
-describe("a registration", () => {
-  it("is news where it changes who gets work, and none where weights change, which are told by themselves", () => {
+describe("ReplicaTable registrations", () => {
+  it("count as a change where they affect which replicas get work, but not where only weights change", () => {
     const table = createReplicaTable();
     expect(table.put(engineEntry("engine"))).toEqual(true);
     expect(table.put(engineEntry("engine", { weights: new Map([["m", 2]]) }))).toEqual(false);
@@ -104,7 +104,7 @@
   const isServing = (table: ReturnType<typeof createReplicaTable>): boolean =>
     table.serving("engines").length > 0;
 
-  it("stays drained when the registry lists it as ready, drops it and lists it again", () => {
+  it("keeps draining when the registry lists it as ready, removes it and lists it again", () => {
     const table = createReplicaTable();
     table.put(incarnation(100));
     expect(table.markDraining("engine/100")).toEqual(true);
@@ -119,14 +119,14 @@
     expect(isServing(table)).toEqual(false);
   });
 
-  it("stays drained if it reported so while the registry had dropped it", () => {
+  it("keeps draining if it reported so while it was missing from the registry", () => {
     const table = createReplicaTable();
     expect(table.markDraining("engine/100")).toEqual(true);
     table.put(incarnation(100));
     expect(isServing(table)).toEqual(false);
   });
 
-  it("starts clean as a new incarnation at the same address", () => {
+  it("gets new work as a new incarnation at the same address", () => {
     const table = createReplicaTable();
     table.put(incarnation(100));
     table.markDraining("engine/100");
--- a/src/state/forwarding/replicaTable.ts
+++ b/src/state/forwarding/replicaTable.ts
@@ -1,6 +1,6 @@
 /**
- * The replicas that this router knows, and what it believes of each: its registration, its weights, and the
- * work that this router and its peers have there.
+ * The replicas that this router knows, with the state of each: its registration, its weights, and the work that this
+ * router and its peers have there.
  */
 import type { ReplicaKey } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
@@ -10,62 +10,62 @@
 import type { ReplicaBackoff, ReplicaState, ReplicaWork } from "./replicaState.ts";
 import { createReplicaState } from "./replicaState.ts";
 
-/** Incarnations of which something is remembered: more than are replaced while a registry is unavailable. */
-const mostDepartedRemembered = 4_096;
+/** Removed incarnations whose state is kept; more than are replaced while a registry is unavailable. */
+const maxRememberedIncarnations = 4_096;
 
-/** How a replica left the table. */
+/** Why a replica no longer gets new work: it drains, left the registry, or was replaced by a new incarnation. */
 export type Departure = "draining" | "gone" | "restarted";
 
-/** See {@link createReplicaTable}. */
+/** The replicas of the registry, indexed by id, key, name and service. */
 export interface ReplicaTable {
   readonly get: (id: string) => ReplicaState | undefined;
   readonly getByKey: (key: ReplicaKey) => ReplicaState | undefined;
   readonly all: () => readonly ReplicaState[];
   /** @returns The replicas of a service that take new work. */
   readonly serving: (service: string) => readonly ReplicaState[];
-  /** @returns Those that drain. */
+  /** @returns The replicas of a service that drain. */
   readonly draining: (service: string) => readonly ReplicaState[];
   /**
-   * Takes a registration.
+   * Applies a registration.
    *
-   * @returns Whether it changes who gets work. New weights don't: whoever orders them tells all routers, and a replica
-   * that has others refuses. As long as they counted, every router read the registry for each load of one engine.
+   * @returns Whether it changes which replicas get work. New weights do not count: the router that orders them notifies
+   * all others, and a replica with other weights refuses the request. If they counted, every router would read the
+   * registry each time one engine loads weights.
    */
   readonly put: (entry: ReplicaEntry) => boolean;
   /**
-   * An incarnation drains: it gets no new work, whatever the registry says of it now or later.
+   * Marks an incarnation as draining: it gets no new work, whatever the registry says of it now or later.
    *
-   * @returns Whether it was not known to drain.
+   * @returns Whether this was not known before.
    */
   readonly markDraining: (id: string) => boolean;
-  /** The registry names a replica no more. @param name - What it was registered under. @returns Whether it was known. */
+  /** Removes a replica that left the registry. @param name - Its registered name. @returns Whether it was known. */
   readonly remove: (name: string) => boolean;
-  /** Replaces everything by what the registry holds now. @returns Whether it changes a decision. */
+  /** Replaces all entries by the current ones of the registry. @returns Whether it changes which replicas get work. */
   readonly replaceAll: (entries: readonly ReplicaEntry[]) => boolean;
   /**
-   * Takes what an older copy of the registry holds. Incarnations that were gone before stay so; those that it lacks stay
-   * until they are removed, since they may be registered again.
+   * Merges the entries of an older copy of the registry. Incarnations that were removed before stay removed. Replicas
+   * that the copy lacks stay until they are removed, since they may be registered again.
    *
-   * @returns The names that it lacks.
+   * @returns The names that the copy lacks.
    */
   readonly merge: (entries: readonly ReplicaEntry[]) => readonly string[];
-  /** Raises the version that a replica is believed to run. */
+  /** Raises the known weights version of a replica. */
   readonly noteWeights: (id: string, model: string, version: number) => void;
-  /** Takes all the work that a peer has now, by replica; what it told before counts no more. */
+  /** Replaces all the work that a peer reported, by replica. */
   readonly noteWork: (peer: string, work: ReadonlyMap<ReplicaKey, ReplicaWork>) => void;
-  /** Takes the work that a teller has at one replica; none lets go of what it told before. */
-  readonly noteWorkAt: (teller: string, key: ReplicaKey, work: ReplicaWork) => void;
-  /** Takes the work of all other routers at one replica, whoever told of it before. */
-  readonly replaceWorkAt: (teller: string, key: ReplicaKey, work: ReplicaWork) => void;
+  /** Replaces the work that a router reported at one replica; work without requests removes it. */
+  readonly noteWorkAt: (reporter: string, key: ReplicaKey, work: ReplicaWork) => void;
+  /** Replaces all reported work at one replica by one router's report of the work of all other routers. */
+  readonly replaceWorkAt: (reporter: string, key: ReplicaKey, work: ReplicaWork) => void;
   readonly subscribe: (listener: (entry: ReplicaEntry, departure: Departure | undefined) => void) => void;
 }
 
-/** Versions only rise within one incarnation, so late news of an older one changes nothing. */
-const raise = (weights: Map<string, number>, model: string, version: number): void => {
+/** Versions only increase within one incarnation, so a late update with an older version has no effect. */
+const raiseVersion = (weights: Map<string, number>, model: string, version: number): void => {
   if (version > (weights.get(model) ?? 0)) weights.set(model, version);
 };
 
-/** Creates an empty table. */
 export const createReplicaTable = (): ReplicaTable => {
   const states = new Map<string, ReplicaState>();
   const byKey = new Map<ReplicaKey, ReplicaState>();
@@ -73,12 +73,12 @@
   const peerWork = createPeerWork((key) => byKey.get(key));
   const byService = new Map<string, ReplicaState[]>();
   const drainingByService = new Map<string, ReplicaState[]>();
-  /** Ids of incarnations that drain or drained: the registry may drop one for a while and list it as ready again. */
-  const draining = createRecentMap<true>(mostDepartedRemembered);
-  /** Ids of incarnations that the registry dropped. */
-  const departed = createRecentMap<true>(mostDepartedRemembered);
-  /** By id of an incarnation that the registry dropped, for the same reason. */
-  const backoffs = createRecentMap<ReplicaBackoff>(mostDepartedRemembered);
+  /** Ids of incarnations that drain or drained: the registry may remove one temporarily and list it as ready again. */
+  const draining = createRecentMap<true>(maxRememberedIncarnations);
+  /** Ids of incarnations that were removed from the table. */
+  const departed = createRecentMap<true>(maxRememberedIncarnations);
+  /** By id: the backoff of an incarnation that was removed, kept because the registry may list it again. */
+  const backoffs = createRecentMap<ReplicaBackoff>(maxRememberedIncarnations);
   const listeners: ((entry: ReplicaEntry, departure: Departure | undefined) => void)[] = [];
 
   const reindex = (): void => {
@@ -93,33 +93,33 @@
     }
   };
 
-  const tell = (entry: ReplicaEntry, departure: Departure | undefined): void => {
+  const notify = (entry: ReplicaEntry, departure: Departure | undefined): void => {
     for (const listener of listeners) listener(entry, departure);
   };
 
-  const drop = ({ entry, backoff }: ReplicaState, departure: Departure): void => {
+  const removeState = ({ entry, backoff }: ReplicaState, departure: Departure): void => {
     if (backoff !== undefined) backoffs.set(entry.id, backoff);
     departed.set(entry.id, true);
     states.delete(entry.id);
     byKey.delete(replicaKeyOf(entry.id));
     byName.delete(entry.registeredAs);
     reindex();
-    tell(entry, departure);
+    notify(entry, departure);
   };
 
-  /** @returns False for an entry of an incarnation before the one that is known. */
-  const makeWay = (entry: ReplicaEntry): boolean => {
+  /** Removes an earlier incarnation of an entry. @returns False if a later incarnation is known. */
+  const replaceEarlierIncarnation = (entry: ReplicaEntry): boolean => {
     const before = byName.get(entry.registeredAs);
     if (before === undefined || before.entry.id === entry.id) return true;
     if ((entry.bornAt ?? 0) < (before.entry.bornAt ?? 0)) return false;
-    drop(before, "restarted");
-    // Its process is gone: what may run again elsewhere need not wait for the connection to break.
+    removeState(before, "restarted");
+    // Its process has ended: requests that may be retried elsewhere need not wait for the connection to break.
     for (const abandon of [...before.abandon]) abandon();
     return true;
   };
 
   const put = (entry: ReplicaEntry): boolean => {
-    if (!makeWay(entry)) return false;
+    if (!replaceEarlierIncarnation(entry)) return false;
     if (entry.isDraining) draining.set(entry.id, true);
     const isDraining = draining.has(entry.id);
     const known = states.get(entry.id);
@@ -130,26 +130,26 @@
       byKey.set(replicaKeyOf(entry.id), state);
       byName.set(entry.registeredAs, state);
       reindex();
-      tell(state.entry, isDraining ? "draining" : undefined);
+      notify(state.entry, isDraining ? "draining" : undefined);
       return true;
     }
     const { isDraining: wasDraining } = known.entry;
     known.entry = { ...entry, isDraining };
-    for (const [model, version] of entry.weights) raise(known.weights, model, version);
+    for (const [model, version] of entry.weights) raiseVersion(known.weights, model, version);
     if (isDraining === wasDraining) return false;
     reindex();
-    tell(known.entry, "draining");
+    notify(known.entry, "draining");
     return true;
   };
 
   const remove = (name: string): boolean => {
     const known = byName.get(name);
     if (known === undefined) return false;
-    drop(known, "gone");
+    removeState(known, "gone");
     return true;
   };
 
-  /** Names that a list of entries lacks. */
+  /** @returns The known names that a list of entries lacks. */
   const missingIn = (entries: readonly ReplicaEntry[]): readonly string[] => {
     const kept = new Set(entries.map(({ registeredAs }) => registeredAs));
     return [...byName.keys()].filter((name) => !kept.has(name));
@@ -185,7 +185,7 @@
     },
     noteWeights: (id, model, version) => {
       const state = states.get(id);
-      if (state !== undefined) raise(state.weights, model, version);
+      if (state !== undefined) raiseVersion(state.weights, model, version);
     },
     subscribe: (listener) => {
       listeners.push(listener);
--- a/src/state/forwarding/reportedLimit.ts
+++ b/src/state/forwarding/reportedLimit.ts
@@ -1,57 +1,57 @@
-/** What a replica's answer named as its limit, and what this router believes of it. */
+/** The request limit that a replica reports in its responses: conversion to peer messages, and order of the reports. */
 import type { ToldSpan, ToldWord } from "../../protocol/forwarding/toldWord.ts";
 import type { ReplicaState } from "./replicaState.ts";
 
-/** When an answer was asked for and when its head came, milliseconds on the monotonic clock. */
+/** When a request was sent and when the head of its response arrived, milliseconds on the monotonic clock. */
 export interface AnswerSpan {
   readonly askedAt: number;
   readonly receivedAt: number;
 }
 
-/** A limit that an answer named. */
+/** A limit that a response reported. */
 export interface ReportedLimit extends AnswerSpan {
-  /** Requests a second from all routers together. */
+  /** Requests per second from all routers together. */
   readonly perSecond: number;
 }
 
 const perThousand = 1_000;
 
-/** @returns The span in ages, as other routers are told of it. */
-export const toReportedSpan = ({ askedAt, receivedAt: heardAt }: AnswerSpan, now: number): ToldSpan => ({
+/** @returns The span as ages, for a message to other routers, whose clocks differ. */
+export const toReportedSpan = ({ askedAt, receivedAt }: AnswerSpan, now: number): ToldSpan => ({
   askedAge: Math.max(0, Math.round(now - askedAt)),
-  heardAge: Math.max(0, Math.round(now - heardAt)),
+  heardAge: Math.max(0, Math.round(now - receivedAt)),
 });
 
-/** @returns The span on this router's clock. */
+/** @returns The span of a message, on this router's clock. */
 export const fromReportedSpan = ({ askedAge, heardAge }: ToldSpan, now: number): AnswerSpan => ({
   askedAt: now - askedAge,
   receivedAt: now - heardAge,
 });
 
-/** @returns The word as other routers are told of it. */
-export const toReportedLimitMessage = (word: ReportedLimit, now: number): ToldWord => ({
-  perThousandSeconds: Math.round(word.perSecond * perThousand),
-  ...toReportedSpan(word, now),
+/** @returns The limit for a message to other routers. */
+export const toReportedLimitMessage = (limit: ReportedLimit, now: number): ToldWord => ({
+  perThousandSeconds: Math.round(limit.perSecond * perThousand),
+  ...toReportedSpan(limit, now),
 });
 
-/** @returns A word that another router told. */
-export const fromReportedLimitMessage = (told: ToldWord, now: number): ReportedLimit => ({
-  perSecond: told.perThousandSeconds / perThousand,
-  ...fromReportedSpan(told, now),
+/** @returns The limit of another router's message, on this router's clock. */
+export const fromReportedLimitMessage = (message: ToldWord, now: number): ReportedLimit => ({
+  perSecond: message.perThousandSeconds / perThousand,
+  ...fromReportedSpan(message, now),
 });
 
 /**
- * Whether one of two words is to be believed after the other. Answers overtake one another: of two that were under way
- * at the same time nobody knows which one the replica gave first, and the lower limit is the safe one.
+ * Whether a reported limit replaces the known one. Responses can overtake one another: if two requests were in progress
+ * at the same time, it is unknown which response the replica gave first, and the lower limit is the safe one.
  */
-export const supersedes = (word: ReportedLimit, known: ReportedLimit): boolean => {
-  if (word.askedAt >= known.receivedAt) return true;
-  return word.receivedAt > known.askedAt && word.perSecond <= known.perSecond;
+export const supersedes = (limit: ReportedLimit, known: ReportedLimit): boolean => {
+  if (limit.askedAt >= known.receivedAt) return true;
+  return limit.receivedAt > known.askedAt && limit.perSecond <= known.perSecond;
 };
 
-/** Takes what another router told of a replica's limit, unless something newer is known here. */
-export const noteAnnouncedLimit = (replica: ReplicaState, told: ToldWord, now: number): void => {
-  const word = fromReportedLimitMessage(told, now);
-  if (word.receivedAt <= replica.limitEndedAt) return;
-  if (replica.limit === undefined || word.receivedAt > replica.limit.receivedAt) replica.limit = word;
+/** Applies the limit of a replica that another router announced, unless a newer one is known here. */
+export const noteAnnouncedLimit = (replica: ReplicaState, message: ToldWord, now: number): void => {
+  const limit = fromReportedLimitMessage(message, now);
+  if (limit.receivedAt <= replica.limitEndedAt) return;
+  if (replica.limit === undefined || limit.receivedAt > replica.limit.receivedAt) replica.limit = limit;
 };
--- a/src/state/forwarding/routeTable.ts
+++ b/src/state/forwarding/routeTable.ts
@@ -1,4 +1,4 @@
-/** One version of the configuration, ready for looking things up in. */
+/** Indexes one version of the configuration for lookups by host, path, API key and service. */
 import type {
   CacheStore,
   ForwardingConfiguration,
@@ -8,20 +8,21 @@
   OrganisationLimit,
 } from "../../protocol/forwarding/types.ts";
 
-/** An index of one configuration. */
+/** The index of one configuration. */
 export interface RouteTable {
   readonly configuration: ForwardingConfiguration;
-  /** @returns The route with the longest prefix of the path, among those of the host. */
+  /** @returns The route of the host with the longest matching path prefix. */
   readonly findRoute: (host: string, target: string) => ForwardingRoute | undefined;
+  /** @param key - An API key of the organisation. */
   readonly findOrganisation: (key: string) => ForwardingOrganisation | undefined;
   readonly findService: (name: string) => ForwardingService | undefined;
-  /** The first store of prompt parts. */
+  /** The cache stores for prompt parts of all services. */
   readonly cacheStores: readonly CacheStore[];
-  /** By name of an organisation that has one. */
+  /** By organisation name; organisations without a limit are missing. */
   readonly limits: ReadonlyMap<string, OrganisationLimit>;
 }
 
-/** Hosts are compared without case and port. */
+/** Normalises a host: lower case, without port. */
 const hostOf = (host: string): string => host.toLowerCase().replace(/:\d+$/, "");
 
 const pathOf = (target: string): string => {
@@ -32,7 +33,6 @@
 const byLongestPrefix = (left: ForwardingRoute, right: ForwardingRoute): number =>
   right.pathPrefix.length - left.pathPrefix.length;
 
-/** Indexes a configuration. */
 export const createRouteTable = (configuration: ForwardingConfiguration): RouteTable => {
   const routes = new Map<string, ForwardingRoute[]>();
   for (const route of configuration.routes) {
