--- a/src/state/MemoryMetrics.ts
+++ b/src/state/MemoryMetrics.ts
@@ -2,17 +2,20 @@
 import type { MetricTags } from "./Metrics.ts";
 import { Metrics } from "./Metrics.ts";
 
-const keyOf = (name: MetricName, tags: MetricTags): string => {
-  const parts = Object.entries(tags).map(([tag, value]) => `${tag}=${value}`);
-  return parts.length === 0 ? name : `${name}{${parts.join(",")}}`;
+const seriesKey = (name: MetricName, tags: MetricTags): string => {
+  const tagTexts = Object.entries(tags).map(([tag, value]) => `${tag}=${value}`);
+  return tagTexts.length === 0 ? name : `${name}{${tagTexts.join(",")}}`;
 };
 
-/** Counts in memory only: for dumps, for tests, and below another implementation. */
+/**
+ * Counts in memory only: for state dumps, for tests, and as the base of other implementations. Of timings it keeps the
+ * number, not the durations.
+ */
 export class MemoryMetrics extends Metrics {
   private readonly totals = new Map<string, number>();
 
   override count(name: MetricName, amount = 1, tags: MetricTags = {}): void {
-    const key = keyOf(name, tags);
+    const key = seriesKey(name, tags);
     this.totals.set(key, (this.totals.get(key) ?? 0) + amount);
   }
 
--- a/src/state/Metrics.ts
+++ b/src/state/Metrics.ts
@@ -1,15 +1,15 @@
 import type { MetricName } from "./constants.ts";
 
-/** Tags of a measurement; keep their number of values small. */
+/** Tags of a measurement. Each tag should have few distinct values, since every combination is a separate series. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Where a process counts what it does. */
+/** Counters and timings of a process. */
 export abstract class Metrics {
   abstract count(name: MetricName, amount?: number, tags?: MetricTags): void;
 
   /** @param milliseconds - The measured time. */
   abstract time(name: MetricName, milliseconds: number, tags?: MetricTags): void;
 
-  /** What has been counted so far, for a state dump. */
+  /** @returns The totals so far by name and tags, for the state dump. */
   abstract snapshot(): Readonly<Record<string, number>>;
 }
--- a/src/state/boundedLogSink.test.ts
+++ b/src/state/boundedLogSink.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { createBoundedLogSink } from "./boundedLogSink.ts";
 
-/** An output that takes what is written, or whose reader has stopped. */
+/** An output that records the lines written to it; while `isRead` returns false, its writes stay pending. */
 const createOutput = (isRead: () => boolean) => {
   const lines: Record<string, unknown>[] = [];
   const waiting: (() => void)[] = [];
@@ -14,11 +14,11 @@
       else waiting.push(done);
     },
   });
-  return { output, lines, readOn: () => waiting.forEach((done) => done()) };
+  return { output, lines, resumeReading: () => waiting.forEach((done) => done()) };
 };
 
-describe("bounded lines", () => {
-  it("leave out what exceeds the rate, and say how many", () => {
+describe("createBoundedLogSink", () => {
+  it("drops lines beyond the rate and reports their number", () => {
     let now = 0;
     const { output, lines } = createOutput(() => true);
     const write = createBoundedLogSink({
@@ -39,7 +39,7 @@
     expect(lines.every(({ router }) => router === "r")).toEqual(true);
   });
 
-  it("never wait for a reader that has stopped, and hold back a bounded number of bytes", () => {
+  it("does not wait for a stopped reader and buffers a bounded number of bytes", () => {
     const { output, lines } = createOutput(() => false);
     const write = createBoundedLogSink({
       output,
--- a/src/state/boundedLogSink.ts
+++ b/src/state/boundedLogSink.ts
@@ -1,29 +1,28 @@
 /**
- * Lines for a log reader that may be slow or gone: writing never waits, what is held back is bounded, and a
- * line says how many were left out.
+ * A log sink for a reader that may be slow or gone. Writing never waits, the lines buffered in memory are bounded, and
+ * excess lines are dropped. The next line that is written reports how many.
  */
 import type { Writable } from "node:stream";
 import type { LogFields, LogSink } from "./log.ts";
 
-/** What lines are written with. */
-export interface BoundedLinesParts {
+export interface BoundedLogSinkDependencies {
   readonly output: Writable;
-  /** On every line. */
+  /** Added to every line. */
   readonly fields: LogFields;
-  /** Milliseconds on the monotonic clock. */
+  /** The monotonic clock, in milliseconds. */
   readonly now: () => number;
-  /** Lines a second over some time; a burst of as many is written at once. */
+  /** Sustained rate; also the largest burst that is written at once. */
   readonly linesPerSecond: number;
-  /** Lines are left out while more bytes than this wait for the reader. */
+  /** Lines are dropped while more bytes than this are buffered for the reader. */
   readonly mostBytesWaiting: number;
 }
 
-/** @returns Where loggers can be directed. */
-export const createBoundedLogSink = (parts: BoundedLinesParts): LogSink => {
-  const { output, now, linesPerSecond } = parts;
+/** Creates a sink for `directLogs` with a limited rate and a limited buffer. */
+export const createBoundedLogSink = (dependencies: BoundedLogSinkDependencies): LogSink => {
+  const { output, now, linesPerSecond } = dependencies;
   let allowance = linesPerSecond;
   let refilledAt = now();
-  let leftOut = 0;
+  let droppedLines = 0;
 
   const refill = (): void => {
     const time = now();
@@ -31,25 +30,25 @@
     refilledAt = time;
   };
 
-  const emit = (part: string, event: string, fields: LogFields): void => {
-    const line = { at: new Date().toISOString(), part, event, ...parts.fields, ...fields };
+  const writeLine = (part: string, event: string, fields: LogFields): void => {
+    const line = { at: new Date().toISOString(), part, event, ...dependencies.fields, ...fields };
     output.write(`${JSON.stringify(line)}\n`);
   };
 
-  // A reader that has gone is no reason to end.
+  // A closed reader must not end the process.
   output.on("error", () => {
-    leftOut += 1;
+    droppedLines += 1;
   });
 
   return (part, event, fields) => {
     refill();
-    if (allowance < 1 || output.writableLength > parts.mostBytesWaiting) {
-      leftOut += 1;
+    if (allowance < 1 || output.writableLength > dependencies.mostBytesWaiting) {
+      droppedLines += 1;
       return;
     }
     allowance -= 1;
-    if (leftOut > 0) emit("log", "left_out", { lines: leftOut });
-    leftOut = 0;
-    emit(part, event, fields);
+    if (droppedLines > 0) writeLine("log", "left_out", { lines: droppedLines });
+    droppedLines = 0;
+    writeLine(part, event, fields);
   };
 };
--- a/src/state/cacheModel.test.ts
+++ b/src/state/cacheModel.test.ts
@@ -13,7 +13,7 @@
 const generation = fc.integer({ min: 0, max: 2 });
 const key = fc.constantFrom("k0", "k1", "k2", "k3", "k4", "k5");
 
-/** `lag` lets a report, an answer or a note come out of order or twice. */
+/** `lag` and `dispatch` let reports and responses arrive late, twice or out of order. */
 const step = fc.oneof(
   fc.record({
     kind: fc.constant("report" as const),
@@ -45,97 +45,101 @@
 const listed = (ids: readonly string[]): readonly ListedVm[] =>
   ids.map((id) => ({ id, dataCentre: "a", url: `http://${id}`, role: "engine", pool: "p", state: "live" }));
 
-/** A picture beside a record of what each engine was last known to be, and since when without a break. */
+/** A model, with a reference of each engine's identity and of the lifetime in which each entry was noted. */
 const createWorld = () => {
   const directory = createEngineDirectory();
   directory.applyVms(listed(engineIds));
-  const picture = createCacheModel(directory, limits);
+  const model = createCacheModel(directory, limits);
   const dispatches: EngineStamp[] = [];
-  /** For each engine, a number that changes with whatever must void its beliefs. */
-  const lives = new Map(engineIds.map((id) => [id, { life: 0, identity: "" }]));
-  const founded = new Map<string, number>();
+  /** By engine: a number that changes with every event that must invalidate its entries. */
+  const lifetimes = new Map(engineIds.map((id) => [id, { lifetime: 0, identity: "" }]));
+  const notedInLifetime = new Map<string, number>();
   let now = 0;
 
-  const lifeOf = (id: string): number => lives.get(id)?.life ?? -1;
-  const endLife = (id: string, identity: string): void => {
-    lives.set(id, { life: lifeOf(id) + 1, identity });
+  const lifetimeOf = (id: string): number => lifetimes.get(id)?.lifetime ?? -1;
+  const endLifetime = (id: string, identity: string): void => {
+    lifetimes.set(id, { lifetime: lifetimeOf(id) + 1, identity });
   };
 
-  const noteIdentity = (id: string): void => {
+  const recordIdentity = (id: string): void => {
     const load = directory.get(id)?.load;
     const identity = load === undefined ? "" : `${load.incarnation} ${load.weightsVersion}`;
-    if (identity !== lives.get(id)?.identity) endLife(id, identity);
+    if (identity !== lifetimes.get(id)?.identity) endLifetime(id, identity);
   };
 
   const answer = ({ dispatch, key: answered, incarnation }: Step & { kind: "answer" }): void => {
     const stamp = dispatches[dispatch];
     if (stamp === undefined) return;
     if (stamp.incarnation !== `incarnation-${incarnation}`) {
-      picture.markRestarted(stamp, now);
-      endLife(stamp.engineId, lives.get(stamp.engineId)?.identity ?? "");
+      model.markRestarted(stamp, now);
+      endLifetime(stamp.engineId, lifetimes.get(stamp.engineId)?.identity ?? "");
       return;
     }
-    picture.note([answered], stamp, now);
-    const beliefs = picture.levelView(answered);
-    if (picture.age(beliefs, stamp, now) === 0)
-      founded.set(`${answered} ${stamp.engineId}`, lifeOf(stamp.engineId));
+    model.note([answered], stamp, now);
+    const view = model.levelView(answered);
+    if (model.age(view, stamp, now) === 0)
+      notedInLifetime.set(`${answered} ${stamp.engineId}`, lifetimeOf(stamp.engineId));
   };
 
-  const run = (action: Step): void => {
+  const run = (currentStep: Step): void => {
     now += 1;
-    switch (action.kind) {
+    switch (currentStep.kind) {
       case "report": {
-        directory.applyLoad(action.engine, loadOf(action.incarnation, action.weights), now - action.lag);
-        noteIdentity(action.engine);
+        directory.applyLoad(
+          currentStep.engine,
+          loadOf(currentStep.incarnation, currentStep.weights),
+          now - currentStep.lag,
+        );
+        recordIdentity(currentStep.engine);
         return;
       }
       case "dispatch": {
-        const replica = directory.get(action.engine);
-        const stamp = replica === undefined ? undefined : picture.stampOf(replica);
+        const replica = directory.get(currentStep.engine);
+        const stamp = replica === undefined ? undefined : model.stampOf(replica);
         if (stamp !== undefined) dispatches.push(stamp);
         return;
       }
       case "answer": {
-        answer(action);
+        answer(currentStep);
         return;
       }
       case "leave": {
-        directory.applyVms(listed(engineIds.filter((id) => id !== action.engine)));
+        directory.applyVms(listed(engineIds.filter((id) => id !== currentStep.engine)));
         directory.applyVms(listed(engineIds));
-        endLife(action.engine, "");
+        endLifetime(currentStep.engine, "");
         return;
       }
       case "fail":
-        directory.markFailed(action.engine, now);
+        directory.markFailed(currentStep.engine, now);
     }
   };
 
-  /** Every belief that a choice could rely on was founded in the engine's present life. */
+  /** Checks that every valid entry was noted in the current lifetime of its engine. */
   const check = (): void => {
     for (const id of engineIds) {
       const replica = directory.get(id);
-      const stamp = replica === undefined ? undefined : picture.stampOf(replica);
+      const stamp = replica === undefined ? undefined : model.stampOf(replica);
       if (stamp === undefined) continue;
       expect(stamp.incarnation).toEqual(replica?.load?.incarnation ?? "");
       for (let index = 0; index < 6; index += 1) {
-        const age = picture.age(picture.levelView(`k${index}`), stamp, now);
-        if (age !== undefined) expect(founded.get(`k${index} ${id}`)).toEqual(lifeOf(id));
+        const age = model.age(model.levelView(`k${index}`), stamp, now);
+        if (age !== undefined) expect(notedInLifetime.get(`k${index} ${id}`)).toEqual(lifetimeOf(id));
       }
     }
-    expect(picture.size().levels).toBeLessThanOrEqual(limits.maximumLevels);
-    expect(picture.size().beliefs).toBeLessThanOrEqual(limits.maximumLevels * limits.maximumEnginesPerLevel);
+    expect(model.size().levels).toBeLessThanOrEqual(limits.maximumLevels);
+    expect(model.size().beliefs).toBeLessThanOrEqual(limits.maximumLevels * limits.maximumEnginesPerLevel);
   };
 
   return { run, check };
 };
 
-describe("createCachePicture", () => {
-  it("relies on no dead engine and no older weights, whatever comes late, twice or never", () => {
+describe("createCacheModel", () => {
+  it("has no valid entry of an earlier incarnation or of older weights, when events are late, repeated or lost", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80, size: "max" }), (steps) => {
         const world = createWorld();
-        for (const action of steps) {
-          world.run(action);
+        for (const currentStep of steps) {
+          world.run(currentStep);
           world.check();
         }
       }),
@@ -143,26 +147,26 @@
     );
   });
 
-  it("trusts an engine again that answered as another incarnation only after a later report", () => {
+  it("makes no stamp for an engine that answered as another incarnation until a later report", () => {
     const directory = createEngineDirectory();
     directory.applyVms(listed(["engine-0"]));
-    const picture = createCacheModel(directory, limits);
+    const model = createCacheModel(directory, limits);
     directory.applyLoad("engine-0", loadOf(0, 0), 10);
     const replica = directory.get("engine-0");
     if (replica === undefined) throw new TypeError("no engine");
-    const stamp = picture.stampOf(replica);
+    const stamp = model.stampOf(replica);
     if (stamp === undefined) throw new TypeError("no stamp");
-    picture.note(["k0"], stamp, 11);
-    expect(picture.age(picture.levelView("k0"), stamp, 12)).toEqual(1);
-    picture.markRestarted(stamp, 20);
-    expect(picture.stampOf(replica)).toEqual(undefined);
+    model.note(["k0"], stamp, 11);
+    expect(model.age(model.levelView("k0"), stamp, 12)).toEqual(1);
+    model.markRestarted(stamp, 20);
+    expect(model.stampOf(replica)).toEqual(undefined);
     directory.applyLoad("engine-0", loadOf(1, 0), 15);
-    const later = picture.stampOf(replica);
+    const later = model.stampOf(replica);
     expect(later?.incarnation).toEqual("incarnation-1");
-    if (later !== undefined) expect(picture.age(picture.levelView("k0"), later, 21)).toEqual(undefined);
+    if (later !== undefined) expect(model.age(model.levelView("k0"), later, 21)).toEqual(undefined);
   });
 
-  it("is asked with keys that no other organisation, model, adapter or weights version has", () => {
+  it("uses keys that differ between organisations, models, adapters and weights versions", () => {
     const name = fc.constantFrom("noto", "ragusa", "noto-ragusa");
     const scope = fc.record({
       organisation: name,
--- a/src/state/cacheModel.ts
+++ b/src/state/cacheModel.ts
@@ -1,117 +1,118 @@
 /**
- * What a router believes about the engines' prompt caches, in bounded memory.
+ * A router's model of the engines' prompt caches, in bounded memory.
  *
- * A belief holds for one incarnation of an engine with one version of weights. It is void at once when the
- * directory learns of another incarnation or other weights, when the engine leaves the directory, and when an
- * answer shows that the engine has restarted before any report did.
+ * An entry is valid for one incarnation of an engine with one version of weights. It becomes invalid at once when the
+ * directory learns of another incarnation or other weights, when the engine leaves the directory, and when a response
+ * shows that the engine has restarted before a load report does.
  */
 import type { EngineDirectory, EngineReplica } from "./engineDirectory.ts";
 
-/** The engine as it was when work was given to it. Only a stamp that still holds can found a belief. */
+/** Identifies the state of an engine when a request was sent to it. Entries are added only for a current stamp. */
 export interface EngineStamp {
   readonly engineId: string;
   readonly incarnation: string;
   readonly weightsVersion: string;
-  /** Changes whenever the beliefs about the engine are void. */
+  /** Changes whenever the entries of the engine become invalid. */
   readonly epoch: number;
 }
 
-/** When an engine was last known to hold a level; valid for one epoch of the engine. */
-interface Belief {
+/** When an engine was last known to have a prefix level in its cache; valid for one epoch of the engine. */
+interface LevelEntry {
   readonly at: number;
   readonly stamp: EngineStamp;
 }
 
-/** Beliefs about one level, by engine. */
-export type LevelView = ReadonlyMap<string, Belief>;
+/** The entries of one prefix level, by engine id. */
+export type LevelView = ReadonlyMap<string, LevelEntry>;
 
-/** Beliefs about caches. Times are milliseconds on one monotonic clock. */
+/** Which engine has which prefix levels in its cache. Times are milliseconds on one monotonic clock. */
 export interface CacheModel extends Disposable {
-  /** @returns The engine as it is now; undefined while its cache must not be relied on. */
+  /** @returns The engine's current stamp; `undefined` if it is not live, or a response contradicts its last report. */
   readonly stampOf: (engine: EngineReplica) => EngineStamp | undefined;
-  /** Takes that an engine holds the levels; ignored unless the stamp still holds. */
+  /** Records that an engine has the levels in its cache; ignored if the stamp is no longer current. */
   readonly note: (keys: readonly string[], stamp: EngineStamp, at: number) => void;
-  /** Takes that an engine does not hold the levels. */
+  /** Records that an engine does not have the levels in its cache. */
   readonly forget: (keys: readonly string[], engineId: string) => void;
-  /** Takes that an engine answered with another incarnation than it was stamped with. */
+  /** Records that an engine answered with another incarnation than that of the stamp. */
   readonly markRestarted: (stamp: EngineStamp, at: number) => void;
   readonly levelView: (key: string) => LevelView | undefined;
-  /** @returns Milliseconds since the belief was founded; undefined without a valid one. */
-  readonly age: (beliefs: LevelView | undefined, stamp: EngineStamp, now: number) => number | undefined;
-  /** Levels and beliefs kept, valid or not. */
+  /** @returns Milliseconds since the engine's entry was last updated; `undefined` without a valid entry. */
+  readonly age: (view: LevelView | undefined, stamp: EngineStamp, now: number) => number | undefined;
+  /** @returns The numbers of levels and of entries (`beliefs`), valid or not. */
   readonly size: () => { readonly levels: number; readonly beliefs: number };
 }
 
-/** How much a picture keeps. */
-export interface CachePictureLimits {
+/** Bounds of the memory that a model uses. */
+export interface CacheModelLimits {
   readonly maximumLevels: number;
   readonly maximumEnginesPerLevel: number;
 }
 
-interface Doubt {
+interface ObservedRestart {
   readonly incarnation: string;
   readonly at: number;
 }
 
-/** Removes the oldest entry of a map that keeps its entries by age. */
+/** Removes the first entry of a map whose entries are in order of age. */
 const dropOldest = <T>(map: Map<string, T>): void => {
   const [oldest] = map.keys();
   if (oldest !== undefined) map.delete(oldest);
 };
 
-/** Makes an empty picture, which follows the directory until it is disposed. */
-export const createCacheModel = (directory: EngineDirectory, limits: CachePictureLimits): CacheModel => {
-  /** The levels founded least recently come first. */
-  const levels = new Map<string, Map<string, Belief>>();
+/** Creates an empty model, which follows the directory until it is disposed. */
+export const createCacheModel = (directory: EngineDirectory, limits: CacheModelLimits): CacheModel => {
+  /** In order of their last update, the oldest first. */
+  const levels = new Map<string, Map<string, LevelEntry>>();
   const epochs = new Map<string, number>();
-  const doubts = new Map<string, Doubt>();
+  const observedRestarts = new Map<string, ObservedRestart>();
   let lastEpoch = 0;
 
-  const renew = (engineId: string): void => {
+  const startEpoch = (engineId: string): void => {
     lastEpoch += 1;
     epochs.set(engineId, lastEpoch);
   };
 
   const epochOf = (engineId: string): number => {
-    if (!epochs.has(engineId)) renew(engineId);
+    if (!epochs.has(engineId)) startEpoch(engineId);
     return epochs.get(engineId) ?? 0;
   };
 
   const unsubscribe = directory.subscribe(({ kind, engine }) => {
-    if (kind === "restarted" || kind === "reloaded") renew(engine.id);
+    if (kind === "restarted" || kind === "reloaded") startEpoch(engine.id);
     if (kind !== "removed") return;
     epochs.delete(engine.id);
-    doubts.delete(engine.id);
+    observedRestarts.delete(engine.id);
   });
 
-  /** True while the last report is older than the answer that contradicted it. */
-  const isDoubted = (engine: EngineReplica): boolean => {
-    const doubt = doubts.get(engine.id);
-    if (doubt === undefined) return false;
-    if (doubt.incarnation === engine.load?.incarnation && engine.loadReadAt <= doubt.at) return true;
-    doubts.delete(engine.id);
+  /** True while the last load report is older than the response that showed another incarnation. */
+  const isReportOutdated = (engine: EngineReplica): boolean => {
+    const restart = observedRestarts.get(engine.id);
+    if (restart === undefined) return false;
+    if (restart.incarnation === engine.load?.incarnation && engine.loadReadAt <= restart.at) return true;
+    observedRestarts.delete(engine.id);
     return false;
   };
 
   const stampOf = (engine: EngineReplica): EngineStamp | undefined => {
-    if (engine.load === undefined || engine.state !== "live" || isDoubted(engine)) return undefined;
+    if (engine.load === undefined || engine.state !== "live" || isReportOutdated(engine)) return undefined;
     const { incarnation, weightsVersion } = engine.load;
     return { engineId: engine.id, incarnation, weightsVersion, epoch: epochOf(engine.id) };
   };
 
-  const noteLevel = (key: string, belief: Belief): void => {
-    const known = levels.get(key) ?? new Map<string, Belief>();
-    known.delete(belief.stamp.engineId);
-    if (known.size >= limits.maximumEnginesPerLevel) dropOldest(known);
-    known.set(belief.stamp.engineId, belief);
+  const noteLevel = (key: string, entry: LevelEntry): void => {
+    const holders = levels.get(key) ?? new Map<string, LevelEntry>();
+    holders.delete(entry.stamp.engineId);
+    if (holders.size >= limits.maximumEnginesPerLevel) dropOldest(holders);
+    holders.set(entry.stamp.engineId, entry);
     levels.delete(key);
     if (levels.size >= limits.maximumLevels) dropOldest(levels);
-    levels.set(key, known);
+    levels.set(key, holders);
   };
 
   const note = (keys: readonly string[], stamp: EngineStamp, at: number): void => {
     const engine = directory.get(stamp.engineId);
-    if (engine === undefined || epochs.get(stamp.engineId) !== stamp.epoch || isDoubted(engine)) return;
+    if (engine === undefined || epochs.get(stamp.engineId) !== stamp.epoch || isReportOutdated(engine))
+      return;
     if (engine.load?.incarnation !== stamp.incarnation) return;
     if (engine.load.weightsVersion !== stamp.weightsVersion) return;
     for (const key of keys) noteLevel(key, { at, stamp });
@@ -119,37 +120,37 @@
 
   const forget = (keys: readonly string[], engineId: string): void => {
     for (const key of keys) {
-      const known = levels.get(key);
-      known?.delete(engineId);
-      if (known?.size === 0) levels.delete(key);
+      const holders = levels.get(key);
+      holders?.delete(engineId);
+      if (holders?.size === 0) levels.delete(key);
     }
   };
 
-  const doubt = (stamp: EngineStamp, at: number): void => {
+  const markRestarted = (stamp: EngineStamp, at: number): void => {
     if (epochs.get(stamp.engineId) !== stamp.epoch) return;
-    renew(stamp.engineId);
-    doubts.set(stamp.engineId, { incarnation: stamp.incarnation, at });
+    startEpoch(stamp.engineId);
+    observedRestarts.set(stamp.engineId, { incarnation: stamp.incarnation, at });
   };
 
-  const age = (beliefs: LevelView | undefined, stamp: EngineStamp, now: number): number | undefined => {
-    const belief = beliefs?.get(stamp.engineId);
-    return belief?.stamp.epoch === stamp.epoch ? Math.max(0, now - belief.at) : undefined;
+  const age = (view: LevelView | undefined, stamp: EngineStamp, now: number): number | undefined => {
+    const entry = view?.get(stamp.engineId);
+    return entry?.stamp.epoch === stamp.epoch ? Math.max(0, now - entry.at) : undefined;
   };
 
-  const countBeliefs = (): number => {
-    let beliefs = 0;
-    for (const known of levels.values()) beliefs += known.size;
-    return beliefs;
+  const countEntries = (): number => {
+    let entries = 0;
+    for (const holders of levels.values()) entries += holders.size;
+    return entries;
   };
 
   return {
     stampOf,
     note,
     forget,
-    markRestarted: doubt,
+    markRestarted,
     levelView: (key) => levels.get(key),
     age,
-    size: () => ({ levels: levels.size, beliefs: countBeliefs() }),
+    size: () => ({ levels: levels.size, beliefs: countEntries() }),
     [Symbol.dispose]: unsubscribe,
   };
 };
--- a/src/state/constants.ts
+++ b/src/state/constants.ts
@@ -1,4 +1,4 @@
-/** Names of the counters, timings and gauges that a router emits; described in docs/OPERATORS.md. */
+/** Names of the counters and timings that a router emits; docs/OPERATORS.md describes them. */
 export const metricNames = {
   requests: "requests",
   requestTime: "request_ms",
@@ -38,5 +38,5 @@
   peerChanges: "peer_changes",
 } as const;
 
-/** The name of a metric. */
+/** The name of a metric as it is emitted. */
 export type MetricName = (typeof metricNames)[keyof typeof metricNames];
--- a/src/state/engineDirectory.test.ts
+++ b/src/state/engineDirectory.test.ts
@@ -35,8 +35,8 @@
   return { directory, changes, state };
 };
 
-describe("the engine directory", () => {
-  it("relies on a restored report only after the engine's own", () => {
+describe("createEngineDirectory", () => {
+  it("keeps an engine unconfirmed after a restored report until its own report", () => {
     const { directory, changes, state } = create();
     directory.restoreLoad("engine-0", load("first"), -500);
     expect(state()).toEqual("unconfirmed");
@@ -44,20 +44,20 @@
     expect([state(), ...changes]).toEqual(["live", "state"]);
   });
 
-  it("takes an engine for restarted whose incarnation is not the restored one", () => {
+  it("reports a restart if the engine has another incarnation than the restored report", () => {
     const { directory, changes } = create();
     directory.restoreLoad("engine-0", load("first"), -500);
     directory.applyLoad("engine-0", load("second"), 10);
     expect(changes).toEqual(["restarted", "state"]);
   });
 
-  it("does not take a report from before its own start for a confirmation", () => {
+  it("does not confirm an engine by a report from before the start of the process", () => {
     const { directory, state } = create();
     directory.applyLoad("engine-0", load("first"), -1);
     expect(state()).toEqual("unconfirmed");
   });
 
-  it("gives a listed leaver no work again, whatever it reports of itself", () => {
+  it("keeps an engine leaving while the VM list says so, whatever the engine reports", () => {
     const { directory, state } = create();
     directory.applyLoad("engine-0", load("first"), 10);
     directory.applyVms([vm("leaving")]);
@@ -65,7 +65,7 @@
     expect(state()).toEqual("leaving");
   });
 
-  it("drops a report that comes late", () => {
+  it("ignores a report that arrives out of order", () => {
     const { directory } = create();
     directory.applyLoad("engine-0", load("second", { running: 2 }), 20);
     directory.applyLoad("engine-0", load("first", { running: 1 }), 10);
--- a/src/state/engineDirectory.ts
+++ b/src/state/engineDirectory.ts
@@ -1,18 +1,18 @@
 /**
- * What a router believes about each engine: where it is, whether it takes work, which incarnation and weights
- * it runs, its last load report, and how many attempts of this router are under way there.
+ * A router's view of each engine: its address, whether it accepts work, its incarnation and weights, its last load
+ * report, and the number of attempts of this router that are in progress there.
  */
 import type { EngineLoad, ListedVm } from "../protocol/types.ts";
 
 /**
- * - `unconfirmed`: listed, but its incarnation is not known (again); takes no work that relies on its cache.
- * - `live`: it has reported.
- * - `suspect`: its last call or report failed.
+ * - `unconfirmed`: listed, but its incarnation is not known or confirmed yet; gets no work that relies on its cache.
+ * - `live`: it has sent a load report.
+ * - `suspect`: its last call or load report failed.
  * - `leaving`: gets no new work.
  */
 export type EngineState = "unconfirmed" | "live" | "suspect" | "leaving";
 
-/** One engine as it is believed to be. The directory changes entries in place: read, do not keep. */
+/** One engine. The directory changes entries in place, so read them at once and do not store them. */
 export interface EngineReplica {
   readonly id: string;
   readonly pool: string;
@@ -20,17 +20,17 @@
   readonly url: string;
   readonly state: EngineState;
   readonly load: EngineLoad | undefined;
-  /** When the report was taken, milliseconds on this process's monotonic clock. */
+  /** When the load report was read, milliseconds on this process's monotonic clock. */
   readonly loadReadAt: number;
   /** Attempts of this router that have not ended. */
   readonly inFlight: number;
   /** When the engine last failed a call, milliseconds on the monotonic clock. */
   readonly failedAt: number | undefined;
-  /** True while the platform lists the engine as leaving, whatever it says itself. */
+  /** True while the VM list marks the engine as leaving, whatever its own reports say. */
   readonly listedLeaving: boolean;
 }
 
-/** What happened to an engine. A new incarnation or new weights void all beliefs about its cache. */
+/** A change of an engine. A new incarnation or new weights invalidate everything known about its cache. */
 export type EngineChange =
   | { readonly kind: "added" | "removed"; readonly engine: EngineReplica }
   | { readonly kind: "restarted" | "reloaded"; readonly engine: EngineReplica }
@@ -38,18 +38,18 @@
 
 export type EngineListener = (change: EngineChange) => void;
 
-/** The engines known to one router. */
+/** The engines that one router knows. */
 export interface EngineDirectory {
   readonly get: (id: string) => EngineReplica | undefined;
   readonly all: () => readonly EngineReplica[];
   readonly inPool: (pool: string) => readonly EngineReplica[];
-  /** Takes a whole VM list: adds what is new, drops what is gone, marks what is leaving. */
+  /** Applies a complete VM list: adds new engines, removes missing ones and marks those that are leaving. */
   readonly applyVms: (vms: readonly ListedVm[]) => void;
-  /** Takes a load report; one older than the last is ignored. */
+  /** Applies a load report; one that is older than the last is ignored. */
   readonly applyLoad: (id: string, load: EngineLoad, readAt: number) => void;
   /**
-   * Takes a report that a restarted router got from a peer's memory. The engine stays unconfirmed until a
-   * report of its own comes, and counts as restarted if that shows another incarnation.
+   * Applies a load report that a restarted router received from a peer. The engine stays unconfirmed until it reports
+   * itself, and counts as restarted if that report shows another incarnation.
    */
   readonly restoreLoad: (id: string, load: EngineLoad, readAt: number) => void;
   readonly markLeaving: (id: string) => void;
@@ -74,13 +74,12 @@
   listedLeaving: vm.state === "leaving",
 });
 
-/** Makes an empty directory. */
 export const createEngineDirectory = (): EngineDirectory => {
   const engines = new Map<string, Entry>();
   const pools = new Map<string, Entry[]>();
   const listeners = new Set<EngineListener>();
 
-  const tell = (change: EngineChange): void => {
+  const notify = (change: EngineChange): void => {
     for (const listener of listeners) listener(change);
   };
 
@@ -90,21 +89,21 @@
       engine.pool,
       (pools.get(engine.pool) ?? []).filter((other) => other !== engine),
     );
-    tell({ kind: "removed", engine });
+    notify({ kind: "removed", engine });
   };
 
   const add = (vm: ListedVm): void => {
     const engine = newEntry(vm);
     engines.set(vm.id, engine);
     pools.set(vm.pool, [...(pools.get(vm.pool) ?? []), engine]);
-    tell({ kind: "added", engine });
+    notify({ kind: "added", engine });
   };
 
   const setState = (engine: Entry, state: EngineState): void => {
     const from = engine.state;
     if (from === state) return;
     engine.state = state;
-    tell({ kind: "state", engine, from });
+    notify({ kind: "state", engine, from });
   };
 
   const applyVm = (vm: ListedVm): void => {
@@ -134,9 +133,10 @@
     engine.load = load;
     engine.loadReadAt = readAt;
     engine.failedAt = undefined;
-    if (before !== undefined && before.incarnation !== load.incarnation) tell({ kind: "restarted", engine });
+    if (before !== undefined && before.incarnation !== load.incarnation)
+      notify({ kind: "restarted", engine });
     else if (before !== undefined && before.weightsVersion !== load.weightsVersion) {
-      tell({ kind: "reloaded", engine });
+      notify({ kind: "reloaded", engine });
     }
     setState(engine, load.leaving || engine.listedLeaving ? "leaving" : "live");
   };
--- a/src/state/heatSketch.test.ts
+++ b/src/state/heatSketch.test.ts
@@ -6,7 +6,7 @@
 const limits = { maximumKeys: 16, memory: 1_000, shortestWindow: 100 };
 
 describe("createHeatSketch", () => {
-  it("keeps what is seen often, whatever is seen once, and never more than its limit", () => {
+  it("keeps a frequent key among many that occur once, and never exceeds its limit", () => {
     const onceSeen = fc.array(fc.integer({ min: 1, max: 12 }), { minLength: 5, maxLength: 60 });
     fc.assert(
       fc.property(onceSeen, (bursts) => {
@@ -29,7 +29,7 @@
     );
   });
 
-  it("comes to the rate of a steady stream soon, and forgets it when the stream ends", () => {
+  it("approaches the rate of a steady stream and decays when the stream ends", () => {
     const sketch = createHeatSketch(limits);
     for (let now = 0; now <= 300; now += 10) sketch.note("steady", now);
     expect(Math.abs(sketch.rate("steady", 300) - 0.1) < 0.02).toEqual(true);
--- a/src/state/heatSketch.ts
+++ b/src/state/heatSketch.ts
@@ -1,35 +1,35 @@
 /**
- * How often prefixes are asked for, in bounded memory: decayed counts of the keys seen most and last.
+ * Estimates how often prefixes are requested, in bounded memory: exponentially decayed counts of the most frequent
+ * and most recent keys.
  *
- * A full sketch gives up the coldest of its least recently seen keys, so a key that is asked for often stays
- * however many others are seen once.
+ * A full sketch evicts the key with the lowest count among its least recently seen keys, so a frequent key stays
+ * however many other keys are seen once.
  */
 
-/** A key with its rate. */
 export interface HotKey {
   readonly key: string;
-  /** Sightings a millisecond. */
+  /** Occurrences per millisecond. */
   readonly rate: number;
 }
 
 /** Decayed rates of a bounded number of keys. Times are milliseconds on one monotonic clock. */
 export interface HeatSketch {
-  /** Counts one sighting. */
+  /** Counts one occurrence of a key. */
   readonly note: (key: string, now: number) => void;
-  /** @returns Sightings a millisecond; 0 for a key that is not kept. */
+  /** @returns Occurrences per millisecond; 0 for a key that is not in the sketch. */
   readonly rate: (key: string, now: number) => number;
   readonly has: (key: string) => boolean;
-  /** @returns The keys of highest rate, hottest first. */
+  /** @returns The keys with the highest rates, highest first. */
   readonly hottest: (count: number, now: number) => readonly HotKey[];
   readonly size: () => number;
 }
 
-/** How much a sketch keeps and how fast it forgets. */
+/** Size and decay of a sketch. */
 export interface HeatSketchLimits {
   readonly maximumKeys: number;
-  /** Time constant of the decay, milliseconds. */
+  /** Time constant of the exponential decay, milliseconds. */
   readonly memory: number;
-  /** A key is taken to have been seen for at least this long, milliseconds: one sighting is no rate. */
+  /** Shortest window over which a rate is computed, milliseconds, so that a new key gets no excessive rate. */
   readonly shortestWindow: number;
 }
 
@@ -39,18 +39,17 @@
   readonly firstAt: number;
 }
 
-/** Least recently seen keys that are compared when one must go. */
+/** Least recently seen keys that are compared when one is evicted. */
 const evictionCandidates = 8;
 
-/** Makes an empty sketch. */
 export const createHeatSketch = ({ maximumKeys, memory, shortestWindow }: HeatSketchLimits): HeatSketch => {
-  /** The least recently seen come first. */
+  /** The least recently seen keys come first. */
   const counters = new Map<string, Counter>();
 
   const countAt = (counter: Counter, now: number): number =>
     counter.count * Math.exp((counter.updatedAt - now) / memory);
 
-  /** The first sighting opens the window in which the others are counted. */
+  /** The first occurrence starts the window and is not counted in it. */
   const rateOf = (counter: Counter, now: number): number => {
     const window = Math.max(shortestWindow, now - counter.firstAt);
     const first = Math.exp((counter.firstAt - now) / memory);
@@ -59,19 +58,19 @@
   };
 
   const evict = (now: number): void => {
-    let coldest: string | undefined;
-    let least = Number.POSITIVE_INFINITY;
+    let leastUsedKey: string | undefined;
+    let lowestCount = Number.POSITIVE_INFINITY;
     let compared = 0;
     for (const [key, counter] of counters) {
       const count = countAt(counter, now);
-      if (count < least) {
-        least = count;
-        coldest = key;
+      if (count < lowestCount) {
+        lowestCount = count;
+        leastUsedKey = key;
       }
       compared += 1;
       if (compared === evictionCandidates) break;
     }
-    if (coldest !== undefined) counters.delete(coldest);
+    if (leastUsedKey !== undefined) counters.delete(leastUsedKey);
   };
 
   const note = (key: string, now: number): void => {
--- a/src/state/log.ts
+++ b/src/state/log.ts
@@ -1,29 +1,29 @@
 /**
- * Log lines, for changes of state only: what happens all the time is counted instead. Each line is one JSON
- * object under a `debug` namespace.
+ * Structured logging of state changes; frequent events are counted as metrics instead. Each line is one JSON object,
+ * written under a `debug` namespace.
  */
 import createDebug from "debug";
 
-/** Fields of a line; never a key, a prompt or an answer. */
+/** Fields of a line. They must not contain API keys, prompts or responses. */
 export type LogFields = Readonly<Record<string, string | number | boolean | null>>;
 
-/** Writes lines of one part of the process. */
+/** Writes the log lines of one component. */
 export type Logger = (event: string, fields?: LogFields) => void;
 
-/** Takes lines instead of `debug`. */
+/** Receives the lines of all loggers in place of `debug`. */
 export type LogSink = (part: string, event: string, fields: LogFields) => void;
 
 let sink: LogSink | undefined;
 
-/** Sends the lines of all loggers, made already or later, to one place. */
+/** Sends the lines of all loggers, including those created earlier, to one sink. */
 export const directLogs = (target: LogSink): void => {
   sink = target;
 };
 
 /**
- * Makes a logger.
+ * Creates a logger.
  *
- * @param part - Becomes the namespace `pomelocleat:PART`.
+ * @param part - The component's name; the `debug` namespace is `pomelocleat:PART`.
  */
 export const createLogger = (part: string): Logger => {
   const write = createDebug(`pomelocleat:${part}`);
@@ -37,5 +37,5 @@
   };
 };
 
-/** Turns lines on, in `debug`'s notation, for example `pomelocleat:*`. */
+/** Enables logging for namespaces in `debug`'s notation, for example `pomelocleat:*`. */
 export const enableLogs = (namespaces: string): void => createDebug.enable(namespaces);
--- a/src/state/peerDirectory.ts
+++ b/src/state/peerDirectory.ts
@@ -1,30 +1,30 @@
 /**
- * What a router believes about the other routers: who they are, whether they are alive, and what they said last.
+ * A router's view of the other routers: their identity, whether they are alive, and the configuration last reported.
  *
- * A peer that is not heard in time becomes suspect and, unless it or somebody who heard it speaks up, dead.
- * Death is final for an incarnation: whatever it still sends is refused until it comes with a higher one.
+ * A peer whose messages stop becomes suspect, and then dead unless a message of its own or another router's sighting
+ * arrives. Dead is final for an incarnation: its messages are refused until the peer joins with a higher incarnation.
  */
 import type { ListedVm } from "../protocol/types.ts";
 
 /**
- * - `listed`: in the VM list, never heard.
- * - `live`: heard in time.
- * - `suspect`: not heard in time; still counted until it is dead.
- * - `dead`: refused until it comes with a higher incarnation.
- * - `leaving`: takes no more work.
+ * - `listed`: in the VM list, but no message received yet.
+ * - `live`: its messages arrive in time.
+ * - `suspect`: no message arrived in time; still counted as a member until it is dead.
+ * - `dead`: refused until it joins with a higher incarnation.
+ * - `leaving`: accepts no more work.
  */
 export type PeerState = "listed" | "live" | "suspect" | "dead" | "leaving";
 
-/** What a peer has in force. */
+/** The configuration that a peer has in force. */
 export interface PeerConfiguration {
   readonly version: number | undefined;
-  /** Every log record below this offset is taken account of. */
+  /** The configuration includes the effect of every log record below this offset. */
   readonly knownTo: number;
   /** When the peer last read the log, milliseconds on this process's monotonic clock. */
   readonly logReadAt: number | undefined;
 }
 
-/** One peer as it is believed to be. The directory changes entries in place: read, do not keep. */
+/** One peer. The directory changes entries in place, so read them at once and do not store them. */
 export interface Peer {
   readonly name: string;
   readonly dataCentre: string;
@@ -32,18 +32,18 @@
   readonly incarnation: number;
   readonly state: PeerState;
   readonly listed: boolean;
-  /** When its last message came, milliseconds on the monotonic clock. */
+  /** When its last message arrived, milliseconds on the monotonic clock. */
   readonly heardAt: number;
-  /** When it or somebody who heard it last showed that it lives. */
+  /** When it last was known to be alive, by its own message or by another router's sighting. */
   readonly seenAt: number;
-  /** It promised its next message within this many milliseconds. */
+  /** Milliseconds within which it promised to send its next message. */
   readonly nextWithin: number;
   /** When it became suspect or dead. */
   readonly changedAt: number;
   readonly configuration: PeerConfiguration | undefined;
 }
 
-/** Who a peer says it is. */
+/** The identity that a peer states when it joins. */
 export interface PeerIdentity {
   readonly name: string;
   readonly dataCentre: string;
@@ -57,31 +57,31 @@
   readonly from: PeerState;
 }
 
-/** Times by which peers are judged. */
+/** Timeouts after which a peer is suspect, dead and removed. */
 export interface PeerTimeouts {
-  /** A peer is suspect when it is silent for this many of its promised intervals. */
+  /** A peer becomes suspect after this many of its promised intervals without a message. */
   readonly missedIntervals: number;
-  /** A suspect is dead after this many more of its promised intervals. */
+  /** A suspect peer becomes dead after this many further intervals. */
   readonly suspectIntervals: number;
-  /** Added to both, milliseconds. */
+  /** Milliseconds added to both timeouts. */
   readonly slack: number;
-  /** How long a dead peer that is not listed is remembered, milliseconds. */
+  /** Milliseconds for which a dead or leaving peer is kept that is not in the VM list. */
   readonly memory: number;
 }
 
-/** The peers known to one router. */
+/** The peers that one router knows. */
 export interface PeerDirectory {
   readonly get: (name: string) => Peer | undefined;
   readonly all: () => readonly Peer[];
-  /** Takes a whole VM list. */
+  /** Applies a complete VM list. */
   readonly applyVms: (vms: readonly ListedVm[], now: number) => void;
   /**
-   * Lets a peer in, or not.
+   * Admits a peer, unless its incarnation is out of date.
    *
-   * @returns The incarnation that has to be passed, if the peer's is out of date.
+   * @returns `undefined` if it is admitted, otherwise the incarnation that it has to exceed.
    */
   readonly admit: (identity: PeerIdentity, now: number) => number | undefined;
-  /** Notes a message. @returns False if it is of an incarnation that is out of date. */
+  /** Records a message of a peer. @returns False if its sender is unknown or its incarnation is out of date. */
   readonly noteMessage: (
     name: string,
     incarnation: number,
@@ -89,14 +89,14 @@
     leaving: boolean,
     now: number,
   ) => boolean;
-  /** Notes that somebody else heard a peer `at` that time. */
+  /** Records that another router received a message of a peer at the time `at`. */
   readonly noteSighting: (name: string, incarnation: number, at: number, now: number) => void;
   readonly noteConfiguration: (name: string, configuration: PeerConfiguration) => void;
-  /** Notes that a connection broke. */
+  /** Records that the connection to a peer broke: a live peer becomes suspect. */
   readonly markBroken: (name: string, now: number) => void;
-  /** Judges all peers anew. */
+  /** Updates the states of all peers by the timeouts. */
   readonly updateStates: (now: number) => void;
-  /** Gives all peers time as though nothing had been missed: this process itself stood still. */
+  /** Restarts the timeouts of all peers. Used after a pause of this process, when it could not receive messages. */
   readonly resetTimeouts: (now: number) => void;
   /** @returns A function that ends the subscription. */
   readonly subscribe: (listener: (change: PeerChange) => void) => () => void;
@@ -118,12 +118,8 @@
   configuration: undefined,
 });
 
-/**
- * Makes an empty directory.
- *
- * @param self - This router's name; it is never its own peer.
- */
-export const createPeerDirectory = (self: string, patience: PeerTimeouts): PeerDirectory => {
+/** @param self - This router's name; its own entry in a VM list is skipped. */
+export const createPeerDirectory = (self: string, timeouts: PeerTimeouts): PeerDirectory => {
   const peers = new Map<string, Entry>();
   const listeners = new Set<(change: PeerChange) => void>();
 
@@ -135,32 +131,32 @@
     for (const listener of listeners) listener({ peer, from });
   };
 
-  const find = (identity: Omit<PeerIdentity, "incarnation">, now: number): Entry => {
+  const findOrAdd = (identity: Omit<PeerIdentity, "incarnation">, now: number): Entry => {
     const known = peers.get(identity.name);
     if (known !== undefined) return known;
-    const made = newEntry(identity, now);
-    peers.set(identity.name, made);
-    return made;
+    const created = newEntry(identity, now);
+    peers.set(identity.name, created);
+    return created;
   };
 
-  const list = (vm: ListedVm, url: string, now: number): void => {
-    const peer = find({ name: vm.id, dataCentre: vm.dataCentre, url }, now);
+  const addListed = (vm: ListedVm, url: string, now: number): void => {
+    const peer = findOrAdd({ name: vm.id, dataCentre: vm.dataCentre, url }, now);
     peer.listed = true;
     if (peer.state === "listed" || peer.state === "dead") peer.url = url;
     if (vm.state === "leaving") setState(peer, "leaving", now);
   };
 
-  /** A peer that is neither listed nor alive is of no more use. */
-  const isForgotten = (peer: Peer, now: number): boolean => {
+  /** True for a peer that left the VM list before it sent a message, or that has been dead or leaving for `memory`. */
+  const isExpired = (peer: Peer, now: number): boolean => {
     if (peer.listed) return false;
     if (peer.state === "listed") return true;
-    const gone = peer.state === "dead" || (peer.state === "leaving" && now - peer.seenAt > patience.memory);
-    return gone && now - peer.changedAt > patience.memory;
+    const gone = peer.state === "dead" || (peer.state === "leaving" && now - peer.seenAt > timeouts.memory);
+    return gone && now - peer.changedAt > timeouts.memory;
   };
 
-  const forget = (now: number): void => {
+  const removeExpired = (now: number): void => {
     for (const peer of [...peers.values()]) {
-      if (!isForgotten(peer, now)) continue;
+      if (!isExpired(peer, now)) continue;
       setState(peer, "dead", now);
       peers.delete(peer.name);
     }
@@ -170,16 +166,16 @@
     for (const peer of peers.values()) peer.listed = false;
     for (const vm of vms) {
       if (vm.role !== "router" || vm.peerUrl === undefined || vm.id === self) continue;
-      list(vm, vm.peerUrl, now);
+      addListed(vm, vm.peerUrl, now);
     }
-    forget(now);
+    removeExpired(now);
   };
 
   const isOutOfDate = (peer: Peer, incarnation: number): boolean =>
     incarnation < peer.incarnation || (incarnation === peer.incarnation && peer.state === "dead");
 
   const admit = (identity: PeerIdentity, now: number): number | undefined => {
-    const peer = find(identity, now);
+    const peer = findOrAdd(identity, now);
     if (isOutOfDate(peer, identity.incarnation)) return peer.incarnation;
     const isNew = identity.incarnation > peer.incarnation;
     peer.incarnation = identity.incarnation;
@@ -190,7 +186,7 @@
     return undefined;
   };
 
-  const hear: PeerDirectory["noteMessage"] = (name, incarnation, nextWithin, leaving, now) => {
+  const noteMessage: PeerDirectory["noteMessage"] = (name, incarnation, nextWithin, leaving, now) => {
     const peer = peers.get(name);
     if (peer === undefined || isOutOfDate(peer, incarnation)) return false;
     peer.incarnation = incarnation;
@@ -202,15 +198,15 @@
     return true;
   };
 
-  const patienceFor = (peer: Peer): number => peer.nextWithin * patience.missedIntervals + patience.slack;
+  const timeoutOf = (peer: Peer): number => peer.nextWithin * timeouts.missedIntervals + timeouts.slack;
 
-  const sight: PeerDirectory["noteSighting"] = (name, incarnation, at, now) => {
+  const noteSighting: PeerDirectory["noteSighting"] = (name, incarnation, at, now) => {
     const peer = peers.get(name);
     if (peer === undefined || peer.state === "dead" || isOutOfDate(peer, incarnation)) return;
     if (at <= peer.seenAt) return;
     peer.incarnation = incarnation;
     peer.seenAt = at;
-    if (peer.state === "suspect" && now - at <= patienceFor(peer)) setState(peer, "live", now);
+    if (peer.state === "suspect" && now - at <= timeoutOf(peer)) setState(peer, "live", now);
   };
 
   const markBroken = (name: string, now: number): void => {
@@ -218,10 +214,10 @@
     if (peer?.state === "live") setState(peer, "suspect", now);
   };
 
-  const judgeOne = (peer: Entry, now: number): void => {
-    if (peer.state === "live" && now - peer.seenAt > patienceFor(peer)) setState(peer, "suspect", now);
+  const updateState = (peer: Entry, now: number): void => {
+    if (peer.state === "live" && now - peer.seenAt > timeoutOf(peer)) setState(peer, "suspect", now);
     if (peer.state !== "suspect") return;
-    const waited = peer.nextWithin * patience.suspectIntervals + patience.slack;
+    const waited = peer.nextWithin * timeouts.suspectIntervals + timeouts.slack;
     if (now - peer.changedAt > waited) setState(peer, "dead", now);
   };
 
@@ -230,16 +226,16 @@
     all: () => [...peers.values()],
     applyVms,
     admit,
-    noteMessage: hear,
-    noteSighting: sight,
+    noteMessage,
+    noteSighting,
     noteConfiguration: (name, configuration) => {
       const peer = peers.get(name);
       if (peer !== undefined) peer.configuration = configuration;
     },
     markBroken,
     updateStates: (now) => {
-      for (const peer of peers.values()) judgeOne(peer, now);
-      forget(now);
+      for (const peer of peers.values()) updateState(peer, now);
+      removeExpired(now);
     },
     resetTimeouts: (now) => {
       for (const peer of peers.values()) {
--- a/src/state/recentMap.test.ts
+++ b/src/state/recentMap.test.ts
@@ -3,7 +3,7 @@
 import { createRecentMap } from "./recentMap.ts";
 
 describe("createRecentMap", () => {
-  it("drops the entry that was set longest ago", () => {
+  it("removes the entry that was set least recently", () => {
     const map = createRecentMap<number>(2);
     for (const key of ["a", "b", "a", "c"]) map.set(key, 1);
     expect(["a", "b", "c"].map(map.has)).toEqual([true, false, true]);
--- a/src/state/recentMap.ts
+++ b/src/state/recentMap.ts
@@ -1,4 +1,4 @@
-/** See {@link createRecentMap}. */
+/** A map that keeps the entries set most recently. */
 export interface RecentMap<T> {
   readonly has: (key: string) => boolean;
   readonly get: (key: string) => T | undefined;
@@ -9,7 +9,7 @@
 /**
  * Creates a map of bounded size.
  *
- * @param capacity - Entries that are kept; beyond it the entry that was set longest ago is dropped.
+ * @param capacity - Maximum number of entries; beyond it the entry that was set least recently is removed.
  */
 export const createRecentMap = <T>(capacity: number): RecentMap<T> => {
   const entries = new Map<string, T>();
--- a/src/state/serviceDirectory.ts
+++ b/src/state/serviceDirectory.ts
@@ -1,4 +1,4 @@
-/** What a router believes about each plain service's replicas. */
+/** A router's view of the replicas of plain services. */
 import type { ListedVm } from "../protocol/types.ts";
 
 /** One replica of a plain service. */
@@ -8,16 +8,17 @@
   readonly dataCentre: string;
   readonly url: string;
   readonly leaving: boolean;
-  /** Calls of this router that have not ended. */
+  /** Calls of this router in progress. */
   readonly inFlight: number;
   /** When it last failed a call, milliseconds on the monotonic clock. */
   readonly failedAt: number | undefined;
 }
 
-/** The service replicas known to one router. */
+/** The service replicas that one router knows. */
 export interface ServiceDirectory {
   readonly all: () => readonly ServiceReplica[];
   readonly ofService: (service: string) => readonly ServiceReplica[];
+  /** Applies a complete VM list. */
   readonly applyVms: (vms: readonly ListedVm[]) => void;
   readonly markLeaving: (id: string) => void;
   readonly markFailed: (id: string, at: number) => void;
@@ -27,11 +28,10 @@
 
 type Entry = { -readonly [Key in keyof ServiceReplica]: ServiceReplica[Key] };
 
-/** Makes an empty directory. */
 export const createServiceDirectory = (): ServiceDirectory => {
   let replicas = new Map<string, Entry>();
 
-  const update = (vm: ListedVm): Entry => {
+  const fromVm = (vm: ListedVm): Entry => {
     const known = replicas.get(vm.id);
     const listedLeaving = vm.state === "leaving";
     if (known?.url === vm.url && known.service === vm.pool) {
@@ -49,7 +49,7 @@
     };
   };
 
-  const change = (id: string, apply: (entry: Entry) => void): void => {
+  const updateEntry = (id: string, apply: (entry: Entry) => void): void => {
     const entry = replicas.get(id);
     if (entry !== undefined) apply(entry);
   };
@@ -59,12 +59,12 @@
     ofService: (service) => [...replicas.values()].filter((replica) => replica.service === service),
     applyVms: (vms) => {
       const listed = vms.filter((vm) => vm.role === "service");
-      replicas = new Map(listed.map((vm) => [vm.id, update(vm)]));
+      replicas = new Map(listed.map((vm) => [vm.id, fromVm(vm)]));
     },
-    markLeaving: (id) => change(id, (entry) => (entry.leaving = true)),
-    markFailed: (id, at) => change(id, (entry) => (entry.failedAt = at)),
-    markAnswered: (id) => change(id, (entry) => (entry.failedAt = undefined)),
+    markLeaving: (id) => updateEntry(id, (entry) => (entry.leaving = true)),
+    markFailed: (id, at) => updateEntry(id, (entry) => (entry.failedAt = at)),
+    markAnswered: (id) => updateEntry(id, (entry) => (entry.failedAt = undefined)),
     addInFlight: (id, difference) =>
-      change(id, (entry) => (entry.inFlight = Math.max(0, entry.inFlight + difference))),
+      updateEntry(id, (entry) => (entry.inFlight = Math.max(0, entry.inFlight + difference))),
   };
 };
--- a/src/state/steadyTime.test.ts
+++ b/src/state/steadyTime.test.ts
@@ -2,18 +2,18 @@
 import { expect } from "earl";
 import { createSteadyTime } from "./steadyTime.ts";
 
-/** Clocks of a machine that a test moves. */
+/** Simulated clocks of a machine. */
 const createClocks = () => {
-  const clocks = { steady: 1_000, wall: 1_700_000_000_000, boot: 50_000 };
+  const clocks = { monotonic: 1_000, wall: 1_700_000_000_000, boot: 50_000 };
   const now = createSteadyTime({
-    steady: () => clocks.steady,
+    monotonic: () => clocks.monotonic,
     wall: () => clocks.wall,
     sinceBoot: () => clocks.boot,
   });
   return {
     now,
     pass: (milliseconds: number): void => {
-      clocks.steady += milliseconds;
+      clocks.monotonic += milliseconds;
       clocks.wall += milliseconds;
       clocks.boot += milliseconds;
     },
@@ -30,26 +30,26 @@
   };
 };
 
-describe("the time by which beliefs are bounded", () => {
-  it("goes on with the steady clock", () => {
+describe("createSteadyTime", () => {
+  it("advances with the monotonic clock", () => {
     const clocks = createClocks();
     const before = clocks.now();
     clocks.pass(60_000);
     expect(clocks.now() - before).toEqual(60_000);
   });
 
-  it("counts the time for which the VM was suspended, also in series", () => {
+  it("includes the duration of suspensions, also of several in a row", () => {
     const clocks = createClocks();
     const before = clocks.now();
-    for (const stood of [300, 6_000, 2_000]) {
-      clocks.suspend(stood);
+    for (const duration of [300, 6_000, 2_000]) {
+      clocks.suspend(duration);
       clocks.pass(10);
       clocks.now();
     }
     expect(clocks.now() - before).toEqual(8_330);
   });
 
-  it("goes on as it was where the time of day is set, forward, back, and back again", () => {
+  it("is not affected when the time of day is set forward or back", () => {
     const clocks = createClocks();
     const before = clocks.now();
     for (const difference of [5_000, -5_000, -3_000, 3_000, -9_000]) {
@@ -60,7 +60,7 @@
     expect(clocks.now() - before).toEqual(500);
   });
 
-  it("counts a suspension during which the time of day was set back", () => {
+  it("includes a suspension during which the time of day was set back", () => {
     const clocks = createClocks();
     const before = clocks.now();
     clocks.pass(2_000);
@@ -72,10 +72,10 @@
     expect(clocks.now() - before).toEqual(9_000);
   });
 
-  it("takes beliefs for older, never for younger, where the clock since boot is not this machine's", () => {
+  it("runs fast rather than slow if the clock since boot belongs to another machine", () => {
     const clocks = createClocks();
     const before = clocks.now();
-    for (let look = 0; look < 20; look += 1) {
+    for (let check = 0; check < 20; check += 1) {
       clocks.pass(600);
       clocks.setBoot(-450);
       clocks.now();
@@ -94,7 +94,7 @@
     expect(clocks.now() - last).toEqual(4_000);
   });
 
-  it("doesn't add up the drift of clocks, nor what is finer than the time of day tells", () => {
+  it("does not accumulate clock drift or rounding of the time of day", () => {
     const clocks = createClocks();
     const before = clocks.now();
     for (let count = 0; count < 10_000; count += 1) {
--- a/src/state/steadyTime.ts
+++ b/src/state/steadyTime.ts
@@ -1,117 +1,122 @@
 /**
- * The time by which this process bounds what it believes and owes: milliseconds that go on while its VM is suspended.
+ * A monotonic time in milliseconds that includes the time for which the VM was suspended. Leases, timeouts and the age
+ * of cached state are measured by it.
  *
- * The steady clock of the runtime stands still then, so that leases, proofs and grants that are over would look fresh.
- * Two others go on: the time of day, which may also be set, and the clock since boot, which some machines don't show as
- * it is. The time of day is looked at beside the steady clock at each call. Where it leaps ahead, the clock since boot
- * says whether the VM was suspended, as long as it has kept pace with the steady one; where it hasn't, the leap counts
- * as time that has passed: beliefs are taken for older than they may be then, never for younger, and are proved anew by
- * the next read of the store.
+ * The monotonic clock of the runtime stops during a suspension, so expired leases, proofs and grants would look valid.
+ * Two other clocks continue: the time of day, which may also be set, and the clock since boot, which some machines
+ * report incorrectly. Each call compares the time of day with the monotonic clock. If it jumps ahead, the clock since
+ * boot decides whether the VM was suspended, provided that it has recently advanced at the rate of the monotonic clock.
+ * Otherwise the jump counts as elapsed time: cached state may then look older than it is, never younger, and the next
+ * read of the store confirms it.
  */
 import { uptime } from "node:os";
 import { createLogger } from "./log.ts";
 
-/** The clocks of a machine; milliseconds. */
+/** The clocks of a machine, in milliseconds. */
 export interface ClockSources {
-  /** Never goes back; stands still while the VM is suspended. */
-  readonly steady: () => number;
+  /** Never goes back; stops while the VM is suspended. */
+  readonly monotonic: () => number;
   /** The time of day. */
   readonly wall: () => number;
-  /** Since the machine's start, suspension included; coarse, and too dear to be asked at each call. */
+  /** Time since the machine's start, including suspensions; coarse, and too expensive to read at each call. */
   readonly sinceBoot: () => number;
 }
 
-/** A leap from here on is no drift of clocks, milliseconds. */
-const leastLeap = 250;
+/** Smaller differences, in milliseconds, are drift of the clocks. */
+const minClockJump = 250;
 
-/** Between two looks at whether the clock since boot keeps pace, milliseconds. */
-const paceInterval = 500;
+/** Milliseconds between two checks of the clock since boot against the monotonic clock. */
+const bootClockCheckInterval = 500;
 
-/** It does if it is off by no more than this between two looks, milliseconds: its own steps, and other processes' turns. */
-const paceTolerance = 40;
+/** Deviation between two checks, in milliseconds, that the clock's resolution and process scheduling explain. */
+const bootClockTolerance = 40;
 
-/** So long after it did not keep pace it is not relied on, milliseconds. */
-const paceMemory = 10_000;
+/** Milliseconds for which the clock since boot is not relied on after a larger deviation. */
+const bootClockDistrustTime = 10_000;
 
-/** Clocks that were read further apart are not compared, milliseconds. */
-const longestReading = 5;
+/** Clocks that were read further apart than this, in milliseconds, are not compared. */
+const maxReadDuration = 5;
 
 const millisecondsPerSecond = 1_000;
 
 const writeLog = createLogger("clock");
 
-/** The clock since boot beside the steady one. */
-const createBootWatch = ({ steady, sinceBoot }: ClockSources) => {
-  let ahead = sinceBoot() - steady();
-  let lookedAt = steady();
-  let offPaceAt = Number.NEGATIVE_INFINITY;
+/** Compares the clock since boot with the monotonic clock. */
+const createBootClockMonitor = ({ monotonic, sinceBoot }: ClockSources) => {
+  let lastOffset = sinceBoot() - monotonic();
+  let checkedAt = monotonic();
+  let deviatedAt = Number.NEGATIVE_INFINITY;
 
-  /** @returns By how much it went ahead since the last look; nothing if that can't be told. */
+  /** @returns By how much it moved ahead since the last check; `undefined` if the clocks were read too far apart. */
   const advance = (): number | undefined => {
-    const now = steady();
-    const aheadNow = sinceBoot() - now;
-    if (steady() - now > longestReading) return undefined;
-    const gone = aheadNow - ahead;
-    ahead = aheadNow;
-    lookedAt = now;
-    return gone;
+    const now = monotonic();
+    const currentOffset = sinceBoot() - now;
+    if (monotonic() - now > maxReadDuration) return undefined;
+    const change = currentOffset - lastOffset;
+    lastOffset = currentOffset;
+    checkedAt = now;
+    return change;
   };
 
   return {
-    isDue: (now: number): boolean => now - lookedAt >= paceInterval,
+    isDue: (now: number): boolean => now - checkedAt >= bootClockCheckInterval,
     advance,
-    noteOffPace: (now: number): void => {
-      offPaceAt = now;
+    noteDeviation: (now: number): void => {
+      deviatedAt = now;
     },
-    keepsPace: (now: number): boolean => now - offPaceAt >= paceMemory,
+    isReliable: (now: number): boolean => now - deviatedAt >= bootClockDistrustTime,
   };
 };
 
-/** Creates a time that has not leapt. @returns Milliseconds; never less than before. */
+/** @returns A function that returns the time in milliseconds; it never goes back. */
 export const createSteadyTime = (sources: ClockSources): (() => number) => {
-  const { steady, wall } = sources;
-  const boot = createBootWatch(sources);
-  let ahead = wall() - steady();
-  let lost = 0;
-
-  const count = (stood: number, byTimeOfDay: number, byClockSinceBoot: number | undefined): void => {
-    lost += stood;
+  const { monotonic, wall } = sources;
+  const bootClock = createBootClockMonitor(sources);
+  let lastOffset = wall() - monotonic();
+  let suspendedTime = 0;
+
+  const addSuspension = (
+    duration: number,
+    byTimeOfDay: number,
+    byClockSinceBoot: number | undefined,
+  ): void => {
+    suspendedTime += duration;
     writeLog("stood_still", {
-      milliseconds: Math.round(stood),
+      milliseconds: Math.round(duration),
       byTimeOfDay: Math.round(byTimeOfDay),
       byClockSinceBoot: byClockSinceBoot === undefined ? null : Math.round(byClockSinceBoot),
     });
   };
 
-  const judgeLeap = (leap: number, now: number): void => {
-    const gone = boot.advance();
-    if (gone === undefined || !boot.keepsPace(now)) count(leap, leap, gone);
-    else if (gone > leastLeap) count(gone, leap, gone);
-    else writeLog("time_set", { byTimeOfDay: Math.round(leap), byClockSinceBoot: Math.round(gone) });
+  const handleJump = (jump: number, now: number): void => {
+    const change = bootClock.advance();
+    if (change === undefined || !bootClock.isReliable(now)) addSuspension(jump, jump, change);
+    else if (change > minClockJump) addSuspension(change, jump, change);
+    else writeLog("time_set", { byTimeOfDay: Math.round(jump), byClockSinceBoot: Math.round(change) });
   };
 
-  /** A VM may be suspended while its time of day is set back; and the clock since boot may be none. */
-  const lookAtPace = (now: number): void => {
-    const gone = boot.advance();
-    if (gone === undefined || Math.abs(gone) <= paceTolerance) return;
-    if (boot.keepsPace(now) && gone > leastLeap) count(gone, 0, gone);
-    boot.noteOffPace(now);
+  /** Detects a suspension during which the time of day was set back, and a clock since boot that is not reliable. */
+  const checkBootClock = (now: number): void => {
+    const change = bootClock.advance();
+    if (change === undefined || Math.abs(change) <= bootClockTolerance) return;
+    if (bootClock.isReliable(now) && change > minClockJump) addSuspension(change, 0, change);
+    bootClock.noteDeviation(now);
   };
 
   return () => {
-    const now = steady();
-    const aheadNow = wall() - now;
-    const leap = aheadNow - ahead;
-    ahead = aheadNow;
-    if (leap > leastLeap) judgeLeap(leap, now);
-    else if (boot.isDue(now)) lookAtPace(now);
-    return now + lost;
+    const now = monotonic();
+    const currentOffset = wall() - now;
+    const jump = currentOffset - lastOffset;
+    lastOffset = currentOffset;
+    if (jump > minClockJump) handleJump(jump, now);
+    else if (bootClock.isDue(now)) checkBootClock(now);
+    return now + suspendedTime;
   };
 };
 
-/** This process's time; see the module. All bounds in time ask this one. */
+/** The monotonic time of this process, suspensions included. All timeouts, leases and ages use it. */
 export const steadyNow = createSteadyTime({
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
   wall: () => Date.now(),
   sinceBoot: () => uptime() * millisecondsPerSecond,
 });
--- a/src/state/storeEpochs.ts
+++ b/src/state/storeEpochs.ts
@@ -1,21 +1,21 @@
-/** The newest epoch of the platform's store that any of its answers has named. */
+/** Tracks the newest epoch of the platform's store that any of its responses has named. */
 import type { EpochChange, EpochSource, StoreEpoch } from "../protocol/storeEpoch.ts";
 import { unnamedEpoch } from "../protocol/storeEpoch.ts";
 import { createLogger } from "./log.ts";
 
-/** See {@link createStoreEpochs}. */
+/** The epochs that responses of the store name. */
 export interface StoreEpochs extends EpochSource {
   /**
-   * Takes the epoch that an answer names, if it names one.
+   * Records the epoch that a response names, if any.
    *
-   * @returns The epoch of the answer, which may be older than the current one.
+   * @returns The epoch of the response, which may be older than the current one.
    */
   readonly observe: (named: StoreEpoch | undefined) => StoreEpoch;
 }
 
 const writeLog = createLogger("storeEpochs");
 
-/** Creates a tracker that has seen no answer. */
+/** Creates a tracker without an epoch; the first response sets it without a notification. */
 export const createStoreEpochs = (): StoreEpochs => {
   const listeners: ((change: EpochChange) => void)[] = [];
   let current: StoreEpoch | undefined;
