--- a/src/coordination/forwarding/answerCheck.ts
+++ b/src/coordination/forwarding/answerCheck.ts
@@ -13,12 +13,12 @@
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { Clock } from "../clock.ts";
 import { withTimeLimit } from "../timeLimit.ts";
-import { doubtTimeout } from "./constants.ts";
+import { weightsCheckTimeout } from "./constants.ts";
 
 const writeLog = createLogger("replicas");
 
 /** What answers are checked with. */
-export interface AnswerCheckParts {
+export interface AnswerCheckDependencies {
   readonly replicas: ReplicaTable;
   readonly client: Pick<ReplicaClient, "readStatus">;
   readonly clock: Clock;
@@ -30,14 +30,14 @@
 export type AnswerCheck = (answer: ReplicaAnswer, request: CallerRequest, replica: string) => Promise<void>;
 
 /** Creates a check. */
-export const createAnswerCheck = (parts: AnswerCheckParts): AnswerCheck => {
+export const createAnswerCheck = (parts: AnswerCheckDependencies): AnswerCheck => {
   const { replicas, client, clock, onLeaving } = parts;
 
   /** Asks an engine that runs other weights than believed for the true ones; a guess could stay wrong for good. */
   const readWeights = async (replica: string): Promise<void> => {
     const entry = replicas.get(replica)?.entry;
     if (entry === undefined) return;
-    const status: EngineStatus = await withTimeLimit(clock, undefined, doubtTimeout, (limit) =>
+    const status: EngineStatus = await withTimeLimit(clock, undefined, weightsCheckTimeout, (limit) =>
       client.readStatus(entry, limit),
     );
     if (isDifferentIncarnation(entry, status)) return;
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -23,9 +23,9 @@
   longestLoad,
   orderTimeout,
 } from "./constants.ts";
-import { createLoadPace } from "./loadPace.ts";
+import { createLoadPace } from "./weightsLoadConcurrency.ts";
 import type { RouterPeers } from "./routerPeers.ts";
-import { createSlots } from "./slots.ts";
+import { createSlots } from "./resizableSemaphore.ts";
 import type { ForwardingBounds } from "./types.ts";
 
 /** What changes work with. */
--- a/src/coordination/membership/constants.ts
+++ b/src/coordination/membership/constants.ts
@@ -14,7 +14,7 @@
 } as const;
 
 /** How long a silent peer is waited for. */
-export const patience: PeerTimeouts = {
+export const peerTimeouts: PeerTimeouts = {
   missedIntervals: 2.5,
   suspectIntervals: 1.5,
   slack: 250,
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -25,13 +25,13 @@
 import { createLiveMembers } from "./liveMembers.ts";
 import type { Member, MembershipListener } from "./Membership.ts";
 import { Membership } from "./Membership.ts";
-import type { PeerFeature } from "./PeerFeature.ts";
+import type { PeerMessageExtension } from "./PeerMessageExtension.ts";
 import { createPeerLinks } from "./peerLinks.ts";
-import { createStallGuard } from "./stallGuard.ts";
+import { createStallGuard } from "./processPauseGuard.ts";
 import { createSuspicions } from "./suspicions.ts";
 
 /** What the membership works with. */
-export interface PeerMembershipParts {
+export interface PeerMembershipDependencies {
   readonly name: string;
   readonly dataCentre: string;
   /** The first incarnation; milliseconds since 1970 do, since a VM's name is not started twice in one. */
@@ -51,7 +51,7 @@
   /** What the peer server hands on. */
   readonly handler: PeerHandler;
   /** Adds a matter to the messages; before `start`. */
-  readonly add: (feature: PeerFeature) => void;
+  readonly addExtension: (feature: PeerMessageExtension) => void;
   /** @param url - Where this router's peer server listens. */
   readonly start: (url: string) => void;
   readonly applyVms: (vms: readonly ListedVm[]) => void;
@@ -119,7 +119,7 @@
     return this.me();
   }
 
-  override livePeers(): readonly Member[] {
+  override liveMembers(): readonly Member[] {
     return this.members.current();
   }
 
@@ -137,9 +137,9 @@
 }
 
 /** Starts nothing yet: see `start`. */
-export const createPeerMembership = (parts: PeerMembershipParts): PeerMembership => {
+export const createPeerMembership = (parts: PeerMembershipDependencies): PeerMembership => {
   const { name, dataCentre, network, directory, clock, metrics } = parts;
-  const features: PeerFeature[] = [];
+  const features: PeerMessageExtension[] = [];
   let incarnation = parts.incarnation;
   let leaving = false;
   let url = "";
@@ -164,7 +164,7 @@
     if (known < incarnation) return;
     incarnation = known + 1;
     writeLog("incarnation_raised", { incarnation });
-    for (const feature of features) feature.restart();
+    for (const feature of features) feature.onNewIncarnation();
     members.refresh();
   };
 
@@ -255,7 +255,7 @@
     membership: new HeartbeatMembership(self, members),
     handler,
     push: sender.push,
-    add: (feature) => features.push(feature),
+    addExtension: (feature) => features.push(feature),
     start: (listeningUrl) => {
       url = listeningUrl;
       tick();
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -17,8 +17,8 @@
 import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
 import type { TokenBucket } from "../coordinators/tokenBucket.ts";
 import { createTokenBucket } from "../coordinators/tokenBucket.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
   grantLifetime,
   localGrantShare,
@@ -82,7 +82,7 @@
   /** By id of a replica. */
   const localBuckets = new Map<string, TokenBucket>();
   /** By service: requests that were refused. */
-  const refusedRequests = new Map<string, SlidingCount>();
+  const refusedRequests = new Map<string, SlidingWindowCounter>();
 
   replicas.subscribe(({ id }, departure) => {
     if (departure !== undefined && departure !== "draining") localBuckets.delete(id);
@@ -162,7 +162,8 @@
   };
 
   const countRefused = (service: string): number => {
-    const count = refusedRequests.get(service) ?? createSlidingCount(clock, refusalWindow, refusalBuckets);
+    const count =
+      refusedRequests.get(service) ?? createSlidingWindowCounter(clock, refusalWindow, refusalBuckets);
     refusedRequests.set(service, count);
     count.add(1);
     return count.sum();
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -16,7 +16,7 @@
 import { workWithout } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import { avoidReplica, avoidReplicaUntil } from "../replicaReports/backoff.ts";
 import { announcedLimitMaxAge } from "../replicaLimits/constants.ts";
 import { holdersNamed, reportMemory } from "./constants.ts";
@@ -115,7 +115,7 @@
   return {
     takeWork: (message) => {
       for (const report of message.reports) takeReport(message, report);
-      takeHolders(message.holders, parts);
+      applyAnnouncedHolders(message.holders, parts);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -16,16 +16,16 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import type { RouterPeers } from "../forwarding/routerPeers.ts";
-import { createConsultation } from "./consultation.ts";
+import { createConsultation } from "./ownerQueries.ts";
 import { answersTeller, createOwnedReplicas, noWork } from "./ownedReplicas.ts";
 import { createOwners } from "./owners.ts";
 import type { WorkReports } from "./workReports.ts";
 import { createWorkReports } from "./workReports.ts";
 
 /** What asking and answering work with. */
-export interface ReplicaOwnersParts {
+export interface ReplicaOwnersDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
   readonly clock: Clock;
@@ -64,7 +64,7 @@
 };
 
 /** Starts to ask and answer, until it is disposed of. */
-export const createReplicaOwners = (parts: ReplicaOwnersParts): ReplicaOwners => {
+export const createReplicaOwners = (parts: ReplicaOwnersDependencies): ReplicaOwners => {
   const { self, link, clock, replicas, holders, peers } = parts;
   const { name, dataCentre, incarnation, address, port } = self;
   const resources = createResourceStack();
@@ -82,7 +82,7 @@
 
   const take = (answer: AnswerMessage): readonly ReplicaState[] => {
     const now = clock.monotonic();
-    takeHolders(answer.holders, parts);
+    applyAnnouncedHolders(answer.holders, parts);
     return answer.reports.flatMap((report) => {
       const state = replicas.getByKey(report.replica);
       if (state === undefined) return [];
