--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -8,7 +8,7 @@
 import { metricNames } from "../../state/constants.ts";
 import { createLogger } from "../../state/log.ts";
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import { pause } from "../clock.ts";
 import { pollShare, renewalShare, safetyShare } from "./constants.ts";
 import { createLeaseLog } from "./leaseLog.ts";
@@ -72,7 +72,7 @@
   let followsRelease = false;
   const runSerially = createSerialRunner();
 
-  const currentEpoch = (): StoreEpoch => dependencies.epoch?.() ?? unnamedEpoch;
+  const currentEpoch = (): StoreEpoch => dependencies.epoch?.() ?? defaultEpoch;
   const isHeld = (): boolean => held?.epoch === currentEpoch() && clock.monotonic() < held.validUntil;
   const isHeldAs = (fencingNumber: number): boolean => held?.fencingNumber === fencingNumber && isHeld();
 
--- a/src/coordination/leases/leaseHistory.ts
+++ b/src/coordination/leases/leaseHistory.ts
@@ -13,7 +13,7 @@
  * if records had expired.
  */
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import type { LogPage, LogRecord } from "../../protocol/types.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
@@ -58,7 +58,7 @@
   lastUndecided: number;
 }
 
-const epochOf = ({ epoch = unnamedEpoch }: LeaseRecord): StoreEpoch => epoch;
+const epochOf = ({ epoch = defaultEpoch }: LeaseRecord): StoreEpoch => epoch;
 
 const headOf = (offset: number, record: LeaseRecord, previous: LeaseHead | undefined): LeaseHead => ({
   offset,
@@ -72,7 +72,7 @@
 /** Creates a history that has read nothing yet. */
 export const createLeaseHistory = (clock: Clock): LeaseHistory => {
   const leases = new Map<string, LeaseEntry>();
-  let epoch: StoreEpoch = unnamedEpoch;
+  let epoch: StoreEpoch = defaultEpoch;
   let readTo = 0;
   /** Records below this offset may have expired unread. */
   let lostBelow = 0;
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -243,7 +243,7 @@
     answer: (question) =>
       question.body.case === "join" ? admit(question.body.value) : dependencies.answer(question),
     receive,
-    lost: (from) => {
+    streamEnded: (from) => {
       if (guard.isTrusted(from)) directory.markBroken(from.name, clock.monotonic());
     },
   };
--- a/src/state/configurationHistory.ts
+++ b/src/state/configurationHistory.ts
@@ -7,7 +7,7 @@
  * offset from which on the reader has read every record.
  */
 import { decodeConfigurationRecord } from "../protocol/configuration/record.ts";
-import type { ConfigurationRecord, Restatement } from "../protocol/configuration/record.ts";
+import type { ConfigurationRecord, Republication } from "../protocol/configuration/record.ts";
 import { applyDifference } from "../protocol/configuration/sections.ts";
 import type {
   ConfigurationSection,
@@ -78,7 +78,7 @@
   /** @returns A model's entries in earlier versions, the latest first, as far as this process has applied them. */
   formerModels(name: string): readonly ModelConfiguration[];
   /** @returns A record that republishes the version in force; `undefined` while the state is uncertain. */
-  republication(): Restatement | undefined;
+  republication(): Republication | undefined;
 }
 
 const sectionsOf = (put: readonly ConfigurationSection[]): SectionMap =>
