--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -35,7 +35,7 @@
 import { labNames } from "./fleet.ts";
 import { LabReplicaClient } from "./labReplicaClient.ts";
 import { StorePosition } from "../../src/protocol/StorePosition.ts";
-import { unnamedEpoch } from "../../src/protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
 /** One router of a run. */
 export interface LabRouter {
@@ -120,7 +120,7 @@
   const replicas = createReplicaTable();
   for (const { entry } of fleet.replicas) replicas.put(entry);
   const configuration = createConfigurationState(clock);
-  const start = new StorePosition(unnamedEpoch, 0);
+  const start = new StorePosition(defaultEpoch, 0);
   const publish = (record: OperatorRecord): void =>
     configuration.apply({
       records: [{ position: start, key: record.kind, value: record }],
--- a/src/coordination/forwarding/feedFollower.test.ts
+++ b/src/coordination/forwarding/feedFollower.test.ts
@@ -9,7 +9,7 @@
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { StorePosition } from "../../protocol/StorePosition.ts";
 import { createStoreEpochs } from "../../state/storeEpochs.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 
 /** A feed whose reads a test answers one by one. */
 class ScriptedFeed extends RecordFeed<string> {
@@ -30,7 +30,7 @@
   }
 
   override put(): Promise<StoreEpoch> {
-    return Promise.resolve(unnamedEpoch);
+    return Promise.resolve(defaultEpoch);
   }
 
   override drop(): Promise<void> {
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -8,7 +8,7 @@
 import { metricNames } from "../../state/constants.ts";
 import { createLogger } from "../../state/log.ts";
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import { pause } from "../clock.ts";
 import { pollShare, renewalShare, safetyShare } from "./constants.ts";
 import { createLeaseLog } from "./leaseLog.ts";
@@ -73,7 +73,7 @@
   let followsRelease = false;
   const exclusively = createSequence();
 
-  const currentEpoch = (): StoreEpoch => parts.epoch?.() ?? unnamedEpoch;
+  const currentEpoch = (): StoreEpoch => parts.epoch?.() ?? defaultEpoch;
   const isCurrent = (): boolean => held?.epoch === currentEpoch() && clock.monotonic() < held.validUntil;
   const isHeldAs = (fencingNumber: number): boolean => held?.fencingNumber === fencingNumber && isCurrent();
 
--- a/src/coordination/leases/leaseHistory.test.ts
+++ b/src/coordination/leases/leaseHistory.test.ts
@@ -3,7 +3,7 @@
 import { createManualClock } from "../manualClock.ts";
 import { createLeaseHistory } from "./leaseHistory.ts";
 import { encodeLeaseRecord } from "./leaseRecord.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 
 const lease = "orders/levant";
 
@@ -19,7 +19,7 @@
     note: [],
   });
 
-const page = (records: readonly string[], earliestOffset = 0, epoch = unnamedEpoch) => ({
+const page = (records: readonly string[], earliestOffset = 0, epoch = defaultEpoch) => ({
   records: records
     .map((data, offset) => ({ offset, appendedAt: 0, data }))
     .filter((record) => record.offset >= earliestOffset),
--- a/src/coordination/leases/leaseHistory.ts
+++ b/src/coordination/leases/leaseHistory.ts
@@ -12,7 +12,7 @@
  * The history begins anew with it, only records written in it count, and contenders wait as if records had expired.
  */
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import type { LogPage, LogRecord } from "../../protocol/types.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
@@ -54,7 +54,7 @@
   lastUndecided: number;
 }
 
-const epochOf = ({ epoch = unnamedEpoch }: LeaseRecord): StoreEpoch => epoch;
+const epochOf = ({ epoch = defaultEpoch }: LeaseRecord): StoreEpoch => epoch;
 
 const headOf = (offset: number, record: LeaseRecord, before: LeaseHead | undefined): LeaseHead => ({
   offset,
@@ -68,7 +68,7 @@
 /** Creates a history that has read nothing. */
 export const createLeaseHistory = (clock: Clock): LeaseHistory => {
   const leases = new Map<string, Entry>();
-  let epoch: StoreEpoch = unnamedEpoch;
+  let epoch: StoreEpoch = defaultEpoch;
   let readTo = 0;
   /** Records below this offset may have expired unread. */
   let lostTo = 0;
--- a/src/coordination/leases/leaseLog.ts
+++ b/src/coordination/leases/leaseLog.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from "node:crypto";
 import { logStreams } from "../../protocol/constants.ts";
 import type { LogService } from "../../protocol/LogService.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
@@ -92,7 +92,7 @@
       holder,
       id: randomUUID(),
       readTo: history.readTo(),
-      ...(history.epoch() === unnamedEpoch ? {} : { epoch: history.epoch() }),
+      ...(history.epoch() === defaultEpoch ? {} : { epoch: history.epoch() }),
     }),
     readToEnd,
     append: async (record) => {
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -238,7 +238,7 @@
     answer: (question) =>
       question.body.case === "join" ? admit(question.body.value) : parts.answer(question),
     receive,
-    lost: (from) => {
+    streamEnded: (from) => {
       if (guard.isTrusted(from)) directory.markBroken(from.name, clock.monotonic());
     },
   };
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -1,6 +1,6 @@
 /** Opens the next attempt of a request, with a second one beside it where the class hedges. */
 import { RequestError } from "../../protocol/errors.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
 import { hasBegun } from "./answerSoFar.ts";
--- a/src/coordination/requests/relay.ts
+++ b/src/coordination/requests/relay.ts
@@ -43,7 +43,7 @@
     const { tokens: firstOffset, others: firstOthers } = answer;
     const frames = received.map((frame) => takePiece(frame, attempt.origin));
     retries.noteProgress();
-    return { frames, firstOffset, firstOthers, ...attempt.origin };
+    return { frames, firstOffset, precedingTextlessPieces: firstOthers, ...attempt.origin };
   };
 
   /** A caller that has part of a stream may come back for the rest. */
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -59,7 +59,7 @@
 export const answerBefore = ({ point, delivered }: ResumeJob): AnswerSoFar => ({
   text: delivered ?? "",
   tokens: point.tokens,
-  others: point.others,
+  others: point.textlessPieces,
   textKnown: delivered !== undefined || point.tokens === 0,
   continuable: true,
 });
@@ -67,7 +67,7 @@
 /** Passes over what the caller has, and learns its text, so that another engine could continue it. */
 const createSkipper = ({ point, delivered }: ResumeJob, answer: AnswerSoFar) => {
   let tokensLeft = point.tokens - point.attemptOffset;
-  let othersLeft = point.others;
+  let othersLeft = point.textlessPieces;
   let skipped = "";
 
   const skips = (frame: AnswerFrame): boolean => {
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -154,7 +154,7 @@
       forward: forwarder.forward,
       limits: () => configuration.table()?.configuration.limits,
       // A caller of a router that can't serve is better off with another one.
-      endsConnections: () => !isReady(),
+      shouldCloseConnections: () => !isReady(),
     }),
   );
   const status = resources.use(
--- a/src/state/configurationHistory.ts
+++ b/src/state/configurationHistory.ts
@@ -7,7 +7,7 @@
  * point from which on it has read everything.
  */
 import { decodeConfigurationRecord } from "../protocol/configuration/record.ts";
-import type { ConfigurationRecord, Restatement } from "../protocol/configuration/record.ts";
+import type { ConfigurationRecord, Republication } from "../protocol/configuration/record.ts";
 import { applyDifference } from "../protocol/configuration/sections.ts";
 import type {
   ConfigurationSection,
@@ -78,7 +78,7 @@
   /** What earlier versions named for a model, the last first, as far as this process has seen them. */
   formerModels(name: string): readonly ModelConfiguration[];
   /** The record that appends the version in force again; nothing where the state is uncertain. */
-  restatement(): Restatement | undefined;
+  restatement(): Republication | undefined;
 }
 
 const sectionsOf = (put: readonly ConfigurationSection[]): SectionMap =>
--- a/src/state/configurationReplay.ts
+++ b/src/state/configurationReplay.ts
@@ -9,13 +9,13 @@
   ConfigurationRecord,
   Publication,
   Publisher,
-  Restatement,
+  Republication,
 } from "../protocol/configuration/record.ts";
 import type { Configuration, ModelConfiguration } from "../protocol/configuration/schema.ts";
 import { createFormerModels } from "./formerModels.ts";
 import {
   applyDifference,
-  differenceOf,
+  diffSections,
   digestSections,
   findMisnamedSections,
   joinSections,
@@ -148,7 +148,7 @@
     noteSuccessor(version);
     if (inForce === undefined) changes.restart(version);
     formerModels.note(inForce?.configuration, built.configuration);
-    changes.note(version, differenceOf(inForce?.sections ?? emptySections, sections));
+    changes.note(version, diffSections(inForce?.sections ?? emptySections, sections));
     inForce = { version, digest, publishedBy, publishedAt, sections, configuration: built.configuration };
     return { kind: "applied", offset: version, version };
   };
@@ -165,7 +165,7 @@
     return { kind: "void", offset, reason: { kind: "stale_base", base, beatenBy } };
   };
 
-  const decideRestatement = (offset: number, { version, digest, readTo }: Restatement): Fate => {
+  const decideRestatement = (offset: number, { version, digest, readTo }: Republication): Fate => {
     const inOrder = version < readTo && readTo <= offset;
     const same = inOrder && version === inForce?.version && digest === inForce.digest;
     if (same) return { kind: "restated", offset, version };
--- a/src/transport/httpLogService.ts
+++ b/src/transport/httpLogService.ts
@@ -7,7 +7,7 @@
 import { z } from "zod";
 import { platformError } from "../protocol/errors.ts";
 import { LogService } from "../protocol/LogService.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 import type { AppendedRecords, LogPage } from "../protocol/types.ts";
 import { createPlatformHttp } from "./platformHttp.ts";
 import type { PlatformHttpSettings } from "./platformHttp.ts";
@@ -44,7 +44,7 @@
       const path = recordsPath(stream);
       const body = JSON.stringify({ records });
       const { offsets } = await http.call({ method: "POST", path, body, answer: appendAnswer });
-      if (offsets.length === records.length) return { offsets, epoch: unnamedEpoch };
+      if (offsets.length === records.length) return { offsets, epoch: defaultEpoch };
       throw platformError(`POST ${path}: answer lacks offsets`, "malformed", true);
     }
 
@@ -57,7 +57,7 @@
       const query = `from=${fromOffset}&limit=${limit}&waitMilliseconds=${waitMilliseconds}`;
       const path = `${recordsPath(stream)}?${query}`;
       const page = await http.call({ method: "GET", path, answer: pageAnswer, wait: waitMilliseconds });
-      if (isOrdered(page, fromOffset)) return { ...page, epoch: unnamedEpoch };
+      if (isOrdered(page, fromOffset)) return { ...page, epoch: defaultEpoch };
       throw platformError(`GET ${path}: records out of order`, "malformed", false);
     }
 
--- a/tests/support/peerNodes.ts
+++ b/tests/support/peerNodes.ts
@@ -102,7 +102,7 @@
       over = true;
       links.delete(link);
       resolve();
-      if (router !== undefined && !frozen.has(to)) handler?.lost(router);
+      if (router !== undefined && !frozen.has(to)) handler?.streamEnded(router);
     };
     const link = { from, to, end };
     links.add(link);
