--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The library: what a program needs to embed a router, or to bring its own adapters. */
+/** The library's public API: everything needed to embed a router or to write adapters for it. */
 export * from "./protocol/constants.ts";
 export * from "./protocol/errors.ts";
 export type * from "./protocol/types.ts";
--- a/src/protocol/FrontEnd.ts
+++ b/src/protocol/FrontEnd.ts
@@ -1,6 +1,6 @@
 import type { AnswerFrame, CompletionRequest, ServiceAnswer } from "./types.ts";
 
-/** The headers of a caller's request that decide about it. */
+/** The request headers that control how a request is handled; `undefined` where a header is absent. */
 export interface CallerHeaders {
   readonly authorization: string | undefined;
   readonly requestClass: string | undefined;
@@ -10,53 +10,57 @@
   readonly lastEventId: string | undefined;
 }
 
-/** Pieces of an answer, in order and without gap or repeat, whatever engines they came from. */
+/**
+ * Consecutive pieces of an answer that came from one attempt. Over all batches the pieces are in order, without gaps
+ * or duplicates, even if several engines produced them.
+ */
 export interface AnswerBatch {
   readonly frames: readonly AnswerFrame[];
-  /** The attempt that the pieces came from, and the engine that runs it. */
+  /** Id of the attempt that produced the pieces. */
   readonly attempt: string;
+  /** The engine that runs the attempt, and the incarnation of its process. */
   readonly engineId: string;
   readonly incarnation: string;
-  /** Tokens of the whole answer before the first piece of this batch. */
+  /** Offset of the first piece, in tokens from the start of the whole answer. */
   readonly firstOffset: number;
-  /** Pieces without text between the last token before this batch and its first piece. */
+  /** Number of pieces without text between the last token before this batch and the first piece of the batch. */
   readonly precedingTextlessPieces: number;
-  /** Tokens of the whole answer that came before this attempt began. */
+  /** Tokens of the whole answer before the start of this attempt. */
   readonly attemptOffset: number;
 }
 
-/** How much of an answer has been delivered. */
+/** How much of an answer has been delivered to the caller. */
 export interface AnswerPosition {
-  /** Pieces with text, each counted as one token. */
+  /** Number of pieces with text; each counts as one token. */
   readonly tokens: number;
-  /** Pieces without text since then. */
+  /** Number of pieces without text after the last token. */
   readonly textlessPieces: number;
 }
 
-/** A model answer whose first pieces have come. */
+/** The answer to a model request, available once its first pieces have arrived. */
 export interface CompletionAnswer {
   readonly requestId: string;
   readonly request: CompletionRequest;
   readonly configurationVersion: number;
-  /** The engine that gave the first piece. */
+  /** Id of the engine that produced the first piece. */
   readonly upstream: string;
-  /** Throws `RequestError` where the answer can't be finished. */
+  /** The iteration throws `RequestError` if the answer can't be completed. */
   readonly batches: AsyncIterable<AnswerBatch>;
-  /** @returns The SSE id of the piece of a batch up to which so much has been delivered. */
+  /** @returns The SSE event id for a position within a batch. */
   readonly eventId: (batch: AnswerBatch, delivered: AnswerPosition) => string;
 }
 
-/** A caller's call to a plain service. */
+/** A caller's request to a plain service. */
 export interface CallerServiceCall {
   readonly service: string;
   readonly method: string;
-  /** Path and query within the service. */
+  /** Path and query string, relative to the service. */
   readonly path: string;
   readonly contentType: string | undefined;
   readonly body: Buffer | undefined;
 }
 
-/** A plain service's answer with what the caller is told about it. */
+/** A plain service's answer with the metadata that goes into the caller's response headers. */
 export interface CallerServiceAnswer {
   readonly requestId: string;
   readonly configurationVersion: number;
@@ -64,15 +68,15 @@
   readonly answer: ServiceAnswer;
 }
 
-/** What operators can ask a router. */
+/** The views of a router's state that operators can read. */
 export type OperatorView = "version" | "dump" | "engines";
 
-/** What a router offers to callers and operators, whatever carries it. Methods throw `RequestError`. */
+/** The router's interface for callers and operators, independent of the transport. Methods throw `RequestError`. */
 export abstract class FrontEnd {
   /**
-   * Answers a model request; resolves with its first pieces.
+   * Runs a model request; resolves when the first pieces of the answer have arrived.
    *
-   * @param signal - Aborted when the caller goes away.
+   * @param signal - Aborted when the caller disconnects.
    */
   abstract complete(
     kind: CompletionRequest["kind"],
@@ -81,7 +85,7 @@
     signal: AbortSignal,
   ): Promise<CompletionAnswer>;
 
-  /** Calls a plain service. */
+  /** Forwards a request to a plain service. */
   abstract callService(
     call: CallerServiceCall,
     headers: CallerHeaders,
@@ -91,9 +95,9 @@
   /** @returns The names of the models that the caller's organisation may use. */
   abstract listModels(headers: CallerHeaders): readonly string[];
 
-  /** True while the router takes new work. */
+  /** True while the router accepts new requests. */
   abstract isReady(): boolean;
 
-  /** @param authorization - Must carry the operators' key. */
+  /** @param authorization - The `Authorization` header, which must contain the operators' key. */
   abstract readOperatorView(view: OperatorView, authorization: string | undefined): unknown;
 }
--- a/src/protocol/LogService.ts
+++ b/src/protocol/LogService.ts
@@ -3,23 +3,23 @@
 /**
  * The platform's append-only log service. Every method throws `PlatformError`.
  *
- * A service whose epoch never changes keeps all that it has acknowledged. One that returns from older copies of itself
- * names a newer epoch in every answer from then on; offsets are to be compared within one epoch only.
+ * While its epoch stays the same, the service loses no record that it has acknowledged. After it has been restored
+ * from an older copy, every answer contains a higher epoch. Offsets can be compared only within one epoch.
  */
 export abstract class LogService {
   /**
-   * Appends records to a stream, in order and all or none.
+   * Appends records to a stream in order and atomically.
    *
-   * @returns The offset of each record, and the epoch in which it was given out.
+   * @returns The offset of each record, and the epoch in which the offsets were assigned.
    */
   abstract append(stream: string, records: readonly string[]): Promise<AppendedRecords>;
 
   /**
-   * Reads a stream from an offset on. Offsets no longer kept are skipped: compare `earliestOffset`.
+   * Reads a stream from an offset. Records that have expired are skipped, which the page's `earliestOffset` shows.
    *
-   * @param limit - Most records to return.
-   * @param waitMilliseconds - How long the service may wait for a first record where there is none yet;
-   * without it the answer comes at once.
+   * @param limit - Maximum number of records to return.
+   * @param waitMilliseconds - How long the service may wait for the first record if there is none yet (long poll);
+   * it answers at once if this is absent.
    */
   abstract read(
     stream: string,
--- a/src/protocol/ModelEngine.ts
+++ b/src/protocol/ModelEngine.ts
@@ -1,21 +1,21 @@
 import type { CacheEventPage, EngineAnswer, EngineCall, EngineLoad, EngineOrder } from "./types.ts";
 
 /**
- * A model engine, as the system meets it. One object stands for one engine VM; an adapter for another wire
- * form replaces the implementation without touching any decision.
+ * Client of one engine VM. Support for another wire protocol is another implementation of this class; the scheduling
+ * and retry code stays the same.
  *
  * Every method throws `UpstreamError`.
  */
 export abstract class ModelEngine {
-  /** Starts an answer; resolves once the engine has accepted the request. */
+  /** Sends a request; resolves once the engine has accepted it. */
   abstract complete(call: EngineCall, signal: AbortSignal): Promise<EngineAnswer>;
 
   /**
-   * Picks up an answer that the engine still generates or keeps.
+   * Reconnects to an answer that the engine is still generating, or has generated and still keeps.
    *
-   * @param attempt - The attempt that started it.
-   * @param fromToken - Tokens of that attempt that the caller has already.
-   * @param stallTimeout - Longest silence, milliseconds.
+   * @param attempt - Id of the attempt that started the answer.
+   * @param fromToken - Number of tokens of that attempt that the caller has already received.
+   * @param stallTimeout - Longest time without data before the stream fails, milliseconds.
    */
   abstract resume(
     attempt: string,
@@ -24,14 +24,14 @@
     signal: AbortSignal,
   ): Promise<EngineAnswer>;
 
-  /** Stops an attempt; unknown attempts are ignored. */
+  /** Cancels an attempt; ids that the engine does not know are ignored. */
   abstract cancel(attempt: string): Promise<void>;
 
   abstract readLoad(signal: AbortSignal): Promise<EngineLoad>;
 
-  /** Reads cache events from a sequence number on; events come late and with gaps. */
+  /** Reads cache events from a sequence number; events arrive late, and some are missing. */
   abstract readCacheEvents(fromSequence: number, signal: AbortSignal): Promise<CacheEventPage>;
 
-  /** Gives an order; resolves once it has been carried out. */
+  /** Sends an order (a command that changes the engine's state); resolves once it has been carried out. */
   abstract order(order: EngineOrder, signal: AbortSignal): Promise<void>;
 }
--- a/src/protocol/PlainService.ts
+++ b/src/protocol/PlainService.ts
@@ -1,7 +1,7 @@
 import type { ServiceAnswer, ServiceCall } from "./types.ts";
 
-/** A plain service's replica, as the system meets it. */
+/** Client of one replica of a plain service: an upstream that runs no model. */
 export abstract class PlainService {
-  /** Makes one call, never repeated by the implementation. Throws `UpstreamError`. */
+  /** Sends one call; the implementation never retries it. Throws `UpstreamError`. */
   abstract call(call: ServiceCall, signal: AbortSignal): Promise<ServiceAnswer>;
 }
--- a/src/protocol/StorePosition.ts
+++ b/src/protocol/StorePosition.ts
@@ -2,8 +2,8 @@
 import type { StoreEpoch } from "./storeEpoch.ts";
 
 /**
- * A place in a topic of the store. Offsets can be had and compared only within one epoch: in the next one the same
- * offset may be that of another record.
+ * A position in a topic of the store: an offset with the epoch that assigned it. Offsets are valid only within one
+ * epoch, since the next epoch may assign the same offset to another record.
  */
 export class StorePosition {
   readonly epoch: StoreEpoch;
@@ -14,18 +14,18 @@
     this.offset = offset;
   }
 
-  /** @returns The offset; throws `PlatformError` if it was given out in another epoch. */
+  /** @returns The offset; throws `PlatformError` if it was assigned in another epoch. */
   offsetIn(epoch: StoreEpoch): number {
     if (epoch === this.epoch) return this.offset;
-    throw platformError(`offset ${this.toString()} means nothing in epoch ${epoch}`, "epoch_ended", false);
+    throw platformError(`offset ${this.toString()} is not valid in epoch ${epoch}`, "epoch_ended", false);
   }
 
-  /** Whether it lies before another one; throws `PlatformError` if that is of another epoch. */
+  /** Whether this position precedes another one; throws `PlatformError` if their epochs differ. */
   isBefore(other: StorePosition): boolean {
     return this.offset < other.offsetIn(this.epoch);
   }
 
-  /** @returns The position so many records further on. */
+  /** @returns The position that is a number of records further on. */
   advancedBy(records: number): StorePosition {
     return new StorePosition(this.epoch, this.offset + records);
   }
@@ -34,14 +34,14 @@
     return `${this.offset} of epoch ${this.epoch}`;
   }
 
-  /** Keeps operators from comparing positions or counting with them. */
+  /** Makes comparison operators and arithmetic throw, since they would ignore the epoch. */
   [Symbol.toPrimitive](hint: string): string {
     if (hint === "string") return this.toString();
-    throw new TypeError(`The position ${this.toString()} can't be compared or counted with.`);
+    throw new TypeError(`The position ${this.toString()} cannot be compared or used in arithmetic.`);
   }
 }
 
-/** @returns The later of two positions; of two epochs the position in the newer one. */
+/** @returns The later of two positions: the one in the newer epoch, or the one with the higher offset. */
 export const laterPosition = (left: StorePosition, right: StorePosition): StorePosition => {
   if (left.epoch !== right.epoch) return left.epoch > right.epoch ? left : right;
   return left.isBefore(right) ? right : left;
--- a/src/protocol/bodyFields.ts
+++ b/src/protocol/bodyFields.ts
@@ -1,14 +1,14 @@
 /**
- * Which fields of a request's body reach an engine.
+ * The fields of a request's body that are forwarded to engines.
  *
- * Engines take fields that steer their queue and their cache (`priority`, `cache_salt`, transfers of cached
- * blocks, …) from anybody who names them. Organisations that share engines are rivals, so only fields that
- * concern the caller's own answer are handed on; the configuration can allow more of them for a model.
+ * Engines accept fields that control their queue and their cache (`priority`, `cache_salt`, transfers of cached
+ * blocks, …) from any caller. Organisations that share engines may be rivals, so only fields that affect the
+ * caller's own answer are forwarded; the configuration can allow further fields for each model.
  */
 import { outcomes } from "./constants.ts";
 import { requestError } from "./errors.ts";
 
-/** Read by the router, which writes its own in their place. */
+/** Read by the router, which sends engines its own values instead. */
 const routerFields = [
   "model",
   "messages",
@@ -21,7 +21,7 @@
   "pomelocleat_delivered",
 ] as const;
 
-/** Concern the caller's own answer; handed on as they are. */
+/** Affect only the caller's own answer; forwarded unchanged. */
 const answerFields = [
   "temperature",
   "top_p",
@@ -37,7 +37,7 @@
   "reasoning_effort",
 ] as const;
 
-/** Client libraries send these for the provider's books; taken, and not handed on. */
+/** Client libraries send these for the provider's accounting; accepted, and not forwarded. */
 const unforwardedFields = [
   "user",
   "metadata",
@@ -47,7 +47,7 @@
   "safety_identifier",
 ] as const;
 
-/** Would let an organisation reach past its own answer; no configuration can allow them. */
+/** Fields that no configuration can allow: the router handles or drops them, or they affect other organisations. */
 export const reservedFields: ReadonlySet<string> = new Set([
   ...routerFields,
   ...unforwardedFields,
@@ -62,20 +62,20 @@
 
 const knownFields: ReadonlySet<string> = new Set([...routerFields, ...answerFields, ...unforwardedFields]);
 
-/** True for a field that is handed on to engines as the caller sent it. */
-export const isForwarded = (field: string): boolean => !reservedFields.has(field);
+/** True for a field that is forwarded to engines as the caller sent it. */
+export const isForwardedField = (field: string): boolean => !reservedFields.has(field);
 
 /**
- * Checks that a body has only fields that callers may set.
+ * Checks that a body contains only fields that callers may set.
  *
- * @param further - Fields that the configuration allows for the model.
- * @returns Nothing; throws `RequestError` (400, `unsupported_field`) naming the first other field.
+ * @param additional - Fields that the configuration allows for the model.
+ * @throws `RequestError` (400, `unsupported_field`) that names the first field that is not allowed.
  */
 export const checkBodyFields = (
   body: Readonly<Record<string, unknown>>,
-  further: readonly string[],
+  additional: readonly string[],
 ): void => {
-  const field = Object.keys(body).find((name) => !knownFields.has(name) && !further.includes(name));
+  const field = Object.keys(body).find((name) => !knownFields.has(name) && !additional.includes(name));
   if (field === undefined) return;
   throw requestError(`The field ${JSON.stringify(field)} is not supported here.`, {
     status: 400,
--- a/src/protocol/completionRequest.ts
+++ b/src/protocol/completionRequest.ts
@@ -1,14 +1,14 @@
-/** Reads a caller's model request (OpenAI form) into a {@link CompletionRequest}. */
+/** Parses a caller's model request (in the format of the OpenAI API) into a {@link CompletionRequest}. */
 import { z } from "zod";
 import { outcomes } from "./constants.ts";
 import { requestError } from "./errors.ts";
 import type { RequestError } from "./errors.ts";
 import type { CompletionRequest } from "./types.ts";
 
-/** Tokens generated where the caller names no limit. */
+/** Token limit of an answer if the caller sets none. */
 const defaultMaximumTokens = 1024;
 
-/** Reusable levels kept of a text prompt whose caller marks none. */
+/** A text prompt without marked offsets gets a prefix level after each of its first paragraphs, up to this many. */
 const maximumParagraphLevels = 8;
 
 const cacheControl = z.looseObject({ type: z.literal("ephemeral") });
@@ -73,18 +73,18 @@
   return (content ?? []).map((part) => part.text ?? "").join("");
 };
 
-const isMarked = ({ content, cache_control }: Message): boolean =>
+const hasCacheControl = ({ content, cache_control }: Message): boolean =>
   cache_control !== undefined ||
   (Array.isArray(content) && content.some((part) => part.cache_control !== undefined));
 
-/** Messages up to a marked one form one level; without marks each message ends a level. */
+/** Splits messages after each one that has `cache_control`, or after every message if none has. */
 const chatSegments = (messages: readonly Message[]): readonly string[] => {
-  const anyMarked = messages.some(isMarked);
+  const hasMarks = messages.some(hasCacheControl);
   const segments: string[] = [];
   let pending = "";
   for (const item of messages) {
     pending += `<|${item.role}|>${messageText(item)}\n`;
-    if (anyMarked && !isMarked(item)) continue;
+    if (hasMarks && !hasCacheControl(item)) continue;
     segments.push(pending);
     pending = "";
   }
@@ -92,7 +92,7 @@
   return segments;
 };
 
-/** Splits a text prompt at the marked offsets, or after its first paragraphs. */
+/** Splits a text prompt at the marked offsets, or after each of its first paragraphs if there are none. */
 const textSegments = (prompt: string, markedOffsets: readonly number[]): readonly string[] => {
   if (markedOffsets.length === 0) {
     const paragraphs = prompt.split(/(?<=\n\n)/);
@@ -105,19 +105,20 @@
   return bounds.slice(1).map((end, index) => prompt.slice(bounds[index], end));
 };
 
-/** `model` may name an adapter after a colon: `records-assistant:first-aid`. */
-const splitModel = (named: string): { readonly model: string; readonly adapter: string | undefined } => {
-  const [model = "", adapter] = named.split(":", 2);
+/** Splits off the adapter, which follows the model after a colon: `records-assistant:first-aid`. */
+const splitModel = (modelField: string): { readonly model: string; readonly adapter: string | undefined } => {
+  const [model = "", adapter] = modelField.split(":", 2);
   return { model, adapter };
 };
 
 /**
- * Reads a request body.
+ * Parses a request body.
  *
- * @param kind - Which of the two endpoints it was sent to.
+ * @param kind - The endpoint that it was sent to.
  * @param text - The body as received.
- * @param markedOffsets - Character offsets at which levels of a text prompt end, if the caller marks them.
- * @returns The request; throws `RequestError` (400, `invalid_body`) naming the field at fault.
+ * @param markedOffsets - Character offsets at which prefix levels of a text prompt end; empty if the caller marks none.
+ * @returns The request.
+ * @throws `RequestError` (400, `invalid_body`) that names the invalid field.
  */
 export const parseCompletionRequest = (
   kind: CompletionRequest["kind"],
--- a/src/protocol/constants.ts
+++ b/src/protocol/constants.ts
@@ -1,67 +1,67 @@
-/** Names and limits that every part of the system shares on the wire. */
+/** Names and limits of the wire protocols, shared by the whole system. */
 
-/** Header names, lower case, that pomelocleat reads or writes. */
+/** Names, in lower case, of the HTTP headers that pomelocleat reads or writes. */
 export const headers = {
-  /** Set on every answer: the id of the caller's request. */
+  /** On every answer: the id of the caller's request. */
   requestId: "x-request-id",
-  /** Set on every answer: the log offset of the configuration in force. */
+  /** On every answer: the version (log offset) of the configuration in force. */
   configurationVersion: "x-pomelocleat-configuration",
-  /** Set on an answer that an upstream gave: the upstream's id. */
+  /** On an answer that an upstream gave: the upstream's id. */
   upstream: "x-pomelocleat-upstream",
-  /** Set on an answer that an upstream gave: prompt tokens it took from its cache, where known. */
+  /** On an answer that an upstream gave: the number of prompt tokens that it took from its cache, if known. */
   cachedTokens: "x-pomelocleat-cached-tokens",
-  /** Set on a failure: one of {@link outcomes}. */
+  /** On an error answer: one of {@link outcomes}. */
   outcome: "x-pomelocleat-outcome",
-  /** Read: the request class by name. */
+  /** From the caller: the name of the request class. */
   requestClass: "x-pomelocleat-class",
-  /** Read: `false` marks a request that may run at most once. */
+  /** From the caller: `false` marks a request that may run at most once. */
   idempotent: "x-pomelocleat-idempotent",
-  /** Read: character offsets into a text prompt at which reusable levels end, comma separated. */
+  /** From the caller: character offsets at which prefix levels of a text prompt end, comma separated. */
   prefixLevels: "x-pomelocleat-prefix-levels",
-  /** Read: the caller's key for a request that may run at most once. */
+  /** From the caller: the idempotency key of a request that may run at most once. */
   idempotencyKey: "idempotency-key",
-  /** Between router and upstream, echoed by the upstream: the id of one attempt. */
+  /** From router to upstream, and echoed by the upstream: the id of one attempt. */
   attempt: "x-attempt-id",
-  /** From router to upstreams that check identity. */
+  /** From router to upstream: the organisation, for upstreams that check which one calls. */
   organisation: "x-organisation",
-  /** From router to engine: smaller runs first. */
+  /** From router to engine: requests with smaller numbers run first. */
   priority: "x-priority",
-  /** From engine: changes with each start of its process. */
+  /** From engine: an id that changes each time the engine's process starts. */
   incarnation: "x-engine-incarnation",
-  /** From engine: the version of the weights that answered. */
+  /** From engine: the version of the weights that produced the answer. */
   weightsVersion: "x-weights-version",
-  /** Tells well-known client libraries whether to retry by themselves. */
+  /** On an error answer: tells widely used client libraries whether to retry automatically. */
   shouldRetry: "x-should-retry",
   retryAfter: "retry-after",
   lastEventId: "last-event-id",
 } as const;
 
-/** What a failed request may have done. The three differ on the wire and are documented for callers. */
+/** How far a failed request may have got. The values are sent to callers and documented for them. */
 export const outcomes = {
-  /** Nothing ran: no byte left for an upstream, or the upstream positively refused before running. */
+  /** Did not run: nothing was sent to an upstream, or the upstream refused the request before running it. */
   notRun: "not_run",
-  /** The request may have run, wholly or in part. */
+  /** May have run, completely or in part. */
   outcomeUnknown: "outcome_unknown",
-  /** The request ran and failed, or its stream could not be finished. */
+  /** Ran and failed, or its stream could not be completed. */
   failed: "failed",
-  /** The request ran to its end before, under the same idempotency key; its answer is no longer kept. */
+  /** Was completed earlier under the same idempotency key; its answer is no longer available. */
   completed: "completed",
 } as const;
 
-/** Rough characters of text for each token, used until an answer reports the true count. */
+/** Average number of characters in a token: an estimate, used until an answer reports the actual count. */
 export const charactersPerToken = 4;
 
-/** The longest accepted request body, bytes. */
+/** Largest accepted request body, bytes. */
 export const maximumBodyBytes = 8 * 1024 * 1024;
 
-/** Streams of the log service that the system keeps. */
+/** Streams of the log service that the system uses. */
 export const logStreams = {
   configuration: "configuration",
   leases: "leases",
-  /** Claims are spread over `claims-0` … `claims-N`. */
+  /** Claims are partitioned over `claims-0` … `claims-N`. */
   claimsPrefix: "claims-",
-  /** What routers tell one another of requests that crash engines. */
+  /** Updates that routers announce to one another about requests that crash engines. */
   crashNews: "crash-news",
-  /** Requests that are held back. */
+  /** Quarantined requests. */
   quarantine: "quarantine",
 } as const;
--- a/src/protocol/errors.ts
+++ b/src/protocol/errors.ts
@@ -1,48 +1,48 @@
 /**
- * Every failure that crosses a module boundary, as a type.
+ * The error types that cross module boundaries.
  *
- * {@link RequestError} is what a caller sees: it carries the HTTP status, a stable code, the outcome and,
- * where the caller should come back, after how long. {@link UpstreamError} is what a transport reports of
- * a back end; coordination turns it into a retry or into a {@link RequestError}.
+ * A {@link RequestError} is reported to the caller: it has the HTTP status, a stable code, the outcome and, if a retry
+ * makes sense, the delay before it. An {@link UpstreamError} is reported by a transport about an upstream; the
+ * coordination layer either retries or turns it into a {@link RequestError}.
  *
- * Each type has a function that makes one, since `modern-errors` cannot require a field in a constructor.
+ * Each type has a factory function, since `modern-errors` can't require a field in a constructor.
  */
 import ModernError from "modern-errors";
 import type { outcomes } from "./constants.ts";
 
-/** What a failed request may have done. */
+/** How far a failed request may have got; see {@link outcomes}. */
 export type Outcome = (typeof outcomes)[keyof typeof outcomes];
 
-/** The base of all typed failures of the system. */
+/** Base class of the system's error types. */
 export const PomelocleatError = ModernError.subclass("PomelocleatError");
 
-/** Fields of a failure that a caller sees. */
+/** The part of an error that is reported to the caller. */
 export interface RequestFailure {
   /** HTTP status. */
   readonly status: number;
-  /** Stable machine-readable code, for example `unknown_model`. */
+  /** Stable, machine-readable code, for example `unknown_model`. */
   readonly code: string;
   readonly outcome: Outcome;
-  /** The request field or header at fault. */
+  /** The request field or header that caused the error. */
   readonly parameter?: string;
-  /** Seconds after which the same request may be sent again. */
+  /** Seconds after which the caller may retry the request. */
   readonly retryAfterSeconds?: number;
 }
 
 const internalFailure: RequestFailure = { status: 500, code: "internal_error", outcome: "outcome_unknown" };
 
-/** A request that ends in an error answer. */
+/** The request failed, and its caller gets an error answer. */
 export const RequestError = PomelocleatError.subclass("RequestError", {
   props: { failure: internalFailure },
 });
 export type RequestError = InstanceType<typeof RequestError> & Error;
 
 /**
- * Makes a {@link RequestError}.
+ * Creates a {@link RequestError}.
  *
- * @param message - For people; goes to the caller.
- * @param failure - What the caller's program needs.
- * @param cause - The failure behind it; stays in the process.
+ * @param message - A message for people; sent to the caller.
+ * @param failure - The machine-readable part; sent to the caller.
+ * @param cause - The underlying error; never sent to the caller.
  */
 export const requestError = (message: string, failure: RequestFailure, cause?: unknown): RequestError => {
   const error: RequestError = new RequestError(message, { props: { failure } });
@@ -51,16 +51,16 @@
 };
 
 /**
- * How far an attempt had come when the upstream failed.
+ * How far an attempt had progressed when the upstream failed.
  *
- * - `not_sent`: no byte of the request left this process.
+ * - `not_sent`: no byte of the request was sent.
  * - `refused`: the upstream answered that it did not run the request.
  * - `sent`: the request may have been received and run.
- * - `streaming`: part of the answer has arrived.
+ * - `streaming`: part of the answer was received.
  */
 export type UpstreamProgress = "not_sent" | "refused" | "sent" | "streaming";
 
-/** What went wrong at an upstream. */
+/** The kind of failure of a call to an upstream. */
 export type UpstreamFault =
   | "unreachable"
   | "refused"
@@ -78,7 +78,7 @@
   | "cancelled"
   | "failed";
 
-/** An upstream (engine, plain service) did not do what was asked. `status` is its HTTP status, if any. */
+/** A call to an upstream (an engine or plain service) failed. `status` is the HTTP status, if one was received. */
 export const UpstreamError = PomelocleatError.subclass("UpstreamError", {
   props: {
     fault: "failed" as UpstreamFault,
@@ -89,9 +89,9 @@
 export type UpstreamError = InstanceType<typeof UpstreamError> & Error;
 
 /**
- * Makes an {@link UpstreamError}.
+ * Creates an {@link UpstreamError}.
  *
- * @param status - The HTTP status, where one was received.
+ * @param status - The HTTP status, if one was received.
  */
 export const upstreamError = (
   message: string,
@@ -106,25 +106,25 @@
 };
 
 /**
- * What went wrong at the platform's log service or VM list.
+ * The kind of failure of a call to the platform's log service or VM list.
  *
- * - `expired`: the records asked for are no longer kept.
- * - `beyond_end`: the log ends before the offset asked for, although its epoch has not ended.
- * - `epoch_ended`: the store has returned from a copy since the offset was given out, or the answer was made.
+ * - `expired`: the requested records are no longer kept.
+ * - `beyond_end`: the log ends before the requested offset, although its epoch has not changed.
+ * - `epoch_ended`: the store has been restored from a copy since the offset was assigned or the answer was produced.
  */
 export type PlatformFault =
   "unreachable" | "overloaded" | "expired" | "beyond_end" | "epoch_ended" | "malformed";
 
 /**
- * A platform service (log service, VM list) did not do what was asked. `mayHaveTakenEffect` is true if an
- * append may have been taken although no answer came.
+ * A call to a platform service (log service, VM list) failed. `mayHaveTakenEffect` is true if an append may have
+ * been stored although no answer was received.
  */
 export const PlatformError = PomelocleatError.subclass("PlatformError", {
   props: { fault: "unreachable" as PlatformFault, mayHaveTakenEffect: true },
 });
 export type PlatformError = InstanceType<typeof PlatformError> & Error;
 
-/** Makes a {@link PlatformError}. */
+/** Creates a {@link PlatformError}. */
 export const platformError = (
   message: string,
   fault: PlatformFault,
@@ -136,27 +136,27 @@
   return error;
 };
 
-/** Faults after which only the newest record of each key can be had. */
+/** Faults after which reading can't continue at its offset: only the newest record of each key can still be read. */
 const rereadFaults: ReadonlySet<PlatformFault> = new Set(["expired", "beyond_end", "epoch_ended"]);
 
-/** Whether a failed read means that everything has to be read anew. */
+/** Whether a failed read means that the whole stream has to be read again. */
 export const requiresReread = (error: unknown): boolean =>
   error instanceof PlatformError && rereadFaults.has(error.fault);
 
-/** One thing wrong in a settings or configuration file. */
+/** One problem in a settings or configuration file. */
 export interface FileProblem {
-  /** Where in the file, for example `organisations[2].models[0]`. */
+  /** Location in the file, for example `organisations[2].models[0]`; empty for the file as a whole. */
   readonly path: string;
   readonly cause: string;
 }
 
-/** A settings or configuration file that was not accepted; lists everything wrong with it at once. */
+/** A settings or configuration file was not accepted; `problems` lists all its problems at once. */
 export const FileError = PomelocleatError.subclass("FileError", {
   props: { file: "", problems: [] as readonly FileProblem[] },
 });
 export type FileError = InstanceType<typeof FileError> & Error;
 
-/** Makes a {@link FileError}; its message lists every problem on a line of its own. */
+/** Creates a {@link FileError} whose message has one line for each problem. */
 export const fileError = (file: string, problems: readonly FileProblem[]): FileError => {
   const lines = problems.map(
     ({ path, cause }) => `${file}: ${path === "" ? "(whole file)" : path}: ${cause}`,
--- a/src/protocol/listedVms.ts
+++ b/src/protocol/listedVms.ts
@@ -1,4 +1,4 @@
-/** The form in which VM lists travel: from the platform, and between routers. */
+/** The JSON schema of VM lists, as the platform serves them and as routers send them to one another. */
 import { z } from "zod";
 import type { ListedVm } from "./types.ts";
 
@@ -14,8 +14,8 @@
   state: z.enum(["live", "leaving"]),
 });
 
-/** Checks a list of VMs. */
+/** Validates a list of VMs. */
 export const listedVmsSchema = z.array(listedVm).transform((vms): readonly ListedVm[] =>
-  // An absent peer URL is left out, so that lists compare equal wherever they come from.
+  // Omits an undefined `peerUrl`, so that equal lists compare as equal whatever their source.
   vms.map(({ peerUrl, ...vm }) => (peerUrl === undefined ? vm : { ...vm, peerUrl })),
 );
--- a/src/protocol/operator.ts
+++ b/src/protocol/operator.ts
@@ -1,14 +1,14 @@
-/** What routers answer operators on their caller port, with `Authorization: Bearer OPERATORKEY`. */
+/** The operators' API on a router's caller port; requests need `Authorization: Bearer OPERATORKEY`. */
 import { z } from "zod";
 
-/** Where a router answers operators. */
+/** HTTP paths of the operators' API. */
 export const operatorPaths = {
   version: "/operator/version",
   dump: "/operator/dump",
   engines: "/operator/engines",
 } as const;
 
-/** The configuration that a router has in force. */
+/** The router's identity, readiness and the configuration version that it has in force; null if it has none yet. */
 export const routerVersionSchema = z.object({
   router: z.string(),
   dataCentre: z.string(),
@@ -32,6 +32,6 @@
   state: z.string(),
 });
 
-/** The engines as a router sees them; what it does not know yet is null. */
+/** The state of the engines as the router knows it; null stands for values that it does not know yet. */
 export const routerEnginesSchema = z.object({ engines: z.array(engineViewSchema) });
 export type EngineView = Readonly<z.output<typeof engineViewSchema>>;
--- a/src/protocol/prefixLevels.ts
+++ b/src/protocol/prefixLevels.ts
@@ -1,14 +1,14 @@
 /**
- * The identity of a prompt's reusable levels.
+ * Keys of a prompt's prefix levels: the prefixes of the prompt whose KV cache other requests can reuse.
  *
- * Each key is a chained hash that starts from organisation, model, adapter and weights version, so a key of
- * one organisation never equals another's, and a key of older weights never equals one of newer weights.
+ * Each key is a chained hash that starts from organisation, model, adapter and weights version, so keys of different
+ * organisations, or of older and newer weights, are never equal.
  */
 import { charactersPerToken } from "./constants.ts";
 import type { PrefixLevel } from "./types.ts";
 import createXxhash from "xxhash-wasm";
 
-/** What separates the caches of two requests whose text is the same. */
+/** Requests share cached prefixes only if all these fields are equal. */
 export interface PrefixScope {
   readonly organisation: string;
   readonly model: string;
@@ -18,10 +18,10 @@
 
 const xxhash = await createXxhash();
 
-/** A 64-bit hash of a short string, for ordering and for picking; the same in every process. */
+/** A 64-bit hash of a short string, for orderings and selections that are the same in every process. */
 export const hash64 = (text: string): bigint => xxhash.h64(text);
 
-/** A 64-bit hash of texts, told apart where they end, and of bytes behind them; the same in every process. */
+/** A 64-bit hash of texts, each terminated by a NUL, followed by bytes; the same in every process. */
 export const hashTexts = (texts: readonly string[], bytes: Uint8Array): bigint => {
   const hash = xxhash.create64();
   for (const text of texts) hash.update(text).update("\u0000");
@@ -32,10 +32,10 @@
 export const hash32 = (text: string): number => xxhash.h32(text);
 
 /**
- * Computes the levels of a prompt.
+ * Computes the prefix levels of a prompt.
  *
- * @param scope - What the keys are salted with.
- * @param segments - Text between level ends, in order.
+ * @param scope - The salt of the keys.
+ * @param segments - The prompt's text, split at the ends of the levels.
  * @returns One level for each segment, from the shortest prefix to the whole prompt.
  */
 export const computePrefixLevels = (
@@ -56,7 +56,7 @@
 };
 
 /**
- * The salt handed to engines so that no organisation can read another's cached blocks.
+ * Computes the cache salt that is sent to engines, so that no organisation can reuse another's cached blocks.
  *
  * @param organisation - The organisation's name.
  */
--- a/src/protocol/resourceStack.ts
+++ b/src/protocol/resourceStack.ts
@@ -1,12 +1,12 @@
-/** Ownership of several resources; Node 20 has no `AsyncDisposableStack` yet. */
+/** A replacement for `AsyncDisposableStack`, which Node 20 does not have yet. */
 
-/** Disposes of what it holds, the last taken first. */
+/** Owns several resources and disposes of them in reverse order. */
 export interface ResourceStack extends AsyncDisposable {
-  /** Takes a resource. @returns The same resource. */
+  /** Adds a resource. @returns The same resource. */
   readonly use: <T extends AsyncDisposable>(resource: T) => T;
-  /** Takes something to be done at the end. */
+  /** Adds a callback to run on disposal. */
   readonly defer: (dispose: () => Promise<unknown> | undefined) => void;
-  /** Hands everything over to another owner; this stack holds nothing afterwards. */
+  /** Transfers all resources to a new owner and leaves this stack empty. */
   readonly move: () => AsyncDisposable;
 }
 
@@ -22,11 +22,11 @@
   if (failures.length > 0) throw new AggregateError(failures, "Some resources could not be disposed of.");
 };
 
-/** Makes an empty stack. */
+/** Creates an empty stack. */
 export const createResourceStack = (): ResourceStack => {
   let disposers: (() => unknown)[] = [];
 
-  const take = (): readonly (() => unknown)[] => {
+  const removeAll = (): readonly (() => unknown)[] => {
     const taken = disposers;
     disposers = [];
     return taken;
@@ -41,9 +41,9 @@
       disposers.push(dispose);
     },
     move: () => {
-      const taken = take();
+      const taken = removeAll();
       return { [Symbol.asyncDispose]: () => disposeAll(taken) };
     },
-    [Symbol.asyncDispose]: () => disposeAll(take()),
+    [Symbol.asyncDispose]: () => disposeAll(removeAll()),
   };
 };
--- a/src/protocol/resumeToken.ts
+++ b/src/protocol/resumeToken.ts
@@ -1,41 +1,43 @@
 /**
- * Resume tokens: the `id` of each event of a stream, with which its caller can go on at any router after its
- * connection or its router has gone. They hold all that a router needs to find the answer again.
+ * Resume tokens: the `id` of each event of a stream. With the last one, a caller can resume the stream at any router
+ * after its connection or its router has failed. A token contains everything that a router needs to find the answer.
  *
- * What stays the same during an attempt is signed once; the position is appended unsigned, since a wrong one
- * shows its caller another part of the caller's own answer and nothing else.
+ * The fields that are constant during an attempt are signed once. The position is appended without a signature, since
+ * a forged position only shows the caller another part of its own answer.
  */
 import { createHmac, timingSafeEqual } from "node:crypto";
 import type { AnswerPosition } from "./FrontEnd.ts";
 
-/** Where an answer is generated, and for which request. */
-export interface ResumeGrant {
-  /** Not in the token, but signed with it: a token is of no use to another organisation. */
+/** The signed fields: where an answer is generated, and for which request. */
+export interface ResumeTarget {
+  /** Part of the signature but not of the token, so that no other organisation can use the token. */
   readonly organisation: string;
-  /** Digest of what was asked. */
+  /** Digest of the request. */
   readonly digest: string;
   readonly idempotent: boolean;
   readonly engineId: string;
   readonly incarnation: string;
   readonly attempt: string;
-  /** Tokens of the whole answer that came before the attempt. */
+  /** Tokens of the whole answer before the start of the attempt. */
   readonly attemptOffset: number;
   /** Seconds since 1970. */
   readonly expiresAt: number;
 }
 
-/** A token that has been read. */
-export interface ResumePoint extends ResumeGrant, AnswerPosition {}
+/** The contents of a valid token. */
+export interface ResumePoint extends ResumeTarget, AnswerPosition {}
 
 /** Why a token was not accepted. */
 export type ResumeTokenFault = "malformed" | "forged" | "expired";
 
-/** Signs and reads tokens with the secret of all routers. */
+/** Creates and verifies tokens with the secret that all routers share. */
 export interface ResumeTokens {
-  /** @returns The part of the tokens that all events of an attempt have in common. */
-  readonly sign: (grant: ResumeGrant) => string;
+  /** @returns The signed part, which the tokens of all events of an attempt share. */
+  readonly sign: (target: ResumeTarget) => string;
   /**
-   * @param organisation - The organisation that brings the token.
+   * Verifies and decodes a token.
+   *
+   * @param organisation - The organisation that presents the token.
    * @param now - Seconds since 1970.
    */
   readonly read: (token: string, organisation: string, now: number) => ResumePoint | ResumeTokenFault;
@@ -46,29 +48,35 @@
 const signedFieldCount = 8;
 const signatureLength = 22;
 const purpose = "pomelocleat resume token";
-const wholeNumber = /^\d{1,10}$/;
+const wholeNumberPattern = /^\d{1,10}$/;
 
-/** @returns The token of an event. */
-export const formatResumeToken = (
-  signed: string,
-  { tokens, textlessPieces: others }: AnswerPosition,
-): string => `${signed},${tokens},${others}`;
+/**
+ * Creates the token of one event.
+ *
+ * @param signed - The result of `ResumeTokens.sign`.
+ */
+export const formatResumeToken = (signed: string, { tokens, textlessPieces }: AnswerPosition): string =>
+  `${signed},${tokens},${textlessPieces}`;
 
-const signedFields = (grant: ResumeGrant): string =>
+const signedFields = (target: ResumeTarget): string =>
   [
     version,
-    String(grant.expiresAt),
-    grant.idempotent ? "1" : "0",
-    String(grant.attemptOffset),
-    grant.digest,
-    grant.attempt,
-    grant.engineId,
-    grant.incarnation,
+    String(target.expiresAt),
+    target.idempotent ? "1" : "0",
+    String(target.attemptOffset),
+    target.digest,
+    target.attempt,
+    target.engineId,
+    target.incarnation,
   ]
     .map(encodeURIComponent)
     .join(separator);
 
-/** Makes the functions. */
+/**
+ * Creates the functions.
+ *
+ * @param secret - The secret that all routers share.
+ */
 export const createResumeTokens = (secret: string): ResumeTokens => {
   const key = createHmac("sha256", secret).update(purpose).digest();
 
@@ -78,12 +86,12 @@
       .digest("base64url")
       .slice(0, signatureLength);
 
-  const sign = (grant: ResumeGrant): string => {
-    const fields = signedFields(grant);
-    return `${fields}${separator}${signatureOf(fields, grant.organisation)}`;
+  const sign = (target: ResumeTarget): string => {
+    const fields = signedFields(target);
+    return `${fields}${separator}${signatureOf(fields, target.organisation)}`;
   };
 
-  const isSigned = (signature: string, fields: string, organisation: string): boolean => {
+  const isSignatureValid = (signature: string, fields: string, organisation: string): boolean => {
     const expected = Buffer.from(signatureOf(fields, organisation));
     const given = Buffer.from(signature);
     return given.length === expected.length && timingSafeEqual(given, expected);
@@ -91,11 +99,16 @@
 
   const read = (token: string, organisation: string, now: number): ResumePoint | ResumeTokenFault => {
     const parts = token.split(separator);
-    const [signature = "", tokens = "", others = ""] = parts.slice(signedFieldCount);
-    if (parts.length !== signedFieldCount + 3 || !wholeNumber.test(tokens) || !wholeNumber.test(others)) {
+    const [signature = "", tokens = "", textlessPieces = ""] = parts.slice(signedFieldCount);
+    if (
+      parts.length !== signedFieldCount + 3 ||
+      !wholeNumberPattern.test(tokens) ||
+      !wholeNumberPattern.test(textlessPieces)
+    ) {
       return "malformed";
     }
-    if (!isSigned(signature, parts.slice(0, signedFieldCount).join(separator), organisation)) return "forged";
+    if (!isSignatureValid(signature, parts.slice(0, signedFieldCount).join(separator), organisation))
+      return "forged";
     const [, expiresAt, idempotent, attemptOffset, ...names] = parts.map(decodeURIComponent);
     const [digest = "", attempt = "", engineId = "", incarnation = ""] = names;
     if (Number(expiresAt) < now) return "expired";
@@ -109,7 +122,7 @@
       attemptOffset: Number(attemptOffset),
       expiresAt: Number(expiresAt),
       tokens: Number(tokens),
-      textlessPieces: Number(others),
+      textlessPieces: Number(textlessPieces),
     };
   };
 
--- a/src/protocol/retryAfter.test.ts
+++ b/src/protocol/retryAfter.test.ts
@@ -14,7 +14,7 @@
     expect(texts.map(parse)).toEqual(texts.map(() => "unreadable"));
   });
 
-  it("counts a date from the date of the answer, not from the local clock", () => {
+  it("counts the delay to a date from the Date header, not from the local clock", () => {
     const sentAt = "Sun, 06 Nov 1994 08:49:37 GMT";
     expect(parseRetryAfter("Sun, 06 Nov 1994 08:49:40 GMT", sentAt)).toEqual(3_000);
     expect(parseRetryAfter("Sun, 06 Nov 1994 08:49:30 GMT", sentAt)).toEqual(0);
@@ -22,7 +22,7 @@
     expect(parseRetryAfter("6 Nov 1994", sentAt)).toEqual("unreadable");
   });
 
-  it("returns nothing without the header", () => {
+  it("returns undefined without the header", () => {
     expect(parseRetryAfter(undefined, undefined)).toEqual(undefined);
   });
 });
--- a/src/protocol/retryAfter.ts
+++ b/src/protocol/retryAfter.ts
@@ -1,20 +1,22 @@
-/** `Retry-After` of HTTP answers: seconds, with fractions, or a date (RFC 9110, section 10.2.3). */
+/** The `Retry-After` header: a date, or seconds (RFC 9110, section 10.2.3), here also with fractions. */
 
 const millisecondsPerSecond = 1_000;
 
 const secondsPattern = /^\d+(\.\d+)?$/;
 
-/** `Sun, 06 Nov 1994 08:49:37 GMT`: the only form of a date that may be sent. */
+/** `Sun, 06 Nov 1994 08:49:37 GMT`: the only date format that senders may generate. */
 const datePattern = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
 
 const parseDate = (text: string | undefined): number =>
   text !== undefined && datePattern.test(text) ? Date.parse(text) : Number.NaN;
 
 /**
- * Decodes the header.
+ * Parses the header.
  *
- * @param sentAt - The answer's own `Date` header. A date counts from there: clocks of two VMs differ.
- * @returns Milliseconds; `unreadable` for anything else, nothing without the header.
+ * @param text - The value of the header.
+ * @param sentAt - The `Date` header of the same answer. The delay until a date is counted from it, not from the local
+ * clock, since the clocks of two VMs differ.
+ * @returns The delay in milliseconds, `unreadable` if it can't be parsed, or `undefined` without the header.
  */
 export const parseRetryAfter = (
   text: string | undefined,
--- a/src/protocol/serializedBody.ts
+++ b/src/protocol/serializedBody.ts
@@ -1,40 +1,40 @@
 /**
- * A request's body as JSON text, made once for each request: attempts put their own fields around it, and
- * digests are taken of it, without writing a long prompt out again.
+ * A request's body as JSON text, serialized once for each request. Attempts add their own fields to it and digests are
+ * computed from it without serializing a long prompt again.
  */
 import { createHash } from "node:crypto";
-import { isForwarded } from "./bodyFields.ts";
+import { isForwardedField } from "./bodyFields.ts";
 import type { CompletionRequest } from "./types.ts";
 
-/** The two parts of a body. */
+/** The two parts of a serialized body. */
 export interface SerializedBody {
-  /** JSON of the prompt: an array of messages, or a string. */
+  /** JSON of the prompt: an array of messages or a string. */
   readonly prompt: string;
-  /** The other fields that engines get, as the caller sent them, as the inside of a JSON object; empty if there are none. */
+  /** The other forwarded fields, as a JSON object without its braces; empty if there are none. */
   readonly otherFields: string;
 }
 
-const texts = new WeakMap<CompletionRequest, SerializedBody>();
+const bodies = new WeakMap<CompletionRequest, SerializedBody>();
 
-const writeTexts = ({ kind, body }: CompletionRequest): SerializedBody => {
-  const others = Object.entries(body).filter(([field]) => isForwarded(field));
+const createSerializedBody = ({ kind, body }: CompletionRequest): SerializedBody => {
+  const others = Object.entries(body).filter(([field]) => isForwardedField(field));
   return {
     prompt: JSON.stringify(kind === "chat" ? body.messages : body.prompt),
     otherFields: JSON.stringify(Object.fromEntries(others)).slice(1, -1),
   };
 };
 
-/** @returns The texts of a request; the same object each time. */
+/** @returns The serialized body of a request; the same object for each call. */
 export const serializeBody = (request: CompletionRequest): SerializedBody => {
-  const known = texts.get(request);
+  const known = bodies.get(request);
   if (known !== undefined) return known;
-  const written = writeTexts(request);
-  texts.set(request, written);
-  return written;
+  const serialized = createSerializedBody(request);
+  bodies.set(request, serialized);
+  return serialized;
 };
 
 /**
- * A digest of all that a request asks for, so that another request under the same key or token is noticed.
+ * Computes a digest of a request, to detect a different request that uses the same idempotency key or resume token.
  *
  * @returns SHA-256, base64url.
  */
--- a/src/protocol/storeEpoch.ts
+++ b/src/protocol/storeEpoch.ts
@@ -1,24 +1,24 @@
 /**
- * The epoch of the platform's store. It rises by one each time the store returns from an older copy of itself: records
- * that it acknowledged before may be gone, and their offsets may be given out again.
+ * The epoch of the platform's store. It increases by one each time the store is restored from an older copy: records
+ * that it had acknowledged may then be lost, and their offsets may be assigned again.
  */
 export type StoreEpoch = number;
 
-/** The epoch of a store that names none. */
+/** The epoch of a store whose answers contain none. */
 export const defaultEpoch: StoreEpoch = 0;
 
-/** A rise of the store's epoch. */
+/** An increase of the store's epoch. */
 export interface EpochChange {
   readonly from: StoreEpoch;
   readonly to: StoreEpoch;
 }
 
-/** The newest epoch that any answer of the store has named. */
+/** The newest epoch that the store's answers have contained. */
 export interface EpochSource {
   readonly current: () => StoreEpoch;
-  /** Calls back after each rise. */
+  /** Calls the listener after each increase. */
   readonly subscribe: (listener: (change: EpochChange) => void) => void;
 }
 
-/** The epochs of a store that has none. */
+/** The source for a store without epochs. */
 export const noEpochChanges: EpochSource = { current: () => defaultEpoch, subscribe: () => undefined };
--- a/src/protocol/types.ts
+++ b/src/protocol/types.ts
@@ -1,45 +1,45 @@
-/** Data that several layers hand to one another. All of it is read-only. */
+/** Read-only data types that the layers share. */
 import type { ClassConfiguration, OrganisationConfiguration } from "./configuration/schema.ts";
 import type { StoreEpoch } from "./storeEpoch.ts";
 
-/** A VM as the platform lists it. */
+/** An entry of the platform's list of VMs. */
 export interface ListedVm {
   readonly id: string;
   readonly dataCentre: string;
-  /** `http://IP:PORT` at which the VM serves. */
+  /** `http://IP:PORT` of the VM's service. */
   readonly url: string;
-  /** For routers: `http://IP:PORT` of the peer protocol. */
+  /** `http://IP:PORT` of the peer protocol; only for routers. */
   readonly peerUrl?: string;
   readonly role: "router" | "engine" | "service" | "keyValueStore";
-  /** The engine pool, service or KV store by its configured name; empty for routers. */
+  /** The configured name of the engine pool, service or KV store that the VM belongs to; empty for routers. */
   readonly pool: string;
   readonly state: "live" | "leaving";
 }
 
-/** The end of a reusable part of a prompt. */
+/** A prefix of a prompt whose KV cache other requests can reuse. */
 export interface PrefixLevel {
-  /** Chained hash of all text up to here, salted with organisation, model, adapter and weights. */
+  /** Chained hash of the prefix, salted with organisation, model, adapter and weights version. */
   readonly key: string;
-  /** Tokens up to here, estimated. */
+  /** Estimated number of tokens of the prefix. */
   readonly tokens: number;
 }
 
-/** A model request as far as its body tells. */
+/** A model request, parsed from its body. */
 export interface CompletionRequest {
   readonly kind: "chat" | "text";
   readonly model: string;
   readonly adapter: string | undefined;
   readonly stream: boolean;
-  /** True if the caller asked for a usage chunk at the end of its stream. */
+  /** Whether the caller asked for a usage chunk at the end of its stream. */
   readonly includeUsage: boolean;
   readonly maximumTokens: number;
   /** The parsed body as the caller sent it. */
   readonly body: Readonly<Record<string, unknown>>;
-  /** Prompt text in the order in which it is computed; each item ends at a reusable level. */
+  /** The prompt's text in the order in which it is computed, split at the ends of its prefix levels. */
   readonly segments: readonly string[];
 }
 
-/** Who asks for what, once the configuration has been looked at. */
+/** A request's organisation, class and deadlines, as resolved from its headers and the configuration. */
 export interface RequestContext {
   readonly requestId: string;
   readonly organisation: OrganisationConfiguration;
@@ -53,7 +53,7 @@
   readonly configurationVersion: number;
 }
 
-/** What an engine reports of itself. */
+/** The state that an engine reports. */
 export interface EngineLoad {
   readonly incarnation: string;
   readonly model: string;
@@ -62,7 +62,7 @@
   readonly role: string;
   readonly running: number;
   readonly waiting: number;
-  /** Prompt tokens waiting to be computed, over all requests waiting and running. */
+  /** Prompt tokens still to be computed, over all waiting and running requests. */
   readonly pendingPromptTokens: number;
   readonly cachedTokens: number;
   readonly leaving: boolean;
@@ -75,59 +75,61 @@
   readonly cachedTokens: number;
 }
 
-/** One piece of a streamed answer; each piece with text counts as one token in offsets. */
+/** One piece (chunk) of a streamed answer. In offsets, each piece with text counts as one token. */
 export interface AnswerFrame {
-  /** Text that the piece adds; may be empty. */
+  /** The text of the piece; may be empty. */
   readonly text: string;
-  /** Other parts of the piece, such as tool calls, in the engine's words; an answer that has any of them
-   * cannot be continued by another engine. */
+  /**
+   * Other fields of the piece, such as tool calls, as the engine sent them. Another engine can't continue an answer
+   * that contains any.
+   */
   readonly extra: Readonly<Record<string, unknown>> | undefined;
-  /** Set on the piece that ends the answer: `stop`, `length`, … */
+  /** Set on the last piece of the answer: `stop`, `length`, … */
   readonly finishReason: string | undefined;
   readonly usage: Usage | undefined;
 }
 
-/** An answer that an engine has begun. */
+/** An answer that an engine has started. */
 export interface EngineAnswer {
   readonly attempt: string;
   readonly incarnation: string;
   readonly weightsVersion: string;
-  /** Pieces that arrived together come together. Throws `UpstreamError` where the stream breaks. */
+  /** Each item contains the pieces that arrived together. The iteration throws `UpstreamError` if the stream breaks. */
   readonly frames: AsyncIterable<readonly AnswerFrame[]>;
 }
 
-/** A model call to one engine. */
+/** One attempt to run a model request on an engine. */
 export interface EngineCall {
   readonly attempt: string;
   readonly organisation: string;
   readonly request: CompletionRequest;
-  /** Handed on so that an upstream that deduplicates by key can. */
+  /** Forwarded for upstreams that deduplicate by key. */
   readonly idempotencyKey: string | undefined;
   readonly priority: number;
-  /** Separates the caches of organisations within the engine. */
+  /** Keeps the cached blocks of organisations apart within the engine. */
   readonly cacheSalt: string;
-  /** Text already delivered to the caller; the engine continues after it. */
+  /** The part of the answer that the caller has already received; the engine continues after it. */
   readonly delivered: { readonly text: string; readonly tokens: number };
-  /** Longest silence, milliseconds. */
+  /** Longest time without data before the stream fails, milliseconds. */
   readonly stallTimeout: number;
 }
 
-/** Something that an engine's cache did. */
+/** A change of an engine's cache. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: "stored" | "evicted" | "cleared";
-  /** The engine's own block hashes. */
+  /** Block hashes, as the engine computes them. */
   readonly blocks: readonly string[];
 }
 
-/** A page of an engine's cache events; a gap in `sequence` means that some were lost. */
+/** A page of an engine's cache events; a gap in `sequence` means that events were lost. */
 export interface CacheEventPage {
   readonly incarnation: string;
   readonly events: readonly CacheEvent[];
   readonly nextSequence: number;
 }
 
-/** What an engine can be told to do. */
+/** The action of an order. */
 export type EngineOrderAction =
   | { readonly kind: "load_weights"; readonly model: string; readonly weightsVersion: string }
   | { readonly kind: "load_adapter"; readonly adapter: string; readonly version: string }
@@ -143,14 +145,14 @@
     }
   | { readonly kind: "import_cache"; readonly storeUrl: string; readonly cacheKey: string };
 
-/** An order with what it is conditional on. */
+/** A command to an engine, with its preconditions. */
 export interface EngineOrder {
   readonly id: string;
-  /** Offset of the lease grant under which the order is given. */
+  /** Fencing token: the offset of the lease grant under which the order is sent. */
   readonly fencingNumber: number;
-  /** The order is void at an engine with another incarnation. */
+  /** Precondition: the order is void for an engine with another incarnation. */
   readonly ifIncarnation: string;
-  /** The order is void at an engine with other weights. */
+  /** Precondition: the order is void for an engine with another weights version. */
   readonly ifWeightsVersion: string;
   readonly action: EngineOrderAction;
 }
@@ -160,16 +162,16 @@
   readonly attempt: string;
   readonly organisation: string;
   readonly method: string;
-  /** Path and query within the service. */
+  /** Path and query string, relative to the service. */
   readonly path: string;
   readonly contentType: string | undefined;
   readonly idempotencyKey: string | undefined;
   readonly body: Buffer | undefined;
-  /** Longest wait for the answer, milliseconds. */
+  /** Longest time to wait for the answer, milliseconds. */
   readonly timeout: number;
 }
 
-/** A plain service's whole answer. */
+/** The complete answer of a plain service. */
 export interface ServiceAnswer {
   readonly attempt: string;
   readonly status: number;
@@ -180,23 +182,23 @@
 /** A record of the log service. */
 export interface LogRecord {
   readonly offset: number;
-  /** When the service took it, milliseconds since 1970 on its own clock. */
+  /** When the service stored the record, in milliseconds since 1970 on its own clock. */
   readonly appendedAt: number;
   readonly data: string;
 }
 
-/** A part of a stream of the log service. */
+/** A page of a stream of the log service. */
 export interface LogPage {
   readonly records: readonly LogRecord[];
-  /** The oldest offset still kept. */
+  /** The offset of the oldest record that is still kept. */
   readonly earliestOffset: number;
-  /** The offset that the next append will get. */
+  /** The offset that the next appended record will get. */
   readonly nextOffset: number;
-  /** In which its offsets were given out. */
+  /** The epoch in which the offsets were assigned. */
   readonly epoch: StoreEpoch;
 }
 
-/** Records that the log service has taken. */
+/** The result of an append to the log service. */
 export interface AppendedRecords {
   readonly offsets: readonly number[];
   readonly epoch: StoreEpoch;
