--- a/src/protocol/configuration/check.test.ts
+++ b/src/protocol/configuration/check.test.ts
@@ -19,7 +19,7 @@
 
 type Json = Record<string, Record<string, unknown>[]> & { limits: Record<string, unknown> };
 
-/** Applies a change to the demo's configuration and returns what is wrong with it then. */
+/** Applies a change to the demo's configuration and returns the problems of the result. */
 const problemsAfter = async (change: (file: Json) => void): Promise<readonly string[]> => {
   const file = JSON.parse(await readExample("demo")) as Json;
   change(file);
@@ -58,7 +58,7 @@
     });
   }
 
-  it("lists schema problems and cross references of the rest at once", async () => {
+  it("reports schema problems together with cross-reference problems of the other items", async () => {
     const problems = await problemsAfter((file) => {
       item(file, "organisations", 0).standing = 0;
       item(file, "organisations", 1).models = ["records-asistant"];
@@ -73,7 +73,7 @@
 
   const faults: readonly (readonly [string, (file: Json) => void, string])[] = [
     [
-      "a name given twice",
+      "a duplicate name",
       set("classes", 0, "name", "price-lookup"),
       'classes[3].name: another class is also named "price-lookup"',
     ],
@@ -98,7 +98,7 @@
       'organisations[0].rivals[0]: there is no organisation "air-nowhere"',
     ],
     [
-      "a rival of itself",
+      "an organisation that is its own rival",
       set("organisations", 0, "rivals", ["petra-wings"]),
       "organisations[0].rivals[0]: an organisation cannot rival itself",
     ],
@@ -123,37 +123,37 @@
       'enginePools[0].dataCentres[1]: there is no data centre "amman-west"',
     ],
     [
-      "a data centre given twice",
+      "a duplicate data centre",
       set("services", 0, "dataCentres", ["amman-north", "amman-north"]),
       'services[0].dataCentres[1]: "amman-north" is given twice',
     ],
     [
-      "deadlines out of order",
+      "a first-token deadline after the completion deadline",
       set("classes", 0, "firstTokenDeadline", 3001),
       "classes[0].firstTokenDeadline: is later than completionDeadline",
     ],
     [
-      "a stall timeout beyond the deadline",
+      "a stall timeout longer than the completion deadline",
       set("classes", 0, "stallTimeout", 3001),
       "classes[0].stallTimeout: is longer than completionDeadline",
     ],
     [
-      "a hedge after the deadline",
+      "a hedge at or after the first-token deadline",
       set("classes", 0, "hedgeAfter", 600),
       "classes[0].hedgeAfter: is not before firstTokenDeadline",
     ],
     [
-      "a hedging batch class",
+      "a batch class with hedging",
       set("classes", 6, "hedgeAfter", 10),
       "classes[6].hedgeAfter: only interactive classes may hedge",
     ],
     [
-      "an objective of nothing",
+      "an objective without a positive weight",
       set("deployments", 0, "objective", { timeToFirstToken: 0, recomputation: 0 }),
       "deployments[0].objective: at least one weight has to be above 0",
     ],
     [
-      "an adapter given twice",
+      "a duplicate adapter",
       set("models", 0, "adapters", [
         { name: "a", version: "1" },
         { name: "a", version: "2" },
@@ -161,7 +161,7 @@
       'models[0].adapters[1]: "a" is given twice',
     ],
     [
-      "a route given twice",
+      "a duplicate route",
       set("services", 0, "nonIdempotentRoutes", [
         { method: "POST", path: "/sign-offs" },
         { method: "POST", path: "/sign-offs" },
@@ -169,14 +169,14 @@
       'services[0].nonIdempotentRoutes[1]: "POST /sign-offs" is given twice',
     ],
     [
-      "claims kept too briefly",
+      "a claim retention that is too short",
       (file) => {
         file.limits.claimRetention = 1_799_999;
       },
       "limits.claimRetention: must be at least twice the longest completionDeadline (900000 ms)",
     ],
     [
-      "a key of two organisations",
+      "a key that two organisations share",
       (file) => {
         item(file, "organisations", 3).keyHashes = item(file, "organisations", 0).keyHashes;
       },
--- a/src/protocol/configuration/check.ts
+++ b/src/protocol/configuration/check.ts
@@ -1,39 +1,39 @@
-/** Accepts a configuration as a whole or names everything that is wrong with it. */
+/** Validates a configuration as a whole and reports all its problems at once. */
 import { fileError } from "../errors.ts";
 import type { FileProblem } from "../errors.ts";
 import { listSchemaProblems } from "../schemaProblems.ts";
 import { findCrossReferenceProblems } from "./crossReferences.ts";
-import { entriesOf, salvageEntries } from "./entries.ts";
+import { collectValidEntries, listAllEntries } from "./entries.ts";
 import { findJsonTextProblems } from "./jsonText.ts";
 import { configurationSchema } from "./schema.ts";
 import type { Configuration } from "./schema.ts";
 
-/** A configuration that was accepted, or why it was not. */
+/** The accepted configuration, or the problems for which it was refused. */
 export type ConfigurationCheck =
   | { readonly accepted: true; readonly configuration: Configuration }
   | { readonly accepted: false; readonly problems: readonly FileProblem[] };
 
 /**
- * Checks a parsed file by schema and by cross references.
+ * Validates a parsed file against the schema and checks its cross references.
  *
- * @param file - What `JSON.parse` made of the file.
+ * @param file - The result of `JSON.parse`.
  */
 export const checkConfiguration = (file: unknown): ConfigurationCheck => {
   const parsed = configurationSchema.safeParse(file);
   if (!parsed.success) {
-    const crossReferences = findCrossReferenceProblems(salvageEntries(file));
+    const crossReferences = findCrossReferenceProblems(collectValidEntries(file));
     return { accepted: false, problems: [...listSchemaProblems(parsed.error), ...crossReferences] };
   }
-  const problems = findCrossReferenceProblems(entriesOf(parsed.data));
+  const problems = findCrossReferenceProblems(listAllEntries(parsed.data));
   if (problems.length > 0) return { accepted: false, problems };
   return { accepted: true, configuration: parsed.data };
 };
 
 /**
- * Reads a configuration file's text.
+ * Parses and validates the text of a configuration file.
  *
- * @param file - The file's name, for messages.
- * @throws `FileError` that lists all problems.
+ * @param file - The file's name, for error messages.
+ * @throws `FileError` that lists all the problems.
  */
 export const parseConfiguration = (text: string, file: string): Configuration => {
   const textProblems = findJsonTextProblems(text);
--- a/src/protocol/configuration/crossReferences.ts
+++ b/src/protocol/configuration/crossReferences.ts
@@ -1,20 +1,20 @@
-/** What a configuration's items say about one another, one check a function. */
+/** Checks of the references between a configuration's items, and of rules that the schema can't express. */
 import type { FileProblem } from "../errors.ts";
 import { listNames } from "./entries.ts";
 import type { ConfigurationEntries, Entry, ListName } from "./entries.ts";
 import type { ClassConfiguration, ObjectiveConfiguration } from "./schema.ts";
 
-/** Items by name, made once for all checks. */
+/** Items by name, built once for all checks. */
 type Items = ReadonlyMap<string | undefined, object | undefined>;
 type Lookup = Readonly<Record<ListName, Items>>;
 
 type Check = (entries: ConfigurationEntries, lookup: Lookup) => readonly FileProblem[];
 
-/** One name in the file that stands for an item of a list. */
+/** A name in the file that refers to an item of a list. */
 interface Reference {
   readonly path: string;
   readonly name: string;
-  /** The deployment that the item has to belong to; left out for items of no deployment. */
+  /** The deployment that the item must belong to; absent for items that belong to none. */
   readonly deployment?: string;
 }
 
@@ -29,30 +29,30 @@
   keyValueStores: "key-value store",
 };
 
-/** Goes over the items that have passed the schema. */
-const forItems = <Item>(
+/** Runs a check on each item that has passed the schema. */
+const checkItems = <Item>(
   entries: readonly Entry<Item>[],
   check: (item: Item, path: string) => readonly FileProblem[],
 ): readonly FileProblem[] =>
   entries.flatMap(({ item, path }) => (item === undefined ? [] : check(item, path)));
 
-const repeatedValues = (path: string, values: readonly string[]): readonly FileProblem[] =>
+const findDuplicates = (path: string, values: readonly string[]): readonly FileProblem[] =>
   values.flatMap((value, index) =>
     values.indexOf(value) === index
       ? []
       : [{ path: `${path}[${index}]`, cause: `"${value}" is given twice` }],
   );
 
-/** Looks references up in a list: each has to exist, and to belong to the same deployment. */
+/** Checks that the target of each reference exists in a list and belongs to the expected deployment. */
 const checkReferences = (
   list: ListName,
   lookup: Lookup,
   references: readonly Reference[],
 ): readonly FileProblem[] => {
-  const byName = lookup[list];
+  const items = lookup[list];
   return references.flatMap(({ path, name, deployment }) => {
-    if (!byName.has(name)) return [{ path, cause: `there is no ${singular[list]} "${name}"` }];
-    const item = byName.get(name);
+    if (!items.has(name)) return [{ path, cause: `there is no ${singular[list]} "${name}"` }];
+    const item = items.get(name);
     if (deployment === undefined || item === undefined || !("deployment" in item)) return [];
     if (item.deployment === deployment) return [];
     const owner = String(item.deployment);
@@ -61,7 +61,7 @@
   });
 };
 
-const listReferences = (path: string, names: readonly string[], deployment?: string): readonly Reference[] =>
+const referencesTo = (path: string, names: readonly string[], deployment?: string): readonly Reference[] =>
   names.map((name, index) => ({
     path: `${path}[${index}]`,
     name,
@@ -102,24 +102,24 @@
     if (item === undefined) return [];
     const listPath = `${path}.dataCentres`;
     return [
-      ...checkReferences("dataCentres", lookup, listReferences(listPath, item.dataCentres)),
-      ...repeatedValues(listPath, item.dataCentres),
+      ...checkReferences("dataCentres", lookup, referencesTo(listPath, item.dataCentres)),
+      ...findDuplicates(listPath, item.dataCentres),
     ];
   });
 };
 
 const checkOrganisationLists: Check = (entries, lookup) =>
-  forItems(entries.organisations, ({ models, services, rivals, deployment }, path) => [
-    ...checkReferences("models", lookup, listReferences(`${path}.models`, models, deployment)),
-    ...checkReferences("services", lookup, listReferences(`${path}.services`, services, deployment)),
-    ...checkReferences("organisations", lookup, listReferences(`${path}.rivals`, rivals, deployment)),
-    ...repeatedValues(`${path}.models`, models),
-    ...repeatedValues(`${path}.services`, services),
-    ...repeatedValues(`${path}.rivals`, rivals),
+  checkItems(entries.organisations, ({ models, services, rivals, deployment }, path) => [
+    ...checkReferences("models", lookup, referencesTo(`${path}.models`, models, deployment)),
+    ...checkReferences("services", lookup, referencesTo(`${path}.services`, services, deployment)),
+    ...checkReferences("organisations", lookup, referencesTo(`${path}.rivals`, rivals, deployment)),
+    ...findDuplicates(`${path}.models`, models),
+    ...findDuplicates(`${path}.services`, services),
+    ...findDuplicates(`${path}.rivals`, rivals),
   ]);
 
 const checkRivalsAreOthers: Check = (entries) =>
-  forItems(entries.organisations, ({ name, rivals }, path) =>
+  checkItems(entries.organisations, ({ name, rivals }, path) =>
     rivals.flatMap((rival, index) =>
       rival === name
         ? [{ path: `${path}.rivals[${index}]`, cause: "an organisation cannot rival itself" }]
@@ -127,10 +127,10 @@
     ),
   );
 
-/** A key tells which organisation calls, so no two may share one. */
+/** Organisations are identified by their API keys, so no two of them may share one. */
 const checkKeysAreUnshared: Check = (entries) => {
   const owners = new Map<string, string>();
-  return forItems(entries.organisations, ({ name, keyHashes }, path) =>
+  return checkItems(entries.organisations, ({ name, keyHashes }, path) =>
     keyHashes.flatMap((hash, index) => {
       const owner = owners.get(hash);
       owners.set(hash, owner ?? name);
@@ -143,12 +143,12 @@
 };
 
 const checkClassReferences: Check = (entries, lookup) => {
-  const ofModels = forReferences(entries.models, (model, path) => ({
+  const ofModels = collectReferences(entries.models, (model, path) => ({
     path: `${path}.defaultClass`,
     name: model.defaultClass,
     deployment: model.deployment,
   }));
-  const ofServices = forReferences(entries.services, (service, path) => ({
+  const ofServices = collectReferences(entries.services, (service, path) => ({
     path: `${path}.class`,
     name: service.class,
     deployment: service.deployment,
@@ -156,7 +156,7 @@
   return checkReferences("classes", lookup, [...ofModels, ...ofServices]);
 };
 
-const forReferences = <Item>(
+const collectReferences = <Item>(
   entries: readonly Entry<Item>[],
   read: (item: Item, path: string) => Reference,
 ): readonly Reference[] =>
@@ -166,7 +166,7 @@
   checkReferences(
     "models",
     lookup,
-    forReferences(entries.enginePools, (pool, path) => ({
+    collectReferences(entries.enginePools, (pool, path) => ({
       path: `${path}.model`,
       name: pool.model,
       deployment: pool.deployment,
@@ -174,16 +174,16 @@
   );
 
 const checkAdapterNames: Check = (entries) =>
-  forItems(entries.models, ({ adapters }, path) =>
-    repeatedValues(
+  checkItems(entries.models, ({ adapters }, path) =>
+    findDuplicates(
       `${path}.adapters`,
       adapters.map(({ name }) => name),
     ),
   );
 
 const checkRoutes: Check = (entries) =>
-  forItems(entries.services, ({ nonIdempotentRoutes }, path) =>
-    repeatedValues(
+  checkItems(entries.services, ({ nonIdempotentRoutes }, path) =>
+    findDuplicates(
       `${path}.nonIdempotentRoutes`,
       nonIdempotentRoutes.map((route) => `${route.method} ${route.path}`),
     ),
@@ -206,7 +206,7 @@
   return problems;
 };
 
-const checkClasses: Check = (entries) => forItems(entries.classes, checkClassTimes);
+const checkClasses: Check = (entries) => checkItems(entries.classes, checkClassTimes);
 
 const checkObjective = (
   objective: ObjectiveConfiguration | undefined,
@@ -217,11 +217,11 @@
 };
 
 const checkObjectives: Check = (entries) => [
-  ...forItems(entries.deployments, (item, path) => checkObjective(item.objective, path)),
-  ...forItems(entries.classes, (item, path) => checkObjective(item.objective, path)),
+  ...checkItems(entries.deployments, (item, path) => checkObjective(item.objective, path)),
+  ...checkItems(entries.classes, (item, path) => checkObjective(item.objective, path)),
 ];
 
-/** A claim has to outlive every request that it may belong to, and a retry of it. */
+/** A claim must outlive every request that it may belong to, and a retry of that request. */
 const checkClaimRetention: Check = ({ classes, limits }) => {
   if (limits === undefined) return [];
   const deadlines = classes.map(({ item }) => item?.completionDeadline ?? 0);
@@ -247,21 +247,21 @@
   checkClaimRetention,
 ];
 
-const byName = (entries: readonly Entry<object>[]): Items =>
+const itemsByName = (entries: readonly Entry<object>[]): Items =>
   new Map(entries.map(({ name, item }) => [name, item]));
 
 const createLookup = (entries: ConfigurationEntries): Lookup => ({
-  deployments: byName(entries.deployments),
-  dataCentres: byName(entries.dataCentres),
-  organisations: byName(entries.organisations),
-  classes: byName(entries.classes),
-  models: byName(entries.models),
-  enginePools: byName(entries.enginePools),
-  services: byName(entries.services),
-  keyValueStores: byName(entries.keyValueStores),
+  deployments: itemsByName(entries.deployments),
+  dataCentres: itemsByName(entries.dataCentres),
+  organisations: itemsByName(entries.organisations),
+  classes: itemsByName(entries.classes),
+  models: itemsByName(entries.models),
+  enginePools: itemsByName(entries.enginePools),
+  services: itemsByName(entries.services),
+  keyValueStores: itemsByName(entries.keyValueStores),
 });
 
-/** Checks what the items of a configuration say about one another. */
+/** Runs all the checks of references and rules on the items of a configuration. */
 export const findCrossReferenceProblems = (entries: ConfigurationEntries): readonly FileProblem[] => {
   const lookup = createLookup(entries);
   return checks.flatMap((check) => check(entries, lookup));
--- a/src/protocol/configuration/entries.ts
+++ b/src/protocol/configuration/entries.ts
@@ -1,11 +1,11 @@
 /**
- * A configuration's items with where they stand in the file. Cross references are checked over these also
- * where the schema refuses other parts of the file, so that an operator sees all problems at once.
+ * A configuration's items with their paths in the file. Cross references are checked on these items even if the schema
+ * refuses other parts of the file, so that an operator sees all the problems at once.
  */
 import { configurationSchema } from "./schema.ts";
 import type { Configuration } from "./schema.ts";
 
-/** The configuration's lists, in the order of the file. */
+/** The names of the configuration's lists, in the order of the file. */
 export const listNames = [
   "deployments",
   "dataCentres",
@@ -22,11 +22,11 @@
 
 /** One item of a list. */
 export interface Entry<Item> {
-  /** For example `organisations[2]`. */
+  /** Location in the file, for example `organisations[2]`. */
   readonly path: string;
-  /** Known also for an item that the schema refuses, as long as it has a name at all. */
+  /** Also set for an item that the schema refuses, if it has a name. */
   readonly name: string | undefined;
-  /** Left out where the schema refuses the item. */
+  /** `undefined` if the schema refuses the item. */
   readonly item: Item | undefined;
 }
 
@@ -70,8 +70,8 @@
   });
 };
 
-/** Takes from a file that the schema refuses what it would accept alone. */
-export const salvageEntries = (file: unknown): ConfigurationEntries => ({
+/** Lists the items of a file that the schema refuses, with the items that are valid by themselves. */
+export const collectValidEntries = (file: unknown): ConfigurationEntries => ({
   deployments: readEntries(file, "deployments"),
   dataCentres: readEntries(file, "dataCentres"),
   organisations: readEntries(file, "organisations"),
@@ -90,7 +90,7 @@
   items.map((item, index) => ({ path: `${list}[${index}]`, name: item.name, item }));
 
 /** Lists the items of a configuration that has passed the schema. */
-export const entriesOf = (configuration: Configuration): ConfigurationEntries => ({
+export const listAllEntries = (configuration: Configuration): ConfigurationEntries => ({
   deployments: listEntries("deployments", configuration.deployments),
   dataCentres: listEntries("dataCentres", configuration.dataCentres),
   organisations: listEntries("organisations", configuration.organisations),
--- a/src/protocol/configuration/jsonText.ts
+++ b/src/protocol/configuration/jsonText.ts
@@ -1,26 +1,26 @@
 /**
- * Places in JSON text. `JSON.parse` gives no position for some faults and keeps silent about a name that an
- * object holds twice; a configuration file needs both.
+ * A JSON syntax check that reports positions. `JSON.parse` gives no position for some syntax errors and accepts
+ * duplicate names in an object; both have to be reported for a configuration file.
  */
 import type { FileProblem } from "../errors.ts";
 
-/** Deepest nesting that is looked at; deeper text is reported as a fault. */
+/** Deepest accepted nesting; deeper nesting is reported as an error. */
 const maximumDepth = 64;
 
 const whitespace = /[ \t\n\r]*/y;
 const stringToken = /"(?:[^"\\\u0000-\u001f]|\\(?:["\\/bfnrt]|u[0-9a-fA-F]{4}))*"/y;
 const plainToken = /-?(?:0|[1-9]\d*)(?:\.\d+)?(?:[eE][+-]?\d+)?|true|false|null/y;
 
-/** Where the text stops being JSON. */
-interface Fault {
+/** A syntax error. */
+interface SyntaxFault {
   readonly position: number;
   readonly cause: string;
 }
 
-/** Either the position after a value, or where and why the text is no value. */
-type Scan = number | Fault;
+/** The position after a value, or the syntax error in it. */
+type ScanResult = number | SyntaxFault;
 
-const isFault = (scan: Scan): scan is Fault => typeof scan !== "number";
+const isFault = (result: ScanResult): result is SyntaxFault => typeof result !== "number";
 
 const match = (pattern: RegExp, text: string, position: number): string | undefined => {
   pattern.lastIndex = position;
@@ -30,7 +30,7 @@
 const skipWhitespace = (text: string, position: number): number =>
   position + (match(whitespace, text, position)?.length ?? 0);
 
-const expected = (text: string, position: number, what: string): Fault => ({
+const expected = (text: string, position: number, what: string): SyntaxFault => ({
   position,
   cause: position < text.length ? `expected ${what}` : `expected ${what}, but the file ends`,
 });
@@ -43,14 +43,14 @@
 const childPath = (path: string, key: string): string => (path === "" ? key : `${path}.${key}`);
 
 /**
- * Finds what `JSON.parse` cannot place.
+ * Finds syntax errors and duplicate names.
  *
- * @returns A syntax fault with its line and column, or else every name that an object holds twice.
+ * @returns The first syntax error with its line and column; if there is none, every duplicate name.
  */
 export const findJsonTextProblems = (text: string): readonly FileProblem[] => {
-  const repeated: FileProblem[] = [];
+  const duplicates: FileProblem[] = [];
 
-  const scanMembers = (start: number, path: string, depth: number): Scan => {
+  const scanMembers = (start: number, path: string, depth: number): ScanResult => {
     const keys = new Set<string>();
     let position = skipWhitespace(text, start + 1);
     if (text[position] === "}") return position + 1;
@@ -60,7 +60,10 @@
       const key = JSON.parse(token) as string;
       const memberPath = childPath(path, key);
       if (keys.has(key)) {
-        repeated.push({ path: memberPath, cause: `given twice, again at ${lineAndColumn(text, position)}` });
+        duplicates.push({
+          path: memberPath,
+          cause: `given twice, again at ${lineAndColumn(text, position)}`,
+        });
       }
       keys.add(key);
       position = skipWhitespace(text, position + token.length);
@@ -74,7 +77,7 @@
     }
   };
 
-  const scanItems = (start: number, path: string, depth: number): Scan => {
+  const scanItems = (start: number, path: string, depth: number): ScanResult => {
     let position = skipWhitespace(text, start + 1);
     if (text[position] === "]") return position + 1;
     for (let index = 0; ; index += 1) {
@@ -87,7 +90,7 @@
     }
   };
 
-  const scanValue = (start: number, path: string, depth: number): Scan => {
+  const scanValue = (start: number, path: string, depth: number): ScanResult => {
     const position = skipWhitespace(text, start);
     if (depth > maximumDepth) return { position, cause: "nested too deeply" };
     if (text[position] === "{") return scanMembers(position, path, depth + 1);
@@ -96,14 +99,14 @@
     return token === undefined ? expected(text, position, "a value") : position + token.length;
   };
 
-  const scanText = (): Scan => {
+  const scanText = (): ScanResult => {
     const end = scanValue(0, "", 0);
     if (isFault(end)) return end;
     const position = skipWhitespace(text, end);
     return position === text.length ? position : expected(text, position, "the end of the file");
   };
 
-  const scan = scanText();
-  if (!isFault(scan)) return repeated;
-  return [{ path: "", cause: `not JSON at ${lineAndColumn(text, scan.position)}: ${scan.cause}` }];
+  const result = scanText();
+  if (!isFault(result)) return duplicates;
+  return [{ path: "", cause: `not JSON at ${lineAndColumn(text, result.position)}: ${result.cause}` }];
 };
--- a/src/protocol/configuration/record.ts
+++ b/src/protocol/configuration/record.ts
@@ -1,10 +1,10 @@
 /**
  * Records of the log's configuration stream.
  *
- * An operator publishes a complete file, but at the target size whole files are too large to travel for
- * each change. A publication therefore carries the difference to the version that its publisher saw in
- * force, and the digest of the whole result. Old records expire with the log's retention; before they do, a
- * restatement appends the whole configuration again under its old version.
+ * An operator publishes a complete file, but at the target size whole files are too large to be sent for each change.
+ * A publication therefore contains the difference from the version that its publisher saw in force, and the digest of
+ * the complete result. Old records expire with the log's retention; before they do, a republication (kind
+ * `restatement`) appends the whole configuration again under its old version.
  */
 import { z } from "zod";
 import type { Configuration } from "./schema.ts";
@@ -46,7 +46,7 @@
   })
   .refine(({ put }) => uniqueNames(put.map((item) => item.section)), { error: "a section is given twice" });
 
-const restatementSchema = z
+const republicationSchema = z
   .strictObject({
     kind: z.literal("restatement"),
     version: offset.describe("The version in force after every record before `readTo`"),
@@ -57,7 +57,11 @@
   })
   .refine(({ put }) => uniqueNames(put.map((item) => item.section)), { error: "a section is given twice" });
 
-const recordSchema = z.discriminatedUnion("kind", [publicationSchema, replacementSchema, restatementSchema]);
+const recordSchema = z.discriminatedUnion("kind", [
+  publicationSchema,
+  replacementSchema,
+  republicationSchema,
+]);
 
 /** Who published a version, and when. */
 export interface Publisher {
@@ -66,7 +70,7 @@
   readonly publishedAt: number;
 }
 
-/** A difference to the version in force; void if another publication was first. */
+/** A difference from the version in force; void if another publication was appended first. */
 export interface Publication extends Publisher, SectionDifference {
   readonly kind: "publication";
   readonly base: number | null;
@@ -74,8 +78,8 @@
 }
 
 /**
- * A whole configuration that is conditional on nothing. For operators whose log no longer holds any version
- * in whole; it supersedes whatever is in force.
+ * A whole configuration without a precondition, which supersedes any version in force. Operators use it when the log
+ * no longer contains any complete version.
  */
 export interface Replacement extends Publisher {
   readonly kind: "replacement";
@@ -83,7 +87,7 @@
   readonly put: readonly ConfigurationSection[];
 }
 
-/** The version in force in whole, appended again before its records expire. */
+/** The whole version in force, appended again before its records expire. */
 export interface Republication extends Publisher {
   readonly kind: "restatement";
   readonly version: number;
@@ -103,9 +107,9 @@
 }
 
 /**
- * Makes the record that publishes a configuration.
+ * Creates the record that publishes a configuration.
  *
- * @param base - The version that the publisher sees in force; nothing if there is none yet.
+ * @param base - The version that the publisher sees in force; `undefined` if there is none yet.
  */
 export const createPublication = (
   configuration: Configuration,
@@ -122,20 +126,20 @@
   };
 };
 
-/** Makes the record that replaces whatever is in force. */
+/** Creates the record that replaces any version in force. */
 export const createReplacement = (configuration: Configuration, publisher: Publisher): Replacement => {
   const sections = splitConfiguration(configuration);
   const { put } = diffSections(new Map(), sections);
   return { kind: "replacement", ...publisher, digest: digestSections(sections), put };
 };
 
-/** Writes a record for the log. */
+/** Encodes a record for the log. */
 export const encodeConfigurationRecord = (record: ConfigurationRecord): string => JSON.stringify(record);
 
 /**
- * Reads a record from the log.
+ * Decodes a record from the log.
  *
- * @returns Nothing if the data is no such record.
+ * @returns `undefined` if the data is not a valid configuration record.
  */
 export const decodeConfigurationRecord = (data: string): ConfigurationRecord | undefined => {
   try {
--- a/src/protocol/configuration/schema.ts
+++ b/src/protocol/configuration/schema.ts
@@ -1,9 +1,9 @@
 /**
  * The schema of the one complete configuration file that operators publish.
  *
- * Durations are milliseconds, sizes tokens or bytes as named. Unknown fields are errors. What refers to
- * something else by name is checked in `check.ts`. VMs are never listed here: they come and go, and the
- * platform's VM list names them with the pool that they belong to.
+ * Durations are in milliseconds; names of sizes say whether they are tokens or bytes. Unknown fields are errors.
+ * References by name are checked in `crossReferences.ts`. VMs are never listed here, since they come and go: the
+ * platform's VM list contains them with the pool that they belong to.
  */
 import { z } from "zod";
 import { reservedFields } from "../bodyFields.ts";
@@ -14,7 +14,7 @@
 const milliseconds = z.number().int().min(0).max(86_400_000);
 const positiveMilliseconds = z.number().int().min(1).max(86_400_000);
 
-/** What a choice of engine is meant to spare, as weights that are compared with one another. */
+/** The costs that the choice of an engine minimises, as weights relative to one another. */
 const objectiveSchema = z.strictObject({
   timeToFirstToken: z.number().min(0).describe("Weight of the predicted time to first token"),
   recomputation: z.number().min(0).describe("Weight of prompt tokens computed although an engine holds them"),
--- a/src/protocol/configuration/sections.ts
+++ b/src/protocol/configuration/sections.ts
@@ -1,29 +1,29 @@
 /**
- * A configuration as named sections, one for each item of its lists: `organisations/levant-one`,
- * `models/records-assistant`, `limits`. Only sections that changed travel; a digest over all of them proves
- * that a reader holds exactly what the operator published. The order of items within a list means nothing.
+ * A configuration as named sections, one for each item of its lists and one for each single field, for example
+ * `organisations/levant-one`, `models/records-assistant` and `limits`. Only changed sections are sent; a digest over
+ * all sections proves that a reader has exactly what the operator published. The order of items in a list doesn't matter.
  *
- * A section's body is kept as it was published, without defaults that a later release may add, so that all
- * releases agree on its hash.
+ * A section's body is kept as it was published, without defaults that a later release may add, so that all releases
+ * compute the same hash.
  */
 import { createHash } from "node:crypto";
 import { listNames } from "./entries.ts";
 import type { Configuration } from "./schema.ts";
 
-/** Lower-case hex digits of a section's hash. */
+/** Length of a section's hash, in lower-case hex digits. */
 const hashLength = 32;
 
-/** The fields of a configuration that are a section by themselves. */
+/** The fields of a configuration that are one section each. */
 const singleSections = ["schema", "limits"] as const;
 
-/** One section as it travels. */
+/** A section as it is sent. */
 export interface ConfigurationSection {
   readonly section: string;
-  /** JSON. */
+  /** A JSON value. */
   readonly body: unknown;
 }
 
-/** One section as it is kept. */
+/** A section as it is stored, with its hash. */
 export interface HashedSection extends ConfigurationSection {
   readonly hash: string;
 }
@@ -31,10 +31,10 @@
 /** Sections by name. */
 export type SectionMap = ReadonlyMap<string, HashedSection>;
 
-/** What turns one configuration into another. */
+/** The difference between two configurations. */
 export interface SectionDifference {
   readonly put: readonly ConfigurationSection[];
-  /** Names of sections that are gone. */
+  /** Names of removed sections. */
   readonly remove: readonly string[];
 }
 
@@ -43,7 +43,7 @@
     .filter(([, field]) => field !== undefined)
     .sort(([left], [right]) => (left < right ? -1 : 1));
 
-/** Writes JSON in one form only: names sorted, no white space. */
+/** Serializes to canonical JSON: names sorted, no white space. */
 export const canonicalJson = (value: unknown): string => {
   if (Array.isArray(value)) return `[${value.map(canonicalJson).join(",")}]`;
   if (typeof value !== "object" || value === null) return JSON.stringify(value);
@@ -55,14 +55,14 @@
 
 const sha256 = (text: string): string => createHash("sha256").update(text).digest("hex");
 
-/** Adds a section's hash. */
+/** Computes a section's hash. */
 export const hashSection = ({ section, body }: ConfigurationSection): HashedSection => ({
   section,
   body,
   hash: sha256(canonicalJson(body)).slice(0, hashLength),
 });
 
-const byName = (left: ConfigurationSection, right: ConfigurationSection): number =>
+const compareByName = (left: ConfigurationSection, right: ConfigurationSection): number =>
   left.section < right.section ? -1 : 1;
 
 /** Splits a configuration into its sections. */
@@ -71,16 +71,16 @@
   const listed = listNames.flatMap((list) =>
     configuration[list].map((item) => ({ section: `${list}/${item.name}`, body: item })),
   );
-  const sections = [...single, ...listed].sort(byName).map(hashSection);
+  const sections = [...single, ...listed].sort(compareByName).map(hashSection);
   return new Map(sections.map((section) => [section.section, section]));
 };
 
 /**
- * Puts sections together to what a configuration file holds, lists sorted by name. Whether it is a valid
- * configuration is for `checkConfiguration` to say.
+ * Assembles sections into the contents of a configuration file, with lists sorted by name. The result is not validated;
+ * `checkConfiguration` does that.
  */
 export const joinSections = (sections: SectionMap): Readonly<Record<string, unknown>> => {
-  const ordered = [...sections.values()].sort(byName);
+  const ordered = [...sections.values()].sort(compareByName);
   const lists = listNames.map((list) => {
     const items = ordered.filter(({ section }) => section.startsWith(`${list}/`)).map(({ body }) => body);
     return [list, items] as const;
@@ -89,7 +89,7 @@
   return Object.fromEntries([...single, ...lists]);
 };
 
-/** Lists sections whose name is not the one that their body gives them. */
+/** Lists sections whose name does not match their body. */
 export const findMisnamedSections = (sections: readonly ConfigurationSection[]): readonly string[] =>
   sections
     .filter(({ section, body }) => {
@@ -100,13 +100,13 @@
     })
     .map(({ section }) => section);
 
-/** The digest of a whole configuration: SHA-256 over its sections' names and hashes in order. */
+/** Computes the digest of a whole configuration: SHA-256 of its sections' names and hashes, ordered by name. */
 export const digestSections = (sections: SectionMap): string => {
-  const lines = [...sections.values()].sort(byName).map(({ section, hash }) => `${section} ${hash}\n`);
+  const lines = [...sections.values()].sort(compareByName).map(({ section, hash }) => `${section} ${hash}\n`);
   return sha256(lines.join(""));
 };
 
-/** Finds what turns one configuration into another. */
+/** Computes the difference that turns one configuration into another. */
 export const diffSections = (before: SectionMap, after: SectionMap): SectionDifference => ({
   put: [...after.values()]
     .filter(({ section, hash }) => before.get(section)?.hash !== hash)
@@ -114,7 +114,7 @@
   remove: [...before.keys()].filter((section) => !after.has(section)),
 });
 
-/** Carries out a difference. */
+/** Applies a difference. */
 export const applyDifference = (before: SectionMap, { put, remove }: SectionDifference): SectionMap => {
   const after = new Map(before);
   for (const section of remove) after.delete(section);
--- a/src/protocol/peers/seals.test.ts
+++ b/src/protocol/peers/seals.test.ts
@@ -20,16 +20,16 @@
 };
 
 describe("seals", () => {
-  const at = (time: number, known = secret) => createSeals(known, () => time);
+  const at = (time: number, sharedSecret = secret) => createSeals(sharedSecret, () => time);
 
-  it("open what a process with the same secret sealed", () => {
+  it("open what was sealed with the same secret", () => {
     const question = at(0).sealQuestion(payload);
     expect(at(0).openQuestion(question)).toEqual(payload);
     const answer = at(0).sealAnswer(question, payload);
     expect(at(0).openAnswer(question, answer)).toEqual(payload);
   });
 
-  it("refuse a stranger's question, a changed one, and one sent again", () => {
+  it("refuse a question that is sealed with another secret, altered, or replayed", () => {
     const question = at(0).sealQuestion(payload);
     const changed = create(SealedQuestionSchema, { ...question, payload: new Uint8Array([1, 2, 4]) });
     const later = create(SealedQuestionSchema, { ...question, askedAt: 1 });
@@ -45,14 +45,14 @@
     expect(faults).toEqual(["forged", "forged", "forged", "forged", "replayed"]);
   });
 
-  it("refuse a question from another time, for as long as its nonce could be forgotten", () => {
+  it("refuse a question outside the clock tolerance, whose nonce may have been forgotten", () => {
     const question = at(0).sealQuestion(payload);
     expect(faultOf(() => at(clockTolerance + 1).openQuestion(question))).toEqual("clock");
     expect(faultOf(() => at(-clockTolerance - 1).openQuestion(question))).toEqual("clock");
     expect(faultOf(() => at(clockTolerance).openQuestion(question))).toEqual(undefined);
   });
 
-  it("refuse an answer of a stranger, and one to another question", () => {
+  it("refuse an answer that is sealed with another secret or belongs to another question", () => {
     const question = at(0).sealQuestion(payload);
     const other = at(0).sealQuestion(payload);
     const answer = at(0).sealAnswer(question, payload);
@@ -60,7 +60,7 @@
     expect(faultOf(() => at(0, "another-secret").openAnswer(question, answer))).toEqual("forged");
   });
 
-  it("refuse a message of another stream, changed, or out of order", () => {
+  it("refuse a message of another stream, an altered one, or one out of order", () => {
     const key = at(0).streamKey(new Uint8Array([1]));
     const otherKey = at(0).streamKey(new Uint8Array([2]));
     const proof = createMessageProof(key, 1, payload);
--- a/src/protocol/peers/seals.ts
+++ b/src/protocol/peers/seals.ts
@@ -1,7 +1,8 @@
 /**
- * Proofs that something comes from a process that knows the shared secret: HMAC-SHA-256 over what is sent, with
- * a time and a nonce for questions, the question's nonce for answers, and the place in the stream for
- * messages. They prove origin and wholeness; they hide nothing.
+ * Message authentication between routers. A proof is an HMAC-SHA-256 of the payload under a key derived from the
+ * shared secret. It also covers a timestamp and a nonce in questions, the question's nonce in answers, and the
+ * sequence number in messages of a stream. Sealing a payload means adding a proof: proofs protect authenticity and
+ * integrity, and nothing is encrypted.
  */
 import { create } from "@bufbuild/protobuf";
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
@@ -12,45 +13,48 @@
 
 const nonceLength = 16;
 
-/** Bytes of a proof that travel; 128 bits. */
+/** Proofs are truncated to this length, bytes (128 bits). */
 const proofLength = 16;
 
-/** Nonces remembered; more within the tolerance of clocks are refused. */
+/** Nonces that are kept to detect replays; while that many are kept, further questions are refused. */
 const maximumNonces = 100_000;
 
-/** Seals and opens what one process sends and receives. Opening throws `PeerError`. */
+/** Seals what a process sends, and opens (verifies) what it receives. Opening throws `PeerError`. */
 export interface Seals {
   readonly sealQuestion: (payload: Uint8Array) => SealedQuestion;
   readonly openQuestion: (sealed: SealedQuestion) => Uint8Array;
   readonly sealAnswer: (question: SealedQuestion, payload: Uint8Array) => SealedAnswer;
   readonly openAnswer: (question: SealedQuestion, sealed: SealedAnswer) => Uint8Array;
-  /** @returns The key of a session's stream. */
+  /** @returns The key for the messages of a session's stream. */
   readonly streamKey: (session: Uint8Array) => Uint8Array;
 }
 
-const mac = (key: Uint8Array, label: string, ...parts: readonly Uint8Array[]): Uint8Array => {
+const computeHmac = (key: Uint8Array, label: string, ...parts: readonly Uint8Array[]): Uint8Array => {
   const hmac = createHmac("sha256", key).update(label);
   for (const part of parts) hmac.update(part);
   return hmac.digest().subarray(0, proofLength);
 };
 
-const check = (expected: Uint8Array, given: Uint8Array): void => {
+const verifyProof = (expected: Uint8Array, given: Uint8Array): void => {
   if (given.length === expected.length && timingSafeEqual(expected, given)) return;
-  throw peerError("The proof does not fit the shared secret.", "forged");
+  throw peerError("The proof does not match the shared secret.", "forged");
 };
 
-/** A number as eight bytes. */
+/** Encodes a number as a 64-bit float, big-endian. */
 const encodeNumber = (value: number): Uint8Array => {
   const bytes = new Uint8Array(8);
   new DataView(bytes.buffer).setFloat64(0, value);
   return bytes;
 };
 
-/** Remembers nonces for as long as a question that bears them could be accepted. */
-const createNonceMemory = (wall: () => number): ((nonce: Uint8Array) => boolean) => {
+/**
+ * Creates a function that records a nonce. It returns false for a nonce that it has recorded before, or if it holds
+ * too many. Nonces are kept for as long as a question with their timestamp could still be accepted.
+ */
+const createNonceRecorder = (wallClock: () => number): ((nonce: Uint8Array) => boolean) => {
   const seen = new Map<string, number>();
 
-  const forget = (now: number): void => {
+  const removeExpired = (now: number): void => {
     for (const [nonce, seenAt] of seen) {
       if (now - seenAt <= 2 * clockTolerance) return;
       seen.delete(nonce);
@@ -58,8 +62,8 @@
   };
 
   return (nonce) => {
-    const now = wall();
-    forget(now);
+    const now = wallClock();
+    removeExpired(now);
     const key = Buffer.from(nonce).toString("latin1");
     if (seen.has(key) || seen.size >= maximumNonces) return false;
     seen.set(key, now);
@@ -68,26 +72,26 @@
 };
 
 /**
- * Makes a process's seals.
+ * Creates the functions that seal and open.
  *
- * @param secret - Known to all routers.
- * @param wall - Milliseconds since 1970.
+ * @param secret - The secret that all routers share.
+ * @param wallClock - Returns milliseconds since 1970.
  */
-export const createSeals = (secret: string, wall: () => number): Seals => {
-  const key = mac(Buffer.from(secret), "pomelocleat peers 1");
-  const isNew = createNonceMemory(wall);
+export const createSeals = (secret: string, wallClock: () => number): Seals => {
+  const key = computeHmac(Buffer.from(secret), "pomelocleat peers 1");
+  const recordNonce = createNonceRecorder(wallClock);
 
   const questionProof = ({ nonce, askedAt, payload }: SealedQuestion): Uint8Array =>
-    mac(key, "question", nonce, encodeNumber(askedAt), payload);
+    computeHmac(key, "question", nonce, encodeNumber(askedAt), payload);
 
   const answerProof = ({ nonce }: SealedQuestion, payload: Uint8Array): Uint8Array =>
-    mac(key, "answer", nonce, payload);
+    computeHmac(key, "answer", nonce, payload);
 
   return {
     sealQuestion: (payload) => {
       const sealed = create(SealedQuestionSchema, {
         payload,
-        askedAt: wall(),
+        askedAt: wallClock(),
         nonce: randomBytes(nonceLength),
       });
       sealed.proof = questionProof(sealed);
@@ -95,35 +99,36 @@
     },
     openQuestion: (sealed) => {
       if (sealed.nonce.length !== nonceLength) throw peerError("The nonce has a wrong length.", "forged");
-      check(questionProof(sealed), sealed.proof);
-      if (Math.abs(wall() - sealed.askedAt) > clockTolerance) {
+      verifyProof(questionProof(sealed), sealed.proof);
+      if (Math.abs(wallClock() - sealed.askedAt) > clockTolerance) {
         throw peerError("The question's time is too far from this process's clock.", "clock");
       }
-      if (!isNew(sealed.nonce)) throw peerError("The question was received before.", "replayed");
+      if (!recordNonce(sealed.nonce)) throw peerError("The question was received before.", "replayed");
       return sealed.payload;
     },
     sealAnswer: (question, payload) =>
       create(SealedAnswerSchema, { payload, proof: answerProof(question, payload) }),
     openAnswer: (question, { payload, proof }) => {
-      check(answerProof(question, payload), proof);
+      verifyProof(answerProof(question, payload), proof);
       return payload;
     },
-    streamKey: (session) => mac(key, "stream", session),
+    streamKey: (session) => computeHmac(key, "stream", session),
   };
 };
 
 /**
- * Proves a message of a stream.
+ * Creates the proof of a message of a stream.
  *
- * @param sequence - Its place in the stream, from 0.
+ * @param key - The result of `Seals.streamKey`.
+ * @param sequence - The message's number in the stream, from 0.
  */
 export const createMessageProof = (key: Uint8Array, sequence: number, payload: Uint8Array): Uint8Array =>
-  mac(key, "message", encodeNumber(sequence), payload);
+  computeHmac(key, "message", encodeNumber(sequence), payload);
 
-/** Checks a message of a stream; throws `PeerError`. */
+/** Verifies the proof of a message of a stream; throws `PeerError`. */
 export const verifyMessageProof = (
   key: Uint8Array,
   sequence: number,
   payload: Uint8Array,
   proof: Uint8Array,
-): void => check(createMessageProof(key, sequence, payload), proof);
+): void => verifyProof(createMessageProof(key, sequence, payload), proof);
