--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -1,4 +1,4 @@
-/** Replicas over HTTP/1.1: one pool of connections for each incarnation, so that none outlives its replica. */
+/** HTTP/1.1 client for replicas. Each incarnation has its own connection pool: no connection outlives its replica. */
 import { connect } from "node:net";
 import { buildConnector, Pool } from "undici";
 import { upstreamError } from "../../protocol/errors.ts";
@@ -9,44 +9,47 @@
 import type { ReplicaAnswer, ReplicaCall, ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { RawAnswer } from "./answerReader.ts";
 import { createAnswerReader } from "./answerReader.ts";
-import { createResetWatch } from "./resetMonitor.ts";
+import { createResetMonitor } from "./resetMonitor.ts";
 
-/** Longest connection attempt, milliseconds: a silent replica is left for another one soon. */
+/** Timeout of a connection attempt, milliseconds; short, so that requests soon move on from unreachable replicas. */
 const connectTimeout = 400;
 
-/** How long a connection may be idle where the replica names no time, milliseconds. */
-const idleTimeout = 4_000;
+/** How long a connection may be idle if the replica sends no keep-alive timeout, milliseconds. */
+const defaultIdleTimeout = 4_000;
 
-/** Closed so much before the time that the replica names: a request must not meet the close. Milliseconds. */
+/**
+ * How long before the end of the replica's keep-alive timeout an idle connection is closed, milliseconds. Without this
+ * margin a request could be sent just as the replica closes the connection.
+ */
 const idleMargin = 1_000;
 
-/** Connections to a replica until a limit is set. */
-const assumedConnections = 8;
+/** Maximum number of connections to a replica until a limit is set. */
+const defaultMaxConnections = 8;
 
-/** Failures to connect that the network reports, not the VM of the replica. */
-const networkFailures: ReadonlySet<string> = new Set(["EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"]);
+/** Connection errors that the network reports, as opposed to the replica's VM. */
+const networkErrorCodes: ReadonlySet<string> = new Set(["EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"]);
 
-/** A call that is no caller's request. */
-export interface SystemCall {
+/** A request that the router makes for its own purposes, such as polling a status or sending an order. */
+export interface ControlCall {
   readonly method: "GET" | "POST";
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body?: string;
 }
 
-/** A whole answer to a call that is no caller's request. */
-export interface SystemAnswer {
+/** The complete answer to a {@link ControlCall}. */
+export interface ControlAnswer {
   readonly status: number;
   readonly text: string;
 }
 
-/** The connections; how engines are asked and ordered is for an adapter to say. */
+/** Manages connections and sends requests; subclasses implement an engine's status, order and cache requests. */
 export abstract class HttpReplicaClient extends ReplicaClient {
   private readonly wire: ForwardingWire;
   private readonly pools = new Map<string, Pool>();
-  private readonly limits = new Map<string, number>();
-  private readonly resets = createResetWatch();
+  private readonly connectionLimits = new Map<string, number>();
+  private readonly resetMonitor = createResetMonitor();
 
   constructor(wire: ForwardingWire) {
     super();
@@ -55,8 +58,8 @@
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
     const { request, replica, mayLeave } = call;
-    const reader = createAnswerReader(mayLeave, signal, this.resets.isResetting);
-    this.poolOf(replica).dispatch(
+    const reader = createAnswerReader(mayLeave, signal, this.resetMonitor.isResetting);
+    this.connectionPool(replica).dispatch(
       {
         method: request.method,
         path: request.target,
@@ -75,27 +78,27 @@
     const [host, port] = address.split(":");
     return new Promise((resolve) => {
       const socket = connect({ host, port: Number(port), timeout });
-      const end = (trial: ConnectionTrial): void => {
+      const finish = (trial: ConnectionTrial): void => {
         socket.destroy();
         resolve(trial);
       };
-      socket.once("connect", () => end("made"));
-      socket.once("timeout", () => end("silent"));
+      socket.once("connect", () => finish("made"));
+      socket.once("timeout", () => finish("silent"));
       socket.once("error", ({ code = "" }: NodeJS.ErrnoException) =>
-        end(networkFailures.has(code) ? "silent" : "refused"),
+        finish(networkErrorCodes.has(code) ? "silent" : "refused"),
       );
     });
   }
 
   override limitConnections(replica: ReplicaEntry, limit: number): void {
-    this.limits.set(replica.id, Math.max(1, limit));
+    this.connectionLimits.set(replica.id, Math.max(1, limit));
   }
 
   override forget(replica: ReplicaEntry): void {
     const pool = this.pools.get(replica.id);
     this.pools.delete(replica.id);
-    this.limits.delete(replica.id);
-    // Waits for what is under way; nobody waits for it.
+    this.connectionLimits.delete(replica.id);
+    // Closes once the requests in progress have ended; nothing waits for that.
     void pool?.close().catch(() => undefined);
   }
 
@@ -104,28 +107,32 @@
     this.pools.clear();
   }
 
-  /** Makes a call of the system's own to a replica. */
+  /** Sends a control request to a replica, through the gate that guards its traffic. */
   protected sendToReplica(
     replica: ReplicaEntry,
-    call: SystemCall,
+    call: ControlCall,
     signal: AbortSignal,
-  ): Promise<SystemAnswer> {
+  ): Promise<ControlAnswer> {
     const guarded = this.guard(replica, undefined);
     const observe = ({ status, headers }: RawAnswer): void =>
       guarded.observe(this.wire.decodeAnswer(status, headers));
     return guarded.run(() => this.sendToHost(replica, call, signal, guarded.mayLeave, observe));
   }
 
-  /** Makes a call of the system's own to something that is no replica. */
+  /** Sends a control request to a host that need not be a replica, such as a cache store; it doesn't pass the gate. */
   protected async sendToHost(
-    target: Pick<ReplicaEntry, "id" | "address">,
-    { method, path, headers, body }: SystemCall,
+    host: Pick<ReplicaEntry, "id" | "address">,
+    { method, path, headers, body }: ControlCall,
     signal: AbortSignal,
-    mayLeave = (): boolean => true,
+    maySend = (): boolean => true,
     observe: (answer: RawAnswer) => void = () => undefined,
-  ): Promise<SystemAnswer> {
-    const reader = createAnswerReader(() => !signal.aborted && mayLeave(), signal, this.resets.isResetting);
-    this.poolOf(target).dispatch({ method, path, headers, body: body ?? null }, reader.handler);
+  ): Promise<ControlAnswer> {
+    const reader = createAnswerReader(
+      () => !signal.aborted && maySend(),
+      signal,
+      this.resetMonitor.isResetting,
+    );
+    this.connectionPool(host).dispatch({ method, path, headers, body: body ?? null }, reader.handler);
     const answer = await reader.answer;
     observe(answer);
     const text = (await collectBody(answer.body)).toString();
@@ -135,17 +142,17 @@
     return { status: answer.status, text };
   }
 
-  private poolOf(replica: Pick<ReplicaEntry, "id" | "address">): Pool {
-    const known = this.pools.get(replica.id);
-    if (known !== undefined) return known;
-    const made = new Pool(`http://${replica.address}`, {
-      connections: this.limits.get(replica.id) ?? assumedConnections,
+  private connectionPool(replica: Pick<ReplicaEntry, "id" | "address">): Pool {
+    const existing = this.pools.get(replica.id);
+    if (existing !== undefined) return existing;
+    const created = new Pool(`http://${replica.address}`, {
+      connections: this.connectionLimits.get(replica.id) ?? defaultMaxConnections,
       pipelining: 1,
-      keepAliveTimeout: idleTimeout,
+      keepAliveTimeout: defaultIdleTimeout,
       keepAliveTimeoutThreshold: idleMargin,
-      connect: this.resets.connector(buildConnector({ timeout: connectTimeout })),
+      connect: this.resetMonitor.connector(buildConnector({ timeout: connectTimeout })),
     });
-    this.pools.set(replica.id, made);
-    return made;
+    this.pools.set(replica.id, created);
+    return created;
   }
 }
--- a/src/transport/forwarding/answerReader.ts
+++ b/src/transport/forwarding/answerReader.ts
@@ -1,57 +1,58 @@
-/** One answer of a replica as undici delivers it: a head, then pieces that are taken when they are wanted. */
+/** Reads one answer of a replica from undici's callbacks: first the head, then a body that is read on demand. */
 import type { Dispatcher } from "undici";
 import { upstreamError } from "../../protocol/errors.ts";
 import type { UpstreamError } from "../../protocol/errors.ts";
 import { connectionFailure } from "../httpFailures.ts";
 
-/** The head as it came. */
+/** An answer as it was received: status, undecoded headers, and the body as a stream. */
 export interface RawAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: AsyncIterable<Buffer>;
 }
 
-/** Pieces that may wait to be taken before the connection is paused. */
-const mostPiecesWaiting = 16;
+/** Unread chunks at which reading from the connection is paused. */
+const maxBufferedChunks = 16;
 
-/** See {@link createAnswerReader}. */
 export interface AnswerReader {
+  /** Receives undici's callbacks for the request. */
   readonly handler: Dispatcher.DispatchHandler;
-  /** Rejects with `UpstreamError`. */
+  /** Resolves when the head has arrived; rejects with `UpstreamError`. */
   readonly answer: Promise<RawAnswer>;
 }
 
 /**
- * Creates the receiving end of one request.
+ * Creates the reader for the answer to one request.
  *
- * @param mayLeave - Asked right before the request's first byte is written.
- * @param signal - Ends the request and its connection.
- * @param isResetting - Whether the connection is ending by a reset at this moment.
+ * @param maySend - Called right before the first byte of the request is written; if it returns false, the request fails
+ * as not sent.
+ * @param signal - Cancels the request and closes its connection.
+ * @param isResetting - Whether the connection that is ending at this moment was reset.
  */
 export const createAnswerReader = (
-  mayLeave: () => boolean,
+  maySend: () => boolean,
   signal: AbortSignal,
   isResetting: () => boolean,
 ): AnswerReader => {
-  const waiting: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let controller: Dispatcher.DispatchController | undefined;
-  let hasLeft = false;
-  let hasHead = false;
-  let isOver = false;
+  let isSent = false;
+  let hasReceivedHead = false;
+  let hasEnded = false;
   let failure: UpstreamError | undefined;
   let wake: () => void = () => undefined;
   let settle: { readonly resolve: (answer: RawAnswer) => void; readonly reject: (error: Error) => void };
   const answer = new Promise<RawAnswer>((resolve, reject) => {
     settle = { resolve, reject };
   });
-  // The caller may have gone before it looks at the answer.
+  // Prevents an unhandled rejection if the caller has gone before it awaits the answer.
   answer.catch(() => undefined);
 
-  const progress = () => (hasHead ? "streaming" : hasLeft ? "sent" : "not_sent");
+  const progress = () => (hasReceivedHead ? "streaming" : isSent ? "sent" : "not_sent");
 
   const fail = (error: UpstreamError): void => {
-    if (isOver) return;
-    isOver = true;
+    if (hasEnded) return;
+    hasEnded = true;
     failure = error;
     signal.removeEventListener("abort", cancel);
     settle.reject(error);
@@ -66,15 +67,15 @@
   signal.addEventListener("abort", cancel);
   if (signal.aborted) cancel();
 
-  const nextPiece = async (): Promise<Buffer | undefined> => {
+  const nextChunk = async (): Promise<Buffer | undefined> => {
     for (;;) {
-      const piece = waiting.shift();
-      if (piece !== undefined) {
-        if (waiting.length < mostPiecesWaiting) controller?.resume();
-        return piece;
+      const chunk = chunks.shift();
+      if (chunk !== undefined) {
+        if (chunks.length < maxBufferedChunks) controller?.resume();
+        return chunk;
       }
       if (failure !== undefined) throw failure;
-      if (isOver) return undefined;
+      if (hasEnded) return undefined;
       await new Promise<void>((resolve) => {
         wake = resolve;
       });
@@ -83,36 +84,36 @@
 
   const readBody = async function* (): AsyncGenerator<Buffer, void> {
     try {
-      for (let piece = await nextPiece(); piece !== undefined; piece = await nextPiece()) yield piece;
+      for (let chunk = await nextChunk(); chunk !== undefined; chunk = await nextChunk()) yield chunk;
     } finally {
-      // Whoever stops reading early has no use for the rest, nor for the work that makes it.
-      if (!isOver) cancel();
+      // A reader that stops early needs neither the rest of the answer nor the work that produces it.
+      if (!hasEnded) cancel();
     }
   };
 
   const handler: Dispatcher.DispatchHandler = {
-    onRequestStart: (started) => {
-      controller = started;
-      if (isOver) {
-        started.abort(failure ?? upstreamError("cancelled", "cancelled", "not_sent"));
+    onRequestStart: (requestController) => {
+      controller = requestController;
+      if (hasEnded) {
+        requestController.abort(failure ?? upstreamError("cancelled", "cancelled", "not_sent"));
         return;
       }
-      if (mayLeave()) {
-        hasLeft = true;
+      if (maySend()) {
+        isSent = true;
         return;
       }
-      const error = upstreamError("the request must not be sent any more", "cancelled", "not_sent");
+      const error = upstreamError("the request may no longer be sent", "cancelled", "not_sent");
       fail(error);
-      started.abort(error);
+      requestController.abort(error);
     },
     onResponseStart: (_, status, headers) => {
-      if (status < 200 || isOver) return;
-      hasHead = true;
+      if (status < 200 || hasEnded) return;
+      hasReceivedHead = true;
       settle.resolve({ status, headers, body: readBody() });
     },
-    onResponseData: (paused, chunk) => {
-      waiting.push(chunk);
-      if (waiting.length >= mostPiecesWaiting) paused.pause();
+    onResponseData: (responseController, chunk) => {
+      chunks.push(chunk);
+      if (chunks.length >= maxBufferedChunks) responseController.pause();
       wake();
     },
     onResponseEnd: () => {
@@ -120,7 +121,7 @@
         fail(upstreamError("the connection was reset", "closed_early", "streaming"));
         return;
       }
-      isOver = true;
+      hasEnded = true;
       signal.removeEventListener("abort", cancel);
       wake();
     },
--- a/src/transport/forwarding/forwardingServer.ts
+++ b/src/transport/forwarding/forwardingServer.ts
@@ -1,4 +1,4 @@
-/** Callers' connections: reads whole requests, has them forwarded, and writes the one final answer. */
+/** HTTP server for callers: reads complete requests, has them forwarded, and writes their final answers. */
 import { steadyNow } from "../../state/steadyTime.ts";
 import { once } from "node:events";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
@@ -10,36 +10,36 @@
 import type { CallerLimits, CallerRequest, ForwardedAnswer } from "../../protocol/forwarding/types.ts";
 import { createLogger } from "../../state/log.ts";
 
-/** What the server works with. */
-export interface ForwardingServerParts {
+export interface ForwardingServerDependencies {
   readonly address: string;
   readonly port: number;
   readonly wire: ForwardingWire;
-  /** Throws `RequestError`. */
+  /** Forwards a request and resolves with the answer for the caller; throws `RequestError`. */
   readonly forward: (request: CallerRequest, signal: AbortSignal) => Promise<ForwardedAnswer>;
+  /** The limits of the configuration; `undefined` until there is one. */
   readonly limits: () => CallerLimits | undefined;
-  /** True once callers are to use another connection for their next request. */
+  /** True if answers carry `connection: close`, so that callers open another connection for their next request. */
   readonly shouldCloseConnections: () => boolean;
 }
 
-/** A listening server. */
+/** A listening server; disposal closes its connections at once. */
 export interface ForwardingServer extends AsyncDisposable {
   readonly port: number;
-  /** Closes connections that have no request on them. */
+  /** Closes the connections without a request in progress. */
   readonly closeIdle: () => void;
-  /** Takes over limits that have changed. */
+  /** Applies the current idle and header timeouts to the server. */
   readonly applyLimits: () => void;
 }
 
-/** Headers larger than this are refused whatever the configuration says, bytes. */
-const largestHeaders = 65_536;
+/** Larger headers are refused regardless of the configuration, bytes. */
+const maxHeaderBytes = 65_536;
 
-/** Until a configuration says otherwise: how long a connection may be idle, milliseconds. */
-const assumedIdleTimeout = 15_000;
+/** How long a connection may be idle until a configuration sets a limit, milliseconds. */
+const defaultIdleTimeout = 15_000;
 
 const writeLog = createLogger("callers");
 
-const tooLarge = () =>
+const bodyTooLarge = () =>
   requestError("The body is too large.", { status: 413, code: "body_too_large", outcome: outcomes.notRun });
 
 const headersTooLarge = () =>
@@ -49,7 +49,7 @@
     outcome: outcomes.notRun,
   });
 
-const sizeOf = (rawHeaders: readonly string[]): number =>
+const headerBytesOf = (rawHeaders: readonly string[]): number =>
   rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
 
 const readBody = async (request: IncomingMessage, limit: number): Promise<Buffer> => {
@@ -57,7 +57,7 @@
   let size = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > limit) throw tooLarge();
+    if (size > limit) throw bodyTooLarge();
     chunks.push(chunk);
   }
   return chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks);
@@ -66,14 +66,16 @@
 const hasBody = ({ headers }: IncomingMessage): boolean =>
   headers["transfer-encoding"] !== undefined || Number(headers["content-length"] ?? 0) > 0;
 
-/** Starts to listen. */
-export const startForwardingServer = async (parts: ForwardingServerParts): Promise<ForwardingServer> => {
-  const { wire, forward, limits, shouldCloseConnections: endsConnections } = parts;
+/** Starts the server; resolves once it listens. */
+export const startForwardingServer = async (
+  dependencies: ForwardingServerDependencies,
+): Promise<ForwardingServer> => {
+  const { wire, forward, limits, shouldCloseConnections: endsConnections } = dependencies;
 
   const decode = async (message: IncomingMessage): Promise<CallerRequest> => {
     const arrivedAt = steadyNow();
     const limit = limits();
-    if (limit !== undefined && sizeOf(message.rawHeaders) > limit.headerBytes) throw headersTooLarge();
+    if (limit !== undefined && headerBytesOf(message.rawHeaders) > limit.headerBytes) throw headersTooLarge();
     const body = hasBody(message)
       ? await readBody(message, limit?.bodyBytes ?? Number.MAX_SAFE_INTEGER)
       : Buffer.alloc(0);
@@ -93,7 +95,7 @@
       "content-type": "application/json",
       "content-length": body.length,
       ...(retryAfterSeconds === undefined ? {} : { "retry-after": retryAfterSeconds.toFixed(2) }),
-      // What is left of a refused body must not be taken for a request.
+      // The unread rest of a refused body must not be parsed as the next request.
       ...(response.req.complete && !endsConnections() ? {} : { connection: "close" }),
     });
     response.end(body);
@@ -110,7 +112,7 @@
 
   const writeAnswer = async (response: ServerResponse, answer: ForwardedAnswer): Promise<void> => {
     const { body } = answer;
-    const headers = withoutLength(answer.headers);
+    const headers = withoutContentLength(answer.headers);
     if (Buffer.isBuffer(body)) headers.push("content-length", String(body.length));
     if (endsConnections()) headers.push("connection", "close");
     response.writeHead(answer.status, headers);
@@ -123,12 +125,12 @@
   };
 
   const serve = async (message: IncomingMessage, response: ServerResponse): Promise<void> => {
-    const left = new AbortController();
+    const disconnected = new AbortController();
     response.on("close", () => {
-      if (!response.writableFinished) left.abort();
+      if (!response.writableFinished) disconnected.abort();
     });
     try {
-      const answer = await forward(await decode(message), left.signal);
+      const answer = await forward(await decode(message), disconnected.signal);
       await writeAnswer(response, answer);
     } catch (error) {
       if (response.headersSent || response.destroyed) response.destroy();
@@ -137,14 +139,14 @@
   };
 
   const server: Server = createServer(
-    { maxHeaderSize: largestHeaders, keepAliveTimeout: assumedIdleTimeout, requestTimeout: 0, noDelay: true },
+    { maxHeaderSize: maxHeaderBytes, keepAliveTimeout: defaultIdleTimeout, requestTimeout: 0, noDelay: true },
     (message, response) => void serve(message, response),
   );
   server.on("clientError", (_error, socket) => {
     if (socket.writable)
       socket.end("HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
   });
-  server.listen(parts.port, parts.address);
+  server.listen(dependencies.port, dependencies.address);
   await once(server, "listening");
 
   return {
@@ -164,8 +166,8 @@
   };
 };
 
-/** A length that is not of what is written here must not go out. */
-const withoutLength = (headers: readonly string[]): string[] => {
+/** Removes the upstream's `content-length`, which may not match the body that is written. */
+const withoutContentLength = (headers: readonly string[]): string[] => {
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? "";
--- a/src/transport/forwarding/resetMonitor.test.ts
+++ b/src/transport/forwarding/resetMonitor.test.ts
@@ -1,28 +1,28 @@
 import { EventEmitter } from "node:events";
 import type { Socket } from "node:net";
 import { describe, it } from "node:test";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as nextLoopIteration } from "node:timers/promises";
 import { expect } from "earl";
-import { createResetWatch } from "./resetMonitor.ts";
+import { createResetMonitor } from "./resetMonitor.ts";
 
-/** What later listeners of an event see. */
-const seenAt = async (event: "end" | "error", remoteAddress: string | undefined) => {
-  const watch = createResetWatch();
+/** What a listener that runs after the monitor's sees, during the event and afterwards. */
+const observe = async (event: "end" | "error", remoteAddress: string | undefined) => {
+  const monitor = createResetMonitor();
   const socket = Object.assign(new EventEmitter(), { remoteAddress });
   let during = false;
   socket.on(event, () => {
-    during = watch.isResetting();
+    during = monitor.isResetting();
   });
-  watch.watch(socket as unknown as Socket);
+  monitor.monitor(socket as unknown as Socket);
   socket.emit(event, new Error("reset"));
-  await nextTurn();
-  return { during, after: watch.isResetting() };
+  await nextLoopIteration();
+  return { during, after: monitor.isResetting() };
 };
 
-describe("a reset", () => {
-  it("is told from an ordinary end by the error, or by the peer that is gone", async () => {
-    expect(await seenAt("error", "10.0.0.1")).toEqual({ during: true, after: false });
-    expect(await seenAt("end", undefined)).toEqual({ during: true, after: false });
-    expect(await seenAt("end", "10.0.0.1")).toEqual({ during: false, after: false });
+describe("ResetMonitor", () => {
+  it("detects a reset by an error, or by an end without a remote address", async () => {
+    expect(await observe("error", "10.0.0.1")).toEqual({ during: true, after: false });
+    expect(await observe("end", undefined)).toEqual({ during: true, after: false });
+    expect(await observe("end", "10.0.0.1")).toEqual({ during: false, after: false });
   });
 });
--- a/src/transport/forwarding/resetMonitor.ts
+++ b/src/transport/forwarding/resetMonitor.ts
@@ -1,27 +1,26 @@
 /**
- * Tells an end of a connection from a reset.
+ * Distinguishes a reset of a connection from an ordinary end.
  *
- * The HTTP client takes an answer without a length for whole when its connection is reset, and a system may report
- * a reset that follows data as an ordinary end; then the connection has no peer any more. The client's listeners run
- * within the same event, after the ones here.
+ * When a connection is reset, the HTTP client treats an answer without a length as complete. In addition, an operating
+ * system may report a reset that follows data as an ordinary end; the socket then has no remote address any more. The
+ * client's listeners run in the same event, after the listeners that are added here.
  */
 import type { Socket } from "node:net";
 import type { buildConnector } from "undici";
 
-/** What is looked at of a socket. */
-export type WatchedSocket = Pick<Socket, "prependListener" | "remoteAddress">;
+/** The part of a socket that the monitor uses. */
+export type MonitoredSocket = Pick<Socket, "prependListener" | "remoteAddress">;
 
-/** See {@link createResetWatch}. */
-export interface ResetWatch {
-  /** True while a connection that was reset is being taken down. */
+export interface ResetMonitor {
+  /** True while the listeners of a reset connection run. */
   readonly isResetting: () => boolean;
-  readonly watch: (socket: WatchedSocket) => void;
-  /** @returns A connector whose sockets are watched. */
+  readonly monitor: (socket: MonitoredSocket) => void;
+  /** @returns A connector that monitors the sockets that `open` connects. */
   readonly connector: (open: buildConnector.connector) => buildConnector.connector;
 }
 
-/** Creates a watch over no socket. */
-export const createResetWatch = (): ResetWatch => {
+/** Creates a monitor without sockets. */
+export const createResetMonitor = (): ResetMonitor => {
   let isResetting = false;
 
   const noteReset = (): void => {
@@ -31,7 +30,7 @@
     });
   };
 
-  const watch = (socket: WatchedSocket): void => {
+  const monitor = (socket: MonitoredSocket): void => {
     socket.prependListener("error", noteReset);
     socket.prependListener("end", () => {
       if (socket.remoteAddress === undefined) noteReset();
@@ -40,11 +39,11 @@
 
   return {
     isResetting: () => isResetting,
-    watch,
+    monitor,
     connector: (open) => (options, done) => {
       open(options, (...result) => {
-        // Without a connection there is an error, and no socket at all.
-        if (result[0] === null) watch(result[1]);
+        // If the connection failed, there is no socket to monitor.
+        if (result[0] === null) monitor(result[1]);
         done(...result);
       });
     },
--- a/src/transport/forwarding/statusServer.ts
+++ b/src/transport/forwarding/statusServer.ts
@@ -1,22 +1,21 @@
-/** What a balancer and a collector of metrics ask a router. */
+/** HTTP servers for a router's readiness, which load balancers poll, and for its metrics. */
 import { once } from "node:events";
 import { createServer } from "node:http";
 import type { RequestListener, Server } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** What the server works with. */
-export interface StatusServerParts {
+export interface StatusServerDependencies {
   readonly readiness: { readonly address: string; readonly port: number };
-  /** Port 0: metrics are served nowhere. */
+  /** With port 0, metrics are not served. */
   readonly metrics: { readonly address: string; readonly port: number };
   readonly isReadyPath: (path: string) => boolean;
   readonly isReady: () => boolean;
   readonly metricsText: () => Promise<string>;
 }
 
-/** A listening server. */
+/** The listening servers. */
 export interface StatusServer extends AsyncDisposable {
-  /** Of the readiness question. */
+  /** The port of the readiness server. */
   readonly port: number;
 }
 
@@ -32,18 +31,22 @@
   server.closeAllConnections();
 };
 
-/** Starts to answer. */
-export const startStatusServer = async (parts: StatusServerParts): Promise<StatusServer> => {
-  const readiness = await listen(parts.readiness.port, parts.readiness.address, (request, response) => {
-    const isKnown = parts.isReadyPath(request.url ?? "");
-    response.writeHead(!isKnown ? 404 : parts.isReady() ? 200 : 503, { "content-length": 0 });
-    response.end();
-  });
+/** Starts the servers; resolves once they listen. */
+export const startStatusServer = async (dependencies: StatusServerDependencies): Promise<StatusServer> => {
+  const readiness = await listen(
+    dependencies.readiness.port,
+    dependencies.readiness.address,
+    (request, response) => {
+      const isKnown = dependencies.isReadyPath(request.url ?? "");
+      response.writeHead(!isKnown ? 404 : dependencies.isReady() ? 200 : 503, { "content-length": 0 });
+      response.end();
+    },
+  );
   const servers = [readiness];
-  if (parts.metrics.port !== 0) {
+  if (dependencies.metrics.port !== 0) {
     servers.push(
-      await listen(parts.metrics.port, parts.metrics.address, (_request, response) => {
-        void parts.metricsText().then((text) => {
+      await listen(dependencies.metrics.port, dependencies.metrics.address, (_request, response) => {
+        void dependencies.metricsText().then((text) => {
           response.writeHead(200, { "content-type": "text/plain; version=0.0.4" });
           response.end(text);
         });
--- a/src/transport/forwarding/udpLink.ts
+++ b/src/transport/forwarding/udpLink.ts
@@ -1,4 +1,4 @@
-/** Datagrams between routers over UDP. */
+/** Exchange of datagrams between routers over UDP. */
 import { createSocket } from "node:dgram";
 import type { Socket, SocketOptions } from "node:dgram";
 import type { DatagramAddress } from "../../protocol/forwarding/DatagramLink.ts";
@@ -19,7 +19,7 @@
 
   override send({ address, port }: DatagramAddress, datagram: Buffer): void {
     if (this.isClosed) return;
-    // A datagram that can't be sent is a lost one.
+    // A datagram that can't be sent counts as lost.
     this.socket.send(datagram, port, address, () => undefined);
   }
 
@@ -33,19 +33,22 @@
   }
 }
 
-/** Addresses come as numbers: they go out in the same turn instead of through the queue of name lookups. */
-const lookUpNothing: NonNullable<SocketOptions["lookup"]> = (address, _options, take) =>
-  take(null, address, 4);
+/**
+ * Skips the DNS lookup, since addresses are numeric. Datagrams are then sent in the same tick of the event loop instead
+ * of waiting in the queue of lookups.
+ */
+const skipLookup: NonNullable<SocketOptions["lookup"]> = (address, _options, callback) =>
+  callback(null, address, 4);
 
-/** Opens a socket at an address. */
+/** Opens a link that is bound to an address. */
 export const openUdpLink = async ({ address, port }: DatagramAddress): Promise<DatagramLink> => {
-  const socket = createSocket({ type: "udp4", lookup: lookUpNothing });
+  const socket = createSocket({ type: "udp4", lookup: skipLookup });
   await new Promise<void>((resolve, reject) => {
     socket.once("error", reject);
     socket.bind(port, address, resolve);
   });
   socket.removeAllListeners("error");
-  // A failed send tells nothing that silence doesn't tell.
+  // A failed send needs no handling of its own: the peer's missing messages show the same.
   socket.on("error", () => undefined);
   return new UdpLink(socket);
 };
