--- a/src/protocol/configuration/sections.ts
+++ b/src/protocol/configuration/sections.ts
@@ -1,7 +1,8 @@
 /**
  * A configuration as named sections, one for each item of its lists and one for each single field, for example
  * `organisations/levant-one`, `models/records-assistant` and `limits`. Only changed sections are sent; a digest over
- * all sections proves that a reader has exactly what the operator published. The order of items in a list doesn't matter.
+ * all sections proves that a reader has exactly what the operator published. The order of items in a list doesn't
+ * matter.
  *
  * A section's body is kept as it was published, without defaults that a later release may add, so that all releases
  * compute the same hash.
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -23,7 +23,7 @@
  */
 const idleMargin = 1_000;
 
-/** Maximum number of connections to a replica until a limit is set. */
+/** Maximum number of connections to a replica whose pool is created before a limit is set. */
 const defaultMaxConnections = 8;
 
 /** Connection errors that the network reports, as opposed to the replica's VM. */
--- a/src/transport/forwarding/forwardingServer.ts
+++ b/src/transport/forwarding/forwardingServer.ts
@@ -32,7 +32,7 @@
 }
 
 /** Larger headers are refused regardless of the configuration, bytes. */
-const maxHeaderBytes = 65_536;
+const headerSizeHardLimit = 65_536;
 
 /** How long a connection may be idle until a configuration sets a limit, milliseconds. */
 const defaultIdleTimeout = 15_000;
@@ -139,7 +139,12 @@
   };
 
   const server: Server = createServer(
-    { maxHeaderSize: maxHeaderBytes, keepAliveTimeout: defaultIdleTimeout, requestTimeout: 0, noDelay: true },
+    {
+      maxHeaderSize: headerSizeHardLimit,
+      keepAliveTimeout: defaultIdleTimeout,
+      requestTimeout: 0,
+      noDelay: true,
+    },
     (message, response) => void serve(message, response),
   );
   server.on("clientError", (_error, socket) => {
