--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -1,5 +1,5 @@
 /** A router of the lab: the decisions that serve, with beliefs of their own and peers over delayed datagrams. */
-import { createAdmit } from "../../src/coordination/forwarding/admit.ts";
+import { createRequestAdmission } from "../../src/coordination/forwarding/requestAdmission.ts";
 import { createCacheHolders } from "../../src/coordination/forwarding/cacheHolders.ts";
 import { followCacheStores } from "../../src/coordination/forwarding/cacheStoreFollower.ts";
 import { createConfigurationState } from "../../src/coordination/forwarding/configurationState.ts";
@@ -150,7 +150,7 @@
     replicas,
     configuration,
     holders,
-    longestReadAge: () => Number.POSITIVE_INFINITY,
+    maxReadAge: () => Number.POSITIVE_INFINITY,
     onNewerConfiguration: () => undefined,
     ...noEpochs,
     quarantine: noQuarantine,
@@ -174,16 +174,16 @@
     random,
   });
   const cacheStore = followCacheStores({
-    configured: () => configuration.table()?.cacheStores ?? [],
+    configuredStores: () => configuration.table()?.cacheStores ?? [],
     client,
     holders,
     clock,
-    stretch: () => 1,
+    intervalFactor: () => 1,
   });
   const { forwarder } = createDecisions({
     dataCentre: self.dataCentre,
     client,
-    beliefs: {
+    view: {
       configuration,
       replicas,
       holders,
@@ -200,7 +200,7 @@
       }),
       quarantine: noQuarantine,
     },
-    admit: createAdmit(configuration, bounds, clock),
+    admit: createRequestAdmission(configuration, bounds, clock),
     shutdown: createShutdown(clock, bounds),
     bounds,
     policy,
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -5,7 +5,7 @@
 import type { ResumeTokens } from "../../protocol/resumeToken.ts";
 import type { CompletionRequest } from "../../protocol/types.ts";
 import type { Clock } from "../clock.ts";
-import { resumeTokenLife } from "./constants.ts";
+import { resumeTokenLifetime } from "./constants.ts";
 import type { CompletionJob } from "./types.ts";
 
 const shortDigestLength = 16;
@@ -35,7 +35,7 @@
       incarnation: batch.incarnation,
       attempt: batch.attempt,
       attemptOffset: batch.attemptOffset,
-      expiresAt: secondsOf(clock.wall() + left + resumeTokenLife),
+      expiresAt: secondsOf(clock.wall() + left + resumeTokenLifetime),
     });
   };
 
