--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -15,7 +15,7 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import { metricNames } from "../state/constants.ts";
 import { createLogger } from "../state/log.ts";
-import { ExpositionMetrics } from "../transport/expositionMetrics.ts";
+import { PrometheusMetrics } from "../transport/PrometheusMetrics.ts";
 import { startForwardingServer } from "../transport/forwarding/forwardingServer.ts";
 import { startStatusServer } from "../transport/forwarding/statusServer.ts";
 import { openUdpLink } from "../transport/forwarding/udpLink.ts";
@@ -81,7 +81,7 @@
 ): Promise<ForwardingRouter> => {
   await using resources = createResourceStack();
   const clock = systemClock;
-  const metrics = new ExpositionMetrics();
+  const metrics = new PrometheusMetrics();
   const bounds = { ...boundsOf(settings) };
   const storeTimeout = bounds.keyRevocation * storeTimeoutShare;
   const platform = resources.use(connect({ store: settings.store, storeTimeout }));
--- a/src/daemons/router.ts
+++ b/src/daemons/router.ts
@@ -19,10 +19,10 @@
 import type { Metrics } from "../state/Metrics.ts";
 import { startCallerServer } from "../transport/callerServer.ts";
 import { createHttpLogService } from "../transport/httpLogService.ts";
-import { HttpModelEngine } from "../transport/httpModelEngine.ts";
-import { HttpPlainService } from "../transport/httpPlainService.ts";
+import { HttpModelEngine } from "../transport/HttpModelEngine.ts";
+import { HttpPlainService } from "../transport/HttpPlainService.ts";
 import { createHttpVmList } from "../transport/httpVmList.ts";
-import { StatsdMetrics } from "../transport/statsdMetrics.ts";
+import { StatsdMetrics } from "../transport/StatsdMetrics.ts";
 import { createCompletionQuarantine } from "./completionQuarantine.ts";
 import { createRouterBeliefs } from "./routerBeliefs.ts";
 import { startRouterDuties } from "./routerDuties.ts";
@@ -185,7 +185,7 @@
   const drain = async (): Promise<void> => {
     writeLog("draining", { openRequests: frontEnd.openRequests() });
     peers.leave();
-    server.endConnections();
+    server.disableKeepAlive();
     await frontEnd.drain();
     await claims.flush();
     await server.close();
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/routerPeers.ts
@@ -16,7 +16,7 @@
 import type { EngineDirectory, EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
 import { createPeerDirectory } from "../state/peerDirectory.ts";
-import { createConnectPeerNetwork } from "../transport/peerClient.ts";
+import { createConnectPeerNetwork } from "../transport/connectPeerNetwork.ts";
 import type { PeerServer, Traffic } from "../transport/peerServer.ts";
 import { startPeerServer } from "../transport/peerServer.ts";
 import type { RouterSettings } from "./routerSettings.ts";
--- a/src/transport/callerServer.ts
+++ b/src/transport/callerServer.ts
@@ -35,7 +35,7 @@
   /** `http://IP:PORT`. */
   readonly url: string;
   /** From now on each answer is the last of its connection; callers still get answers. */
-  readonly endConnections: () => void;
+  readonly disableKeepAlive: () => void;
   /**
    * Resolves when all connections have ended. Idle ones are left until the time is over for which callers
    * were told that they may be used again, and the port is open until callers have gone elsewhere: no request
@@ -308,7 +308,7 @@
   };
   return {
     url: `http://${address}:${bound.port}`,
-    endConnections,
+    disableKeepAlive: endConnections,
     close,
     [Symbol.asyncDispose]: async () => {
       server.closeAllConnections();
--- a/src/transport/httpLogService.ts
+++ b/src/transport/httpLogService.ts
@@ -9,8 +9,8 @@
 import { LogService } from "../protocol/LogService.ts";
 import { unnamedEpoch } from "../protocol/storeEpoch.ts";
 import type { AppendedRecords, LogPage } from "../protocol/types.ts";
-import { createPlatformHttp } from "./platformHttp.ts";
-import type { PlatformHttpSettings } from "./platformHttp.ts";
+import { createPlatformHttpClient } from "./platformHttpClient.ts";
+import type { PlatformHttpSettings } from "./platformHttpClient.ts";
 
 const offset = z.number().int().min(0);
 
@@ -37,7 +37,7 @@
  * @returns The log service; disposing it cuts calls in flight.
  */
 export const createHttpLogService = (settings: PlatformHttpSettings): LogService & AsyncDisposable => {
-  const http = createPlatformHttp(settings);
+  const http = createPlatformHttpClient(settings);
 
   class HttpLogService extends LogService implements AsyncDisposable {
     override async append(stream: string, records: readonly string[]): Promise<AppendedRecords> {
@@ -56,7 +56,12 @@
     ): Promise<LogPage> {
       const query = `from=${fromOffset}&limit=${limit}&waitMilliseconds=${waitMilliseconds}`;
       const path = `${recordsPath(stream)}?${query}`;
-      const page = await http.call({ method: "GET", path, answer: pageAnswer, wait: waitMilliseconds });
+      const page = await http.call({
+        method: "GET",
+        path,
+        answer: pageAnswer,
+        longPollTimeout: waitMilliseconds,
+      });
       if (isOrdered(page, fromOffset)) return { ...page, epoch: unnamedEpoch };
       throw platformError(`GET ${path}: records out of order`, "malformed", false);
     }
--- a/src/transport/peerServer.test.ts
+++ b/src/transport/peerServer.test.ts
@@ -17,7 +17,7 @@
 import { createSeals } from "../protocol/peers/seals.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import { MemoryMetrics } from "../state/MemoryMetrics.ts";
-import { createConnectPeerNetwork } from "./peerClient.ts";
+import { createConnectPeerNetwork } from "./connectPeerNetwork.ts";
 import { startPeerServer } from "./peerServer.ts";
 
 const secret = "a-secret-that-all-routers-share-0123456789";
