--- a/src/transport/HttpModelEngine.test.ts
+++ b/src/transport/HttpModelEngine.test.ts
@@ -1,4 +1,4 @@
-/** Over connections that are used again and again, each call gets its own answer or a typed failure. */
+/** Checks that on reused connections each call gets its own answer or a typed failure. */
 import { createServer } from "node:net";
 import type { AddressInfo, Socket } from "node:net";
 import { describe, it } from "node:test";
@@ -10,8 +10,8 @@
 import { connectionFailure } from "./httpFailures.ts";
 import { HttpModelEngine } from "./HttpModelEngine.ts";
 
-/** What the server does with one request. */
-type Deed =
+/** How the server answers one request. */
+type Behaviour =
   | "answer"
   | "crossed_header"
   | "crossed_chunk"
@@ -22,7 +22,7 @@
   | "other_first"
   | "swap_with_next";
 
-const deeds: readonly Deed[] = [
+const behaviours: readonly Behaviour[] = [
   "answer",
   "crossed_header",
   "crossed_chunk",
@@ -33,61 +33,61 @@
   "other_first",
   "swap_with_next",
 ];
-/** Heads and bodies are ended by what the body of `createCall` ends with. */
+/** Matches one request up to the end of the body that `createCall` makes. */
 const wholeRequest = /^POST [^]*?"question"}\]}/;
-const clients = 6;
-const words = 4;
+const callCount = 6;
+const tokenCount = 4;
 
-const wordOf = (attempt: string, index: number): string => ` ${attempt}:${index}`;
-const textOf = (attempt: string): string =>
-  Array.from({ length: words }, (_, index) => wordOf(attempt, index)).join("");
+const tokenText = (attempt: string, index: number): string => ` ${attempt}:${index}`;
+const fullText = (attempt: string): string =>
+  Array.from({ length: tokenCount }, (_, index) => tokenText(attempt, index)).join("");
 
 const event = (id: string | undefined, text: string): string =>
   `data: ${JSON.stringify({ id, choices: [{ delta: { content: text }, finish_reason: null }] })}\n\n`;
 
-/** A whole HTTP answer in one chunk, so that the connection stays open for others. */
-const frameAnswer = (attempt: string, body: string): string =>
+/** An HTTP response with its body in one chunk, so that the connection stays open for further requests. */
+const encodeResponse = (attempt: string, body: string): string =>
   `HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nx-attempt-id: ${attempt}\r\n` +
   `transfer-encoding: chunked\r\n\r\n${Buffer.byteLength(body).toString(16)}\r\n${body}\r\n0\r\n\r\n`;
 
-const bodyOf = (id: string | undefined, attempt: string): string =>
-  Array.from({ length: words }, (_, index) => event(id, wordOf(attempt, index))).join("") +
+const streamBody = (id: string | undefined, attempt: string): string =>
+  Array.from({ length: tokenCount }, (_, index) => event(id, tokenText(attempt, index))).join("") +
   "data: [DONE]\n\n";
 
-const writeDeed = (deed: Deed, attempt: string): string => {
-  const own = frameAnswer(attempt, bodyOf(attempt, attempt));
-  const others = frameAnswer("other", bodyOf("other", "other"));
-  if (deed === "crossed_header") return frameAnswer("other", bodyOf(attempt, attempt));
-  if (deed === "crossed_chunk") return frameAnswer(attempt, bodyOf("other", "other"));
-  if (deed === "chunk_without_id") return frameAnswer(attempt, bodyOf(undefined, "other"));
-  if (deed === "twice") return own + own;
-  if (deed === "other_first") return others + own;
-  if (deed === "goes_on_after_end") {
-    return frameAnswer(attempt, bodyOf(attempt, attempt) + event(attempt, " more"));
+const writeAnswer = (behaviour: Behaviour, attempt: string): string => {
+  const own = encodeResponse(attempt, streamBody(attempt, attempt));
+  const others = encodeResponse("other", streamBody("other", "other"));
+  if (behaviour === "crossed_header") return encodeResponse("other", streamBody(attempt, attempt));
+  if (behaviour === "crossed_chunk") return encodeResponse(attempt, streamBody("other", "other"));
+  if (behaviour === "chunk_without_id") return encodeResponse(attempt, streamBody(undefined, "other"));
+  if (behaviour === "twice") return own + own;
+  if (behaviour === "other_first") return others + own;
+  if (behaviour === "goes_on_after_end") {
+    return encodeResponse(attempt, streamBody(attempt, attempt) + event(attempt, " more"));
   }
   return own;
 };
 
-/** A server on bare sockets, which writes what no HTTP library would let it write. */
-const startCrossing = async (plan: readonly Deed[]) => {
+/** Starts a server on plain sockets, which can send responses that an HTTP library would not allow. */
+const startFaultyServer = async (plan: readonly Behaviour[]) => {
   const sockets = new Set<Socket>();
   let requests = 0;
-  let held: { readonly socket: Socket; readonly attempt: string } | undefined;
+  let pendingSwap: { readonly socket: Socket; readonly attempt: string } | undefined;
 
   const serve = (socket: Socket, attempt: string): void => {
-    const deed = plan[requests % plan.length] ?? "answer";
+    const behaviour = plan[requests % plan.length] ?? "answer";
     requests += 1;
-    if (held !== undefined) {
-      // The two answers go to one another's callers.
-      held.socket.write(writeDeed("answer", attempt));
-      socket.write(writeDeed("answer", held.attempt));
-      held = undefined;
-    } else if (deed === "swap_with_next" && requests < clients) {
-      held = { socket, attempt };
-    } else if (deed === "late") {
-      setTimeout(() => socket.write(writeDeed("answer", attempt)), 30);
+    if (pendingSwap !== undefined) {
+      // Each of the two answers goes to the other's caller.
+      pendingSwap.socket.write(writeAnswer("answer", attempt));
+      socket.write(writeAnswer("answer", pendingSwap.attempt));
+      pendingSwap = undefined;
+    } else if (behaviour === "swap_with_next" && requests < callCount) {
+      pendingSwap = { socket, attempt };
+    } else if (behaviour === "late") {
+      setTimeout(() => socket.write(writeAnswer("answer", attempt)), 30);
     } else {
-      socket.write(writeDeed(deed, attempt));
+      socket.write(writeAnswer(behaviour, attempt));
     }
   };
 
@@ -133,7 +133,7 @@
   stallTimeout: 300,
 });
 
-/** @returns The text that came, and the failure that ended it. */
+/** @returns The text that was received, and the failure that ended the answer, if any. */
 const readAnswer = async (engine: HttpModelEngine, attempt: string, signal: AbortSignal) => {
   let text = "";
   try {
@@ -147,15 +147,15 @@
 };
 
 describe("HttpModelEngine over reused connections", () => {
-  it("gives each call its own answer or a typed failure, however answers cross", async () => {
-    let whole = 0;
-    const step = fc.record({ deed: fc.constantFrom(...deeds), giveUp: fc.boolean() });
+  it("gives each call its own answer or a typed failure, however answers are mixed up", async () => {
+    let completeAnswers = 0;
+    const step = fc.record({ behaviour: fc.constantFrom(...behaviours), giveUp: fc.boolean() });
     await fc.assert(
       fc.asyncProperty(
-        fc.array(step, { minLength: clients, maxLength: clients }),
+        fc.array(step, { minLength: callCount, maxLength: callCount }),
         fc.integer({ min: 1, max: 3 }),
         async (steps, connections) => {
-          await using server = await startCrossing(steps.map(({ deed }) => deed));
+          await using server = await startFaultyServer(steps.map(({ behaviour }) => behaviour));
           const pool = new Agent({ connections, pipelining: 1 });
           const engine = new HttpModelEngine(server.url, pool);
           const answers = steps.map(async ({ giveUp }, index) => {
@@ -164,17 +164,17 @@
             return { attempt, ...(await readAnswer(engine, attempt, signal)) };
           });
           for (const { attempt, text, failure } of await Promise.all(answers)) {
-            expect(textOf(attempt).startsWith(text)).toEqual(true);
+            expect(fullText(attempt).startsWith(text)).toEqual(true);
             if (failure !== undefined) continue;
-            expect(text).toEqual(textOf(attempt));
-            whole += 1;
+            expect(text).toEqual(fullText(attempt));
+            completeAnswers += 1;
           }
           await pool.destroy();
         },
       ),
       { seed: 11, numRuns: 60 },
     );
-    expect(whole).toBeGreaterThan(60);
+    expect(completeAnswers).toBeGreaterThan(60);
   });
 
   const faults = [
@@ -186,9 +186,9 @@
     ["other_first", "crossed"],
     ["goes_on_after_end", "malformed"],
   ] as const;
-  for (const [deed, fault] of faults) {
-    it(`takes ${deed} as ${fault ?? "the answer"}`, async () => {
-      await using server = await startCrossing([deed]);
+  for (const [behaviour, fault] of faults) {
+    it(`treats ${behaviour} as ${fault ?? "the answer"}`, async () => {
+      await using server = await startFaultyServer([behaviour]);
       const pool = new Agent({ connections: 1, pipelining: 1 });
       const engine = new HttpModelEngine(server.url, pool);
       const answer = await readAnswer(engine, "attempt-0", new AbortController().signal);
@@ -197,7 +197,7 @@
     });
   }
 
-  it("takes a connect failure's code on an open connection for a request that may have run", () => {
+  it("treats a connect error code on an open connection as a request that may have run", () => {
     const broken = (syscall: string) => Object.assign(new Error("broken"), { code: "EHOSTUNREACH", syscall });
     expect(connectionFailure(broken("connect"), "sent").progress).toEqual("not_sent");
     expect(connectionFailure(broken("read"), "sent").progress).toEqual("sent");
--- a/src/transport/HttpModelEngine.ts
+++ b/src/transport/HttpModelEngine.ts
@@ -1,4 +1,4 @@
-/** A model engine over HTTP, in the OpenAI form with the few headers that docs/STAND-INS.md describes. */
+/** HTTP client of a model engine: OpenAI's API with some more headers, described in docs/STAND-INS.md. */
 import type { Dispatcher } from "undici";
 import { createParser } from "eventsource-parser";
 import type { z } from "zod";
@@ -18,72 +18,75 @@
 import { connectionFailure, parseJson, statusFailure } from "./httpFailures.ts";
 
 const jsonType = { "content-type": "application/json" } as const;
+/** Timeout of a cancellation, milliseconds. */
 const controlTimeout = 2_000;
 
-/** What of a call an answer depends on. */
-interface Expected {
+/** The fields of a call that are needed to read its answer. */
+interface ExpectedAnswer {
   readonly attempt: string;
   readonly stallTimeout: number;
 }
 
-/** What has been read of a stream and not been handed on. */
-interface ReadState {
+/** Frames of a stream that were parsed and not yet yielded, and whether the stream is complete. */
+interface StreamState {
   frames: AnswerFrame[];
-  /** The end mark has come. */
+  /** `[DONE]` has been received. */
   done: boolean;
 }
 
-const createStreamParser = (attempt: string, read: ReadState) =>
+const createStreamParser = (attempt: string, state: StreamState) =>
   createParser({
     onEvent: ({ data }) => {
-      if (read.done) throw upstreamError("the stream goes on after its end mark", "malformed", "streaming");
-      if (data === doneMarker) read.done = true;
-      else read.frames.push(readChunk(data, attempt));
+      if (state.done) throw upstreamError("the stream continues after [DONE]", "malformed", "streaming");
+      if (data === doneMarker) state.done = true;
+      else state.frames.push(readChunk(data, attempt));
     },
   });
 
-/** Types what ended a stream before its time. */
+/** Classifies the error that ended a stream early. */
 const streamFailure = (cause: unknown, signal: AbortSignal): UpstreamError => {
   if (cause instanceof UpstreamErrorClass) return cause;
   if (signal.aborted) return upstreamError("the attempt was cancelled", "cancelled", "streaming", cause);
   return connectionFailure(cause, "streaming");
 };
 
-/** Reads a stream's pieces; those that came in one read are handed on together. */
+/** Reads the frames of a stream; those that arrive in one read are yielded together. */
 const readFrames = async function* (
   answer: Dispatcher.ResponseData,
-  { attempt, stallTimeout }: Expected,
+  { attempt, stallTimeout }: ExpectedAnswer,
   signal: AbortSignal,
 ): AsyncGenerator<readonly AnswerFrame[], void, void> {
-  const read: ReadState = { frames: [], done: false };
-  const parser = createStreamParser(attempt, read);
-  const stall = setTimeout(() => {
-    answer.body.destroy(upstreamError("the engine fell silent", "stalled", "streaming"));
+  const state: StreamState = { frames: [], done: false };
+  const parser = createStreamParser(attempt, state);
+  const stallTimer = setTimeout(() => {
+    answer.body.destroy(
+      upstreamError("the engine sent nothing within the stall timeout", "stalled", "streaming"),
+    );
   }, stallTimeout);
   const decoder = new TextDecoder();
   try {
     for await (const bytes of answer.body) {
-      stall.refresh();
+      stallTimer.refresh();
       parser.feed(decoder.decode(bytes as Buffer, { stream: true }));
-      if (read.frames.length === 0) continue;
-      const { frames } = read;
-      read.frames = [];
+      if (state.frames.length === 0) continue;
+      const { frames } = state;
+      state.frames = [];
       yield frames;
-      // The caller's own slowness is no silence of the engine.
-      stall.refresh();
+      // After a slow caller has taken the frames, the engine gets the whole stall timeout again.
+      stallTimer.refresh();
     }
   } catch (cause) {
     const failure = streamFailure(cause, signal);
-    // After the end mark the answer is whole, however its connection ends.
-    if (!read.done || failure.fault === "malformed") throw failure;
+    // After [DONE] the answer is complete, even if the connection then fails.
+    if (!state.done || failure.fault === "malformed") throw failure;
   } finally {
-    clearTimeout(stall);
+    clearTimeout(stallTimer);
     answer.body.on("error", () => undefined).destroy();
   }
-  if (!read.done) throw upstreamError("the stream ended before its end mark", "closed_early", "streaming");
+  if (!state.done) throw upstreamError("the stream ended before [DONE]", "closed_early", "streaming");
 };
 
-/** One engine at one URL. The connection pool is shared by all engines of the process. */
+/** Client of the engine at one URL. All engines of a process share the connection pool. */
 export class HttpModelEngine extends ModelEngine {
   private readonly url: string;
   private readonly pool: Dispatcher;
@@ -122,7 +125,7 @@
 
   override async cancel(attempt: string): Promise<void> {
     const path = `/v1/attempts/${encodeURIComponent(attempt)}/cancel`;
-    await this.exchange("POST", path, undefined, AbortSignal.timeout(controlTimeout));
+    await this.requestText("POST", path, undefined, AbortSignal.timeout(controlTimeout));
   }
 
   override async readLoad(signal: AbortSignal): Promise<EngineLoad> {
@@ -134,16 +137,16 @@
   }
 
   override async order(order: EngineOrder, signal: AbortSignal): Promise<void> {
-    await this.exchange("POST", "/orders", JSON.stringify(order), signal);
+    await this.requestText("POST", "/orders", JSON.stringify(order), signal);
   }
 
   private async readJson<T>(path: string, schema: z.ZodType<T>, signal: AbortSignal): Promise<T> {
-    const parsed = schema.safeParse(parseJson(await this.exchange("GET", path, undefined, signal)));
+    const parsed = schema.safeParse(parseJson(await this.requestText("GET", path, undefined, signal)));
     if (parsed.success) return parsed.data;
     throw upstreamError(`the answer to ${path} is malformed`, "malformed", "sent", parsed.error);
   }
 
-  private async exchange(
+  private async requestText(
     method: "GET" | "POST",
     path: string,
     body: string | undefined,
@@ -159,7 +162,7 @@
     path: string,
     requestHeaders: Readonly<Record<string, string>>,
     body: string,
-    expected: Expected,
+    expected: ExpectedAnswer,
     signal: AbortSignal,
   ): Promise<EngineAnswer> {
     const answer = await this.send("POST", path, requestHeaders, body, 0, signal);
--- a/src/transport/HttpPlainService.test.ts
+++ b/src/transport/HttpPlainService.test.ts
@@ -1,4 +1,4 @@
-/** A call is sent once, whatever happens to its connection: counted are requests as they arrive. */
+/** Checks that a call is sent once, whatever happens to its connection; the replica records what it receives. */
 import { once } from "node:events";
 import { createServer } from "node:net";
 import type { AddressInfo, Socket } from "node:net";
@@ -14,7 +14,7 @@
 const answer: Behaviour = (socket, attempt) =>
   void socket.write(`HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-attempt-id: ${attempt}\r\n\r\nok`);
 
-/** Reads whole requests and does with each what the next behaviour says. */
+/** Starts a replica that reads whole requests and applies the next behaviour to each. */
 const startReplica = async (behaviours: readonly Behaviour[]) => {
   const attempts: string[] = [];
   const server = createServer((socket) => {
@@ -50,9 +50,9 @@
   timeout: 2_000,
 });
 
-const told = async (service: HttpPlainService, what: ServiceCall): Promise<string> => {
+const outcomeOf = async (service: HttpPlainService, serviceCall: ServiceCall): Promise<string> => {
   try {
-    return `answered ${(await service.call(what, new AbortController().signal)).status}`;
+    return `answered ${(await service.call(serviceCall, new AbortController().signal)).status}`;
   } catch (error) {
     const { fault, progress } = error as UpstreamError;
     return `${fault} ${progress}`;
@@ -70,17 +70,17 @@
   ],
 ];
 
-describe("a connection to a plain service", () => {
+describe("HttpPlainService", () => {
   for (const method of ["POST", "GET"]) {
     for (const [name, behaviour, expected] of cases) {
       for (const pipelining of [0, 1]) {
-        it(`that ${name} has had the ${method} once (pipelining ${pipelining})`, async () => {
+        it(`if the connection ${name}, sends the ${method} once (pipelining ${pipelining})`, async () => {
           await using replica = await startReplica([answer, behaviour, answer]);
           const pool = new Agent({ pipelining });
           const service = new HttpPlainService(replica.url, pool);
-          // The second call goes over a connection that was kept, where one is.
-          expect(await told(service, call("first", method))).toEqual("answered 200");
-          expect(await told(service, call("second", method))).toEqual(expected);
+          // The second call reuses the first one's connection if that was kept open.
+          expect(await outcomeOf(service, call("first", method))).toEqual("answered 200");
+          expect(await outcomeOf(service, call("second", method))).toEqual(expected);
           expect(replica.attempts).toEqual(["first", "second"]);
           await pool.destroy();
         });
@@ -88,13 +88,13 @@
     }
   }
 
-  it("that cannot be made has sent nothing", async () => {
+  it("sends nothing if the connection cannot be opened", async () => {
     const { url } = await startReplica([]).then(async (replica) => {
       await replica[Symbol.asyncDispose]();
       return replica;
     });
     const pool = new Agent();
-    expect(await told(new HttpPlainService(url, pool), call("first", "POST"))).toEqual(
+    expect(await outcomeOf(new HttpPlainService(url, pool), call("first", "POST"))).toEqual(
       "unreachable not_sent",
     );
     await pool.destroy();
--- a/src/transport/HttpPlainService.ts
+++ b/src/transport/HttpPlainService.ts
@@ -1,4 +1,4 @@
-/** A plain service's replica over HTTP. */
+/** HTTP client of a plain service's replica. */
 import type { Dispatcher } from "undici";
 import { headers, outcomes } from "../protocol/constants.ts";
 import { upstreamError } from "../protocol/errors.ts";
@@ -16,7 +16,7 @@
 const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-/** One replica at one URL. */
+/** Client of the replica at one URL. */
 export class HttpPlainService extends PlainService {
   private readonly url: string;
   private readonly pool: Dispatcher;
--- a/src/transport/PrometheusMetrics.test.ts
+++ b/src/transport/PrometheusMetrics.test.ts
@@ -2,8 +2,8 @@
 import { expect } from "earl";
 import { PrometheusMetrics } from "./PrometheusMetrics.ts";
 
-describe("metrics for a collector", () => {
-  it("are counters and histograms with their tags, as text", async () => {
+describe("PrometheusMetrics", () => {
+  it("exposes counters and histograms with their tags as text", async () => {
     const metrics = new PrometheusMetrics();
     metrics.count("requests", 1, { kind: "repeatable", outcome: "served" });
     metrics.count("requests", 2, { kind: "repeatable", outcome: "served" });
--- a/src/transport/PrometheusMetrics.ts
+++ b/src/transport/PrometheusMetrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms for a collector that fetches them as text. */
+/** Metrics for Prometheus: counters and histograms that a collector scrapes as text. */
 import { Counter, Histogram, Registry } from "prom-client";
 import type { MetricName } from "../state/constants.ts";
 import type { MetricTags } from "../state/Metrics.ts";
@@ -6,10 +6,10 @@
 
 const prefix = "pomelocleat_";
 
-/** Bounds in milliseconds: from what a plain service takes to the longest time that callers wait. */
+/** Histogram bounds in milliseconds, from the latency of a plain service to the longest time that callers wait. */
 const buckets = [10, 25, 50, 100, 200, 300, 400, 600, 1_000, 1_500, 2_500, 5_000, 10_000, 15_000];
 
-/** Metrics in a registry of this process; each name always has the same tags. */
+/** Metrics in a registry of their own. A metric must have the same tag names each time. */
 export class PrometheusMetrics extends Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<MetricName, Counter>();
@@ -17,19 +17,20 @@
   private readonly totals = new Map<string, number>();
 
   override count(name: MetricName, amount = 1, tags: MetricTags = {}): void {
-    const known = this.counters.get(name);
-    const counter = known ?? new Counter({ ...this.describe(name, tags), name: `${prefix}${name}_total` });
-    if (known === undefined) this.counters.set(name, counter);
+    const existing = this.counters.get(name);
+    const counter =
+      existing ?? new Counter({ ...this.metricOptions(name, tags), name: `${prefix}${name}_total` });
+    if (existing === undefined) this.counters.set(name, counter);
     counter.inc(tags, amount);
     const key = [name, ...Object.values(tags)].join(" ");
     this.totals.set(key, (this.totals.get(key) ?? 0) + amount);
   }
 
   override time(name: MetricName, milliseconds: number, tags: MetricTags = {}): void {
-    const known = this.histograms.get(name);
+    const existing = this.histograms.get(name);
     const histogram =
-      known ?? new Histogram({ ...this.describe(name, tags), name: `${prefix}${name}`, buckets });
-    if (known === undefined) this.histograms.set(name, histogram);
+      existing ?? new Histogram({ ...this.metricOptions(name, tags), name: `${prefix}${name}`, buckets });
+    if (existing === undefined) this.histograms.set(name, histogram);
     histogram.observe(tags, milliseconds);
   }
 
@@ -37,12 +38,12 @@
     return Object.fromEntries([...this.totals].sort());
   }
 
-  /** @returns Everything in the text exposition format. */
+  /** @returns All metrics in Prometheus's text exposition format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
 
-  private describe(name: MetricName, tags: MetricTags) {
+  private metricOptions(name: MetricName, tags: MetricTags) {
     return { help: name.replaceAll("_", " "), labelNames: Object.keys(tags), registers: [this.registry] };
   }
 }
--- a/src/transport/StatsdMetrics.ts
+++ b/src/transport/StatsdMetrics.ts
@@ -1,14 +1,14 @@
-/** Metrics to a StatsD receiver, by hot-shots; totals are kept in memory as well, for state dumps. */
+/** Sends metrics to a StatsD server with hot-shots, and keeps totals in memory for state dumps. */
 import type { StatsD } from "hot-shots";
 import type { MetricName } from "../state/constants.ts";
 import { MemoryMetrics } from "../state/MemoryMetrics.ts";
 import type { MetricTags } from "../state/Metrics.ts";
 
-/** Counts in memory and sends the same on. */
+/** Counts in memory and sends each value to StatsD. */
 export class StatsdMetrics extends MemoryMetrics {
   private readonly client: StatsD;
 
-  /** @param client - Configured with prefix and global tags; closed by its owner. */
+  /** @param client - Configured with a prefix and global tags; its owner closes it. */
   constructor(client: StatsD) {
     super();
     this.client = client;
--- a/src/transport/callerAnswers.ts
+++ b/src/transport/callerAnswers.ts
@@ -1,10 +1,10 @@
-/** The answers that callers get, in the OpenAI form: whole, streamed, or an error. */
+/** Writes answers to callers in OpenAI's format: complete JSON bodies, streamed chunks and errors. */
 import { headers } from "../protocol/constants.ts";
 import type { RequestError, RequestFailure } from "../protocol/errors.ts";
 import { outcomes } from "../protocol/constants.ts";
 import type { AnswerFrame, Usage } from "../protocol/types.ts";
 
-/** What is the same in every piece of one answer. */
+/** The fields that identify an answer; each of its chunks repeats them. */
 export interface AnswerIdentity {
   readonly kind: "chat" | "text";
   readonly requestId: string;
@@ -22,10 +22,10 @@
   413: "invalid_request_error",
 };
 
-/** The stable `type` of an error: OpenAI's where it has one, else the outcome. */
+/** The `type` field of an error: OpenAI's value for the status if there is one, otherwise the outcome. */
 const errorType = (failure: RequestFailure): string => errorTypes[failure.status] ?? failure.outcome;
 
-/** The OpenAI error object, with the outcome beside it. */
+/** @returns An OpenAI error object as JSON, extended by the field `outcome`. */
 export const errorBody = ({ failure, message }: RequestError): string =>
   JSON.stringify({
     error: {
@@ -37,11 +37,11 @@
     },
   });
 
-/** Headers of an error answer. */
+/** @returns The headers of an error answer. */
 export const errorHeaders = ({ failure }: RequestError): Record<string, string> => ({
   "content-type": "application/json",
   [headers.outcome]: failure.outcome,
-  // Client libraries repeat requests by themselves; what may have run must not be repeated that way.
+  // Client libraries retry on their own; a request that may have run must not be retried that way.
   ...(failure.outcome === outcomes.notRun ? {} : { [headers.shouldRetry]: "false" }),
   ...(failure.retryAfterSeconds === undefined
     ? {}
@@ -58,62 +58,63 @@
 const answerId = ({ kind, requestId }: AnswerIdentity): string =>
   `${kind === "chat" ? "chatcmpl" : "cmpl"}-${requestId}`;
 
-/** Writes the chunks of one streamed answer. */
+/** Formats the chunks of one streamed answer. */
 export interface ChunkWriter {
   /**
-   * @param eventId - The SSE id of the piece, from which a caller can go on elsewhere.
-   * @param isFirst - True for the first piece of the whole answer.
-   * @returns The piece as SSE text; empty for a piece that callers don't get.
+   * @param eventId - The SSE id of the frame, with which a caller can resume the answer at any router.
+   * @param isFirst - True for the first frame of the whole answer.
+   * @returns The frame as an SSE event; an empty string for a usage frame that the caller did not ask for.
    */
   readonly write: (frame: AnswerFrame, eventId: string, isFirst: boolean) => string;
 }
 
 /**
- * Makes a writer. What is the same in all chunks is put into text once, since this runs for every token.
+ * Creates a writer. The fields that all chunks share are serialised once, since `write` runs for every token.
  *
- * @param includeUsage - Whether the caller asked for a usage chunk.
+ * @param includeUsage - True if the caller asked for a usage chunk.
  */
 export const createChunkWriter = (identity: AnswerIdentity, includeUsage: boolean): ChunkWriter => {
   const object = identity.kind === "chat" ? "chat.completion.chunk" : "text_completion";
   const { model, created } = identity;
-  const head = JSON.stringify({ id: answerId(identity), object, created, model }).slice(0, -1);
+  const sharedFields = JSON.stringify({ id: answerId(identity), object, created, model }).slice(0, -1);
 
   const choice = (frame: AnswerFrame, isFirst: boolean): string => {
-    const finish = JSON.stringify(frame.finishReason ?? null);
+    const finishReason = JSON.stringify(frame.finishReason ?? null);
     const text = JSON.stringify(frame.text);
     if (identity.kind === "text") {
-      return `{"index":0,"text":${text},"logprobs":null,"finish_reason":${finish}}`;
+      return `{"index":0,"text":${text},"logprobs":null,"finish_reason":${finishReason}}`;
     }
     const role = isFirst ? `"role":"assistant",` : "";
     const extra = frame.extra === undefined ? "" : `,${JSON.stringify(frame.extra).slice(1, -1)}`;
     const delta =
       frame.finishReason !== undefined && frame.text === "" ? "{}" : `{${role}"content":${text}${extra}}`;
-    return `{"index":0,"delta":${delta},"finish_reason":${finish}}`;
+    return `{"index":0,"delta":${delta},"finish_reason":${finishReason}}`;
   };
 
   const write: ChunkWriter["write"] = (frame, eventId, isFirst) => {
     const id = `id: ${eventId}\n`;
     if (frame.usage !== undefined && frame.text === "" && frame.finishReason === undefined) {
       if (!includeUsage) return "";
-      return `${id}data: ${head},"choices":[],"usage":${JSON.stringify(openAiUsage(frame.usage))}}\n\n`;
+      return `${id}data: ${sharedFields},"choices":[],"usage":${JSON.stringify(openAiUsage(frame.usage))}}\n\n`;
     }
-    return `${id}data: ${head},"choices":[${choice(frame, isFirst)}]}\n\n`;
+    return `${id}data: ${sharedFields},"choices":[${choice(frame, isFirst)}]}\n\n`;
   };
   return { write };
 };
 
-/** The end mark of a complete stream. */
-export const streamEnd = "data: [DONE]\n\n";
+/** The last event of a complete stream. */
+export const streamEndMarker = "data: [DONE]\n\n";
 
-/** The end of a stream that can't be finished; never followed by the end mark. */
-export const streamFailure = (error: RequestError): string => `event: error\ndata: ${errorBody(error)}\n\n`;
+/** @returns The last event of a stream that can't be completed; `streamEndMarker` never follows it. */
+export const streamErrorEvent = (error: RequestError): string =>
+  `event: error\ndata: ${errorBody(error)}\n\n`;
 
-/** A whole answer, put together from its pieces. */
-export const wholeAnswer = (identity: AnswerIdentity, frames: readonly AnswerFrame[]): string => {
+/** @returns The JSON body of an answer that is not streamed, assembled from its frames. */
+export const completionBody = (identity: AnswerIdentity, frames: readonly AnswerFrame[]): string => {
   const text = frames.map((frame) => frame.text).join("");
   const finishReason = frames.findLast((frame) => frame.finishReason !== undefined)?.finishReason ?? null;
   const usage = frames.findLast((frame) => frame.usage !== undefined)?.usage;
-  const toolCalls = frames.flatMap((frame) => toolCallsOf(frame));
+  const toolCallDeltas = frames.flatMap((frame) => readToolCallDeltas(frame));
   const choice =
     identity.kind === "text"
       ? { index: 0, text, logprobs: null, finish_reason: finishReason }
@@ -123,7 +124,7 @@
             role: "assistant",
             content: text,
             refusal: null,
-            ...(toolCalls.length === 0 ? {} : { tool_calls: joinToolCalls(toolCalls) }),
+            ...(toolCallDeltas.length === 0 ? {} : { tool_calls: mergeToolCalls(toolCallDeltas) }),
           },
           logprobs: null,
           finish_reason: finishReason,
@@ -138,30 +139,30 @@
   });
 };
 
-/** A piece of a tool call, as streams split it. */
-interface ToolCallPiece {
+/** A fragment of a tool call, as streams deliver it. */
+interface ToolCallDelta {
   readonly index: number;
   readonly id?: string;
   readonly type?: string;
   readonly function?: { readonly name?: string; readonly arguments?: string };
 }
 
-const toolCallsOf = (frame: AnswerFrame): readonly ToolCallPiece[] => {
+const readToolCallDeltas = (frame: AnswerFrame): readonly ToolCallDelta[] => {
   const calls = frame.extra?.tool_calls;
-  return Array.isArray(calls) ? (calls as readonly ToolCallPiece[]) : [];
+  return Array.isArray(calls) ? (calls as readonly ToolCallDelta[]) : [];
 };
 
-const joinToolCalls = (pieces: readonly ToolCallPiece[]) => {
-  const indexes = [...new Set(pieces.map((piece) => piece.index))].sort((left, right) => left - right);
+const mergeToolCalls = (deltas: readonly ToolCallDelta[]) => {
+  const indexes = [...new Set(deltas.map((delta) => delta.index))].sort((left, right) => left - right);
   return indexes.map((index) => {
-    const own = pieces.filter((piece) => piece.index === index);
-    const named = own.find((piece) => piece.id !== undefined);
+    const ownDeltas = deltas.filter((delta) => delta.index === index);
+    const deltaWithId = ownDeltas.find((delta) => delta.id !== undefined);
     return {
-      id: named?.id ?? "",
+      id: deltaWithId?.id ?? "",
       type: "function",
       function: {
-        name: named?.function?.name ?? "",
-        arguments: own.map((piece) => piece.function?.arguments ?? "").join(""),
+        name: deltaWithId?.function?.name ?? "",
+        arguments: ownDeltas.map((delta) => delta.function?.arguments ?? "").join(""),
       },
     };
   });
--- a/src/transport/callerServer.test.ts
+++ b/src/transport/callerServer.test.ts
@@ -1,4 +1,4 @@
-/** The server's side towards callers that read slowly or go away. */
+/** Checks that an answer is read as fast as the caller reads it, and no further once the caller has disconnected. */
 import { connect } from "node:net";
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -10,11 +10,11 @@
 import { startCallerServer } from "./callerServer.ts";
 
 const batchCharacters = 64 * 1024;
-/** Far above what the sockets of one connection hold, and far below what an endless answer would fill. */
-const mostBatchesHeld = 1_000;
+/** Far more than the socket buffers of one connection hold, far fewer than are read without backpressure. */
+const maxBufferedBatches = 1_000;
 const body = JSON.stringify({ model: "m", stream: true, messages: [{ role: "user", content: "Go on." }] });
 
-/** Answers without end, counting how far the answer has been read. */
+/** Gives an endless answer, and counts the batches that were read of it. */
 class EndlessFrontEnd extends FrontEnd {
   readonly read = { batches: 0, ended: false };
 
@@ -68,8 +68,8 @@
   }
 }
 
-/** Waits until a number has stopped changing for a while, and gives it. */
-const settled = async (read: () => number): Promise<number> => {
+/** Waits until a number has not changed for 200 ms; returns it. */
+const waitUntilStable = async (read: () => number): Promise<number> => {
   let unchanged = 0;
   let last = read();
   while (unchanged < 20) {
@@ -80,8 +80,8 @@
   return last;
 };
 
-describe("the callers' server", () => {
-  it("reads an answer no faster than its caller does, and ends it when the caller goes", async () => {
+describe("the caller server", () => {
+  it("reads an answer no faster than its caller does, and ends it when the caller disconnects", async () => {
     const frontEnd = new EndlessFrontEnd();
     await using server = await startCallerServer(frontEnd, {
       address: "127.0.0.1",
@@ -94,10 +94,10 @@
       `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
     );
     while (frontEnd.read.batches === 0) await sleep(5);
-    const held = await settled(() => frontEnd.read.batches);
-    expect(held).toBeLessThan(mostBatchesHeld);
+    const bufferedBatches = await waitUntilStable(() => frontEnd.read.batches);
+    expect(bufferedBatches).toBeLessThan(maxBufferedBatches);
     socket.destroy();
     while (!frontEnd.read.ended) await sleep(5);
-    expect(await settled(() => frontEnd.read.batches)).toBeLessThan(mostBatchesHeld);
+    expect(await waitUntilStable(() => frontEnd.read.batches)).toBeLessThan(maxBufferedBatches);
   });
 });
--- a/src/transport/callerServer.ts
+++ b/src/transport/callerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for callers and operators: OpenAI's routes, plain services, health and operator views. */
+/** The HTTP server for callers and operators: OpenAI's routes, plain services, health checks and operator views. */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -15,49 +15,50 @@
   createChunkWriter,
   errorBody,
   errorHeaders,
-  streamEnd,
-  streamFailure,
-  wholeAnswer,
+  streamEndMarker,
+  streamErrorEvent,
+  completionBody,
 } from "./callerAnswers.ts";
 import { readRequestBody } from "./requestBody.ts";
 
 const jsonType = { "content-type": "application/json" } as const;
 const serviceRoute = /^\/services\/([^/]+)(\/.*)?$/;
+/** Milliseconds. */
 const connectionPollInterval = 20;
-/** The port stays open until no connection has come for this long, milliseconds. */
-const quietTime = 500;
-/** An idle connection ends this much later than callers are told, milliseconds. */
+/** Before the port is closed, no new connection may have been opened for this long, milliseconds. */
+const quietPeriod = 500;
+/** How much longer than the announced keep-alive timeout idle connections are left open, milliseconds. */
 const keepAliveMargin = 1_000;
 const textEncoder = new TextEncoder();
 
-/** A server that is listening. */
+/** A listening server. */
 export interface CallerServer extends AsyncDisposable {
   /** `http://IP:PORT`. */
   readonly url: string;
-  /** From now on each answer is the last of its connection; callers still get answers. */
+  /** Sends `connection: close` with each further answer. Requests are still answered. */
   readonly disableKeepAlive: () => void;
   /**
-   * Resolves when all connections have ended. Idle ones are left until the time is over for which callers
-   * were told that they may be used again, and the port is open until callers have gone elsewhere: no request
-   * must meet a connection that is being closed.
+   * Closes the server gracefully; resolves when all connections have ended. Idle connections stay open until
+   * the announced keep-alive timeout has passed, and the port stays open until no new connection has
+   * arrived for a while: otherwise a request could be sent on a connection that is just being closed.
    */
   readonly close: () => Promise<void>;
 }
 
-const first = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-const callerHeaders = (request: IncomingMessage): CallerHeaders => ({
+const readCallerHeaders = (request: IncomingMessage): CallerHeaders => ({
   authorization: request.headers.authorization,
-  requestClass: first(request.headers[headers.requestClass]),
-  idempotent: first(request.headers[headers.idempotent]),
-  idempotencyKey: first(request.headers[headers.idempotencyKey]),
-  prefixLevels: first(request.headers[headers.prefixLevels]),
-  lastEventId: first(request.headers[headers.lastEventId]),
+  requestClass: firstValue(request.headers[headers.requestClass]),
+  idempotent: firstValue(request.headers[headers.idempotent]),
+  idempotencyKey: firstValue(request.headers[headers.idempotencyKey]),
+  prefixLevels: firstValue(request.headers[headers.prefixLevels]),
+  lastEventId: firstValue(request.headers[headers.lastEventId]),
 });
 
-/** A signal that is aborted when the caller goes away before its answer has ended. */
-const callerSignal = (response: ServerResponse): AbortSignal => {
+/** Creates a signal that is aborted when the caller disconnects before its answer is complete. */
+const createDisconnectSignal = (response: ServerResponse): AbortSignal => {
   const controller = new AbortController();
   response.on("close", () => {
     if (!response.writableFinished) controller.abort();
@@ -67,7 +68,7 @@
 
 const internalError = (cause: unknown): RequestFailureError =>
   requestError(
-    "The router failed.",
+    "Internal router error.",
     { status: 500, code: "internal_error", outcome: outcomes.outcomeUnknown },
     cause,
   );
@@ -81,9 +82,9 @@
 };
 
 const notFound = (): RequestFailureError =>
-  requestError("There is no such route.", { status: 404, code: "unknown_route", outcome: outcomes.notRun });
+  requestError("Unknown route.", { status: 404, code: "unknown_route", outcome: outcomes.notRun });
 
-const identityOf = ({ requestId, request }: CompletionAnswer): AnswerIdentity => ({
+const answerIdentity = ({ requestId, request }: CompletionAnswer): AnswerIdentity => ({
   kind: request.kind,
   requestId,
   model: request.adapter === undefined ? request.model : `${request.model}:${request.adapter}`,
@@ -100,9 +101,9 @@
   [headers.upstream]: answer.upstream,
 });
 
-/** SSE text, one item for each batch that arrived together. */
-const streamTexts = async function* (answer: CompletionAnswer): AsyncGenerator<string, void, void> {
-  const writer = createChunkWriter(identityOf(answer), answer.request.includeUsage);
+/** Formats an answer as SSE text, one string for each batch of frames that arrived together. */
+const formatEvents = async function* (answer: CompletionAnswer): AsyncGenerator<string, void, void> {
+  const writer = createChunkWriter(answerIdentity(answer), answer.request.includeUsage);
   try {
     for await (const batch of answer.batches) {
       const delivered = { tokens: batch.firstOffset, others: batch.firstOthers };
@@ -119,30 +120,30 @@
       }
       if (text !== "") yield text;
     }
-    yield streamEnd;
+    yield streamEndMarker;
   } catch (error) {
-    yield streamFailure(asRequestError(error));
+    yield streamErrorEvent(asRequestError(error));
   }
 };
 
-/** A body that is read from the engine only as fast as the caller takes it. */
-const streamBody = (texts: AsyncGenerator<string, void, void>): ReadableStream<Uint8Array> =>
+/** Creates a body that reads from the engine only as fast as the caller reads, without buffering ahead. */
+const streamBody = (events: AsyncGenerator<string, void, void>): ReadableStream<Uint8Array> =>
   new ReadableStream<Uint8Array>(
     {
       pull: async (controller) => {
-        const next = await texts.next();
+        const next = await events.next();
         if (next.done === true) controller.close();
         else controller.enqueue(textEncoder.encode(next.value));
       },
       cancel: async () => {
-        await texts.return();
+        await events.return();
       },
     },
     { highWaterMark: 0 },
   );
 
 const streamedResponse = (answer: CompletionAnswer): Response =>
-  new Response(streamBody(streamTexts(answer)), {
+  new Response(streamBody(formatEvents(answer)), {
     headers: {
       ...answerHeaders(answer),
       "content-type": "text/event-stream; charset=utf-8",
@@ -154,7 +155,7 @@
   const frames: AnswerFrame[] = [];
   for await (const batch of answer.batches) frames.push(...batch.frames);
   const usage = frames.findLast((frame) => frame.usage !== undefined)?.usage;
-  return new Response(wholeAnswer(identityOf(answer), frames), {
+  return new Response(completionBody(answerIdentity(answer), frames), {
     headers: {
       ...jsonType,
       ...answerHeaders(answer),
@@ -168,16 +169,16 @@
 const completionRoute =
   (frontEnd: FrontEnd, kind: CompletionRequest["kind"]): Route =>
   async (request, response) => {
-    const signal = callerSignal(response);
+    const signal = createDisconnectSignal(response);
     const body = (await readRequestBody(request)).toString("utf8");
-    const answer = await frontEnd.complete(kind, callerHeaders(request), body, signal);
+    const answer = await frontEnd.complete(kind, readCallerHeaders(request), body, signal);
     return answer.request.stream ? streamedResponse(answer) : await wholeResponse(answer);
   };
 
 const serviceCallRoute =
   (frontEnd: FrontEnd): Route =>
   async (request, response) => {
-    const signal = callerSignal(response);
+    const signal = createDisconnectSignal(response);
     const [, service, path = "/"] = serviceRoute.exec(request.url ?? "") ?? [];
     if (service === undefined) throw notFound();
     const body = await readRequestBody(request);
@@ -188,7 +189,7 @@
       contentType: request.headers["content-type"],
       body: body.length === 0 ? undefined : body,
     };
-    const result = await frontEnd.callService(call, callerHeaders(request), signal);
+    const result = await frontEnd.callService(call, readCallerHeaders(request), signal);
     const { answer } = result;
     return new Response(new Uint8Array(answer.body), {
       status: answer.status,
@@ -203,7 +204,7 @@
   (frontEnd: FrontEnd): Route =>
   (request) => {
     const data = frontEnd
-      .listModels(callerHeaders(request))
+      .listModels(readCallerHeaders(request))
       .map((id) => ({ id, object: "model", created: 0, owned_by: "pomelocleat" }));
     return Promise.resolve(Response.json({ object: "list", data }));
   };
@@ -250,69 +251,73 @@
   new Promise((resolve) => server.getConnections((_error, count) => resolve(count)));
 
 /**
- * Waits until all connections have ended by themselves and no new one has come for a while, so that closing
- * the port meets none that is just being made.
+ * Waits until callers have closed all connections and no new one has been opened for `quietPeriod`, so that
+ * the port is not closed while a connection is being opened.
  *
- * @param lastConnection - When the newest one came, milliseconds on the monotonic clock.
- * @param limit - The longest wait, milliseconds.
+ * @param lastConnectionAt - When the newest connection was opened, milliseconds on the monotonic clock.
+ * @param timeout - The longest wait, milliseconds.
  */
-const awaitQuiet = async (server: Server, lastConnection: () => number, limit: number): Promise<void> => {
+const waitUntilQuiet = async (
+  server: Server,
+  lastConnectionAt: () => number,
+  timeout: number,
+): Promise<void> => {
   const startedAt = performance.now();
   const isQuiet = async (): Promise<boolean> => {
-    const since = Math.max(startedAt, lastConnection());
-    return performance.now() - since >= quietTime && (await countConnections(server)) === 0;
+    const since = Math.max(startedAt, lastConnectionAt());
+    return performance.now() - since >= quietPeriod && (await countConnections(server)) === 0;
   };
-  while (performance.now() < startedAt + limit && !(await isQuiet())) await sleep(connectionPollInterval);
+  while (performance.now() < startedAt + timeout && !(await isQuiet())) await sleep(connectionPollInterval);
 };
 
-/** Where the server listens and how it treats connections. */
+/** The address that the server listens on, and its keep-alive timeout. */
 export interface CallerServerOptions {
-  /** An IP number. */
+  /** An IP address. */
   readonly address: string;
-  /** 0 takes any free one. */
+  /** 0: any free port. */
   readonly port: number;
-  /** How long an idle connection stays open, milliseconds; callers are told. */
+  /** How long an idle connection stays open, milliseconds; announced to callers in the `keep-alive` header. */
   readonly keepAlive: number;
 }
 
-/** Starts the server. */
+/** Starts the server; resolves once it listens. */
 export const startCallerServer = async (
   frontEnd: FrontEnd,
   { address, port, keepAlive }: CallerServerOptions,
 ): Promise<CallerServer> => {
   const nodeHandler = toNodeHandler(createApp(frontEnd));
-  let isEnding = false;
-  let lastConnection = 0;
+  let isKeepAliveDisabled = false;
+  let lastConnectionAt = 0;
   const server = createServer((request, response) => {
-    if (isEnding) response.shouldKeepAlive = false;
+    if (isKeepAliveDisabled) response.shouldKeepAlive = false;
     void nodeHandler(request, response);
   });
-  server.on("connection", () => (lastConnection = performance.now()));
-  // Long prompts and long answers: class deadlines bound a request, not the server's clock.
+  server.on("connection", () => (lastConnectionAt = performance.now()));
+  // Long prompts and answers take long: requests are limited by the deadlines of their class, not by the server.
   server.requestTimeout = 0;
   server.keepAliveTimeout = keepAlive;
   await listen(server, address, port);
-  const bound = server.address() as AddressInfo;
-  const endConnections = (): void => {
-    isEnding = true;
+  const boundAddress = server.address() as AddressInfo;
+  const disableKeepAlive = (): void => {
+    isKeepAliveDisabled = true;
   };
-  const closeNow = (): Promise<void> =>
+  const closeServer = (): Promise<void> =>
     new Promise((resolve) => {
       server.close(() => resolve());
       server.closeIdleConnections();
     });
   const close = async (): Promise<void> => {
-    endConnections();
-    await awaitQuiet(server, () => lastConnection, keepAlive + keepAliveMargin);
-    await closeNow();
+    disableKeepAlive();
+    await waitUntilQuiet(server, () => lastConnectionAt, keepAlive + keepAliveMargin);
+    await closeServer();
   };
   return {
-    url: `http://${address}:${bound.port}`,
-    disableKeepAlive: endConnections,
+    url: `http://${address}:${boundAddress.port}`,
+    disableKeepAlive,
     close,
     [Symbol.asyncDispose]: async () => {
       server.closeAllConnections();
-      await closeNow();
+      await closeServer();
     },
   };
 };
--- a/src/transport/connectPeerNetwork.ts
+++ b/src/transport/connectPeerNetwork.ts
@@ -1,4 +1,4 @@
-/** Connections to peers by Connect over HTTP/2: one for each peer, for its stream and for questions. */
+/** Connections to peers: Connect over HTTP/2, one connection to each peer for its stream and for questions. */
 import { create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import { createClient } from "@connectrpc/connect";
 import type { Client } from "@connectrpc/connect";
@@ -25,7 +25,7 @@
 import type { PeerSession } from "./peerSession.ts";
 import { createPeerSession } from "./peerSession.ts";
 
-/** Unsent bytes at which a stream is given up. */
+/** A stream with more unsent bytes than this is closed. */
 const maximumUnsentBytes = 8 * 1024 * 1024;
 
 interface Connection {
@@ -54,7 +54,7 @@
   }
 };
 
-/** Seals messages in the order in which they are sent. */
+/** Seals messages in the order in which they are sent: the proof covers the position in the stream. */
 const sealMessages = async function* (
   key: Uint8Array,
   messages: AsyncIterable<Uint8Array>,
@@ -67,19 +67,19 @@
 };
 
 /**
- * Makes a process's connections to its peers.
+ * Creates the client side of a router's connections to its peers.
  *
- * @returns The network; disposing it ends every stream and call.
+ * @returns The network; disposing it ends all streams and calls.
  */
 export const createConnectPeerNetwork = (seals: Seals): PeerNetwork & AsyncDisposable => {
   const connections = new Map<string, Connection>();
 
-  const connectionTo = (url: string): Connection => {
-    const known = connections.get(url);
-    if (known !== undefined) return known;
-    const made = connect(url);
-    connections.set(url, made);
-    return made;
+  const getConnection = (url: string): Connection => {
+    const existing = connections.get(url);
+    if (existing !== undefined) return existing;
+    const created = connect(url);
+    connections.set(url, created);
+    return created;
   };
 
   const drop = (url: string, connection: Connection): void => {
@@ -89,7 +89,7 @@
 
   const ask = async (url: string, question: Question, signal: AbortSignal): Promise<Answer> => {
     const sealed = seals.sealQuestion(toBinary(QuestionSchema, question));
-    const connection = connectionTo(url);
+    const connection = getConnection(url);
     try {
       const answer = await connection.client.ask(sealed, { signal });
       return parseAnswer(seals.openAnswer(sealed, answer));
@@ -101,13 +101,13 @@
   };
 
   const open = (url: string, session: Uint8Array): PeerLink => {
-    const connection = connectionTo(url);
+    const connection = getConnection(url);
     const queue = createPeerQueue(maximumUnsentBytes);
-    const stop = new AbortController();
+    const controller = new AbortController();
     const sealed = sealMessages(seals.streamKey(session), queue.messages());
     const header = { [sessionHeader]: Buffer.from(session).toString("hex") };
     const ended = connection.client
-      .send(sealed, { headers: header, signal: stop.signal })
+      .send(sealed, { headers: header, signal: controller.signal })
       .then(
         () => undefined,
         () => undefined,
@@ -118,14 +118,14 @@
       });
     return {
       send: (message) => {
-        const taken = queue.add(message);
-        if (!taken) stop.abort();
-        return taken;
+        const isQueued = queue.add(message);
+        if (!isQueued) controller.abort();
+        return isQueued;
       },
       ended,
       [Symbol.asyncDispose]: async () => {
         queue.end();
-        stop.abort();
+        controller.abort();
         await ended;
       },
     };
--- a/src/transport/engineWire.ts
+++ b/src/transport/engineWire.ts
@@ -1,10 +1,10 @@
-/** The engines' wire form: what a call's body holds, and what a streamed chunk means. */
+/** The wire format of engines: the body of a call, and the chunks of a streamed answer. */
 import { z } from "zod";
 import { upstreamError } from "../protocol/errors.ts";
 import { requestTexts } from "../protocol/requestTexts.ts";
 import type { AnswerFrame, EngineCall, Usage } from "../protocol/types.ts";
 
-/** The chunk that ends a stream. */
+/** The data of the event that ends a stream. */
 export const doneMarker = "[DONE]";
 
 const usageSchema = z.object({
@@ -38,7 +38,7 @@
   nextSequence: z.number(),
 });
 
-/** A chunk as far as it is looked at; checked by hand, since this runs for every token. */
+/** The fields of a chunk that are read. They are checked by hand, without a schema, since this runs for every token. */
 interface Chunk {
   readonly id?: unknown;
   readonly choices?: readonly {
@@ -54,24 +54,27 @@
   if (delivered.text === "") return `"${request.kind === "chat" ? "messages" : "prompt"}":${prompt}`;
   const text = JSON.stringify(delivered.text);
   if (request.kind === "text") return `"prompt":${prompt.slice(0, -1)}${text.slice(1)}`;
-  const partial = `{"role":"assistant","content":${text}}`;
-  return `"messages":${prompt.slice(0, -1)},${partial}],"continue_final_message":true`;
+  const partialMessage = `{"role":"assistant","content":${text}}`;
+  return `"messages":${prompt.slice(0, -1)},${partialMessage}],"continue_final_message":true`;
 };
 
-/** The body of a call: the caller's, always streamed, with its cache kept apart and its delivered text. */
+/**
+ * @returns The body of a call: the caller's fields, with streaming always on, a cache salt that separates the
+ * caches of organisations, and the text that was already delivered, which the engine continues.
+ */
 export const engineBody = (call: EngineCall): string => {
   const { request, delivered } = call;
   const { others } = requestTexts(request);
-  const own = JSON.stringify({
+  const ownFields = JSON.stringify({
     model: request.model,
     ...(request.adapter === undefined ? {} : { adapter: request.adapter }),
-    // An engine takes no limit of 0; a piece too many is dropped by whoever relays.
+    // Engines reject a limit of 0; a surplus frame is dropped when the answer is relayed.
     max_tokens: Math.max(1, request.maximumTokens - delivered.tokens),
     stream: true,
     stream_options: { include_usage: true },
     cache_salt: call.cacheSalt,
   });
-  return `${own.slice(0, -1)},${promptField(call)}${others === "" ? "" : `,${others}`}}`;
+  return `${ownFields.slice(0, -1)},${promptField(call)}${others === "" ? "" : `,${others}`}}`;
 };
 
 const readUsage = (usage: unknown): Usage | undefined => {
@@ -85,22 +88,22 @@
   };
 };
 
-/** What a delta holds beside its text and role; almost always nothing. */
-const extraParts = (delta: Readonly<Record<string, unknown>>): AnswerFrame["extra"] => {
+/** @returns The fields of a delta besides text and role; almost always `undefined`. */
+const extraFields = (delta: Readonly<Record<string, unknown>>): AnswerFrame["extra"] => {
   const others = Object.entries(delta).filter(([key]) => key !== "content" && key !== "role");
   return others.length === 0 ? undefined : Object.fromEntries(others);
 };
 
 /**
- * Reads one chunk of a stream.
+ * Parses one chunk of a stream.
  *
- * @param attempt - The attempt that the stream belongs to; a chunk of another one is a `crossed` failure.
- * @returns The piece; throws `UpstreamError` for what is not a chunk.
+ * @param attempt - The attempt that the stream belongs to; a chunk of another attempt is a `crossed` failure.
+ * @returns The frame; throws `UpstreamError` if the data is not a valid chunk.
  */
 export const readChunk = (data: string, attempt: string): AnswerFrame => {
   const chunk = parseChunk(data);
   if (chunk.id !== attempt) {
-    throw upstreamError("the stream carries another attempt's chunk", "crossed", "streaming");
+    throw upstreamError("the stream contains a chunk of another attempt", "crossed", "streaming");
   }
   const choice = chunk.choices?.[0];
   const delta = choice?.delta ?? {};
@@ -109,7 +112,7 @@
     throw upstreamError("a chunk's text is not a string", "malformed", "streaming");
   return {
     text,
-    extra: extraParts(delta),
+    extra: extraFields(delta),
     finishReason: typeof choice?.finish_reason === "string" ? choice.finish_reason : undefined,
     usage: readUsage(chunk.usage),
   };
--- a/src/transport/httpFailures.ts
+++ b/src/transport/httpFailures.ts
@@ -1,43 +1,43 @@
-/** Turns what undici throws, and what an upstream answers, into {@link UpstreamError}s. */
+/** Converts undici's errors and the error answers of upstreams into {@link UpstreamError}s. */
 import { z } from "zod";
 import { headers, outcomes } from "../protocol/constants.ts";
 import type { UpstreamError, UpstreamFault, UpstreamProgress } from "../protocol/errors.ts";
 import { upstreamError } from "../protocol/errors.ts";
 
-/** Failures that may come before the first byte of a request leaves. */
-const connectFailures: ReadonlySet<string> = new Set([
+/** Error codes of connections that could not be opened. Open connections can fail with them as well. */
+const connectErrorCodes: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
   "EADDRNOTAVAIL",
 ]);
 
-const fieldOf = (error: unknown, field: string): string => {
+const readField = (error: unknown, field: string): string => {
   if (typeof error !== "object" || error === null || !(field in error)) return "";
   return String((error as Readonly<Record<string, unknown>>)[field]);
 };
 
-/** An established connection can break with a connect failure's code, too; then a request may have left. */
-const isConnectFailure = (cause: unknown): boolean => {
-  const code = fieldOf(cause, "code");
+/** The code alone is no proof: an open connection can break with one of these codes after the request was sent. */
+const isConnectError = (cause: unknown): boolean => {
+  const code = readField(cause, "code");
   if (code === "UND_ERR_CONNECT_TIMEOUT") return true;
-  return connectFailures.has(code) && fieldOf(cause, "syscall") === "connect";
+  return connectErrorCodes.has(code) && readField(cause, "syscall") === "connect";
 };
 
 /**
- * Types a failure of a connection.
+ * Classifies a connection error.
  *
- * @param progress - How far the attempt had come, if the connection had been made.
+ * @param progress - How far the attempt had come, provided that the connection was open.
  */
 export const connectionFailure = (cause: unknown, progress: UpstreamProgress): UpstreamError => {
-  const code = fieldOf(cause, "code");
-  if (progress !== "streaming" && isConnectFailure(cause))
+  const code = readField(cause, "code");
+  if (progress !== "streaming" && isConnectError(cause))
     return upstreamError("cannot connect", "unreachable", "not_sent", cause);
   const isTimeout = code === "UND_ERR_HEADERS_TIMEOUT" || code === "UND_ERR_BODY_TIMEOUT";
   return upstreamError("the connection failed", isTimeout ? "stalled" : "closed_early", progress, cause);
 };
 
-const refusalBody = z.object({ error: z.object({ code: z.string(), message: z.string().optional() }) });
+const errorBodySchema = z.object({ error: z.object({ code: z.string(), message: z.string().optional() }) });
 
 const faultsByCode: Readonly<Record<string, UpstreamFault>> = {
   leaving: "leaving",
@@ -48,21 +48,21 @@
   unknown_attempt: "unknown_attempt",
 };
 
-/** Types an answer with an error status. Only the upstream's own word makes it a refusal. */
+/** Classifies an answer with an error status. It is a refusal only if its outcome header says that nothing ran. */
 export const statusFailure = (
   status: number,
   answerHeaders: Readonly<Record<string, string | string[] | undefined>>,
   text: string,
 ): UpstreamError => {
   const refused = answerHeaders[headers.outcome] === outcomes.notRun;
-  const parsed = refusalBody.safeParse(parseJson(text));
+  const parsed = errorBodySchema.safeParse(parseJson(text));
   const code = parsed.data?.error.code ?? "";
   const fault = faultsByCode[code] ?? (refused ? "refused" : "failed");
   const message = parsed.data?.error.message ?? `status ${status}`;
   return upstreamError(message, fault, refused ? "refused" : "sent", undefined, status);
 };
 
-/** @returns The parsed text, or undefined where it is not JSON. */
+/** @returns The parsed text, or `undefined` if it is not JSON. */
 export const parseJson = (text: string): unknown => {
   try {
     return JSON.parse(text);
--- a/src/transport/httpLogService.ts
+++ b/src/transport/httpLogService.ts
@@ -1,5 +1,5 @@
 /**
- * The log service over HTTP:
+ * HTTP client of the log service:
  *
  * - `POST {url}/streams/NAME/records` with `{"records":[string]}` answers `{"offsets":[number]}`;
  * - `GET {url}/streams/NAME/records?from=N&limit=M&waitMilliseconds=W` answers a `LogPage`.
@@ -14,9 +14,9 @@
 
 const offset = z.number().int().min(0);
 
-const appendAnswer = z.object({ offsets: z.array(offset) });
+const appendAnswerSchema = z.object({ offsets: z.array(offset) });
 
-const pageAnswer = z.object({
+const pageSchema = z.object({
   records: z.array(z.object({ offset, appendedAt: z.number(), data: z.string() })),
   earliestOffset: offset,
   nextOffset: offset,
@@ -24,8 +24,8 @@
 
 const recordsPath = (stream: string): string => `/streams/${encodeURIComponent(stream)}/records`;
 
-/** Offsets rise within a page and start at the one asked for. */
-const isOrdered = (page: z.output<typeof pageAnswer>, fromOffset: number): boolean =>
+/** True if the offsets of a page are strictly increasing and lie between the requested one and `nextOffset`. */
+const isOrdered = (page: z.output<typeof pageSchema>, fromOffset: number): boolean =>
   page.records.every((record, index) => {
     const previous = page.records[index - 1]?.offset ?? fromOffset - 1;
     return record.offset > previous && record.offset < page.nextOffset;
@@ -34,7 +34,7 @@
 /**
  * Connects to the log service.
  *
- * @returns The log service; disposing it cuts calls in flight.
+ * @returns The log service; disposing it aborts calls in flight.
  */
 export const createHttpLogService = (settings: PlatformHttpSettings): LogService & AsyncDisposable => {
   const http = createPlatformHttpClient(settings);
@@ -43,9 +43,13 @@
     override async append(stream: string, records: readonly string[]): Promise<AppendedRecords> {
       const path = recordsPath(stream);
       const body = JSON.stringify({ records });
-      const { offsets } = await http.call({ method: "POST", path, body, answer: appendAnswer });
+      const { offsets } = await http.call({ method: "POST", path, body, answer: appendAnswerSchema });
       if (offsets.length === records.length) return { offsets, epoch: unnamedEpoch };
-      throw platformError(`POST ${path}: answer lacks offsets`, "malformed", true);
+      throw platformError(
+        `POST ${path}: the number of offsets differs from that of the records`,
+        "malformed",
+        true,
+      );
     }
 
     override async read(
@@ -59,7 +63,7 @@
       const page = await http.call({
         method: "GET",
         path,
-        answer: pageAnswer,
+        answer: pageSchema,
         longPollTimeout: waitMilliseconds,
       });
       if (isOrdered(page, fromOffset)) return { ...page, epoch: unnamedEpoch };
--- a/src/transport/httpPlatform.test.ts
+++ b/src/transport/httpPlatform.test.ts
@@ -24,8 +24,8 @@
   };
 };
 
-/** Answers every request with one status and body. */
-const answering = (status: number, body: unknown) =>
+/** Answers each request with the same status and body. */
+const serveAnswer = (status: number, body: unknown) =>
   serve((request, response) => {
     request.resume().on("end", () => response.writeHead(status).end(JSON.stringify(body)));
   });
@@ -64,7 +64,7 @@
     expect(seen).toEqual(['POST /streams/configuration/records {"records":["a","b"]}']);
   });
 
-  it("reads a page and passes the wait on", async () => {
+  it("reads a page and forwards the wait time", async () => {
     const page = {
       records: [{ offset: 5, appendedAt: 1, data: "x" }],
       earliestOffset: 2,
@@ -79,8 +79,8 @@
     expect(seen).toEqual(["/streams/configuration/records?from=4&limit=10&waitMilliseconds=250"]);
   });
 
-  it("knows that nothing was appended where no connection came about", async () => {
-    const server = await answering(200, {});
+  it("reports that an append had no effect if no connection was opened", async () => {
+    const server = await serveAnswer(200, {});
     await server[Symbol.asyncDispose]();
     expect(await failureOf(appendTo(server.url))).toEqual({
       fault: "unreachable",
@@ -88,7 +88,7 @@
     });
   });
 
-  it("admits that an append may have been taken where the connection broke", async () => {
+  it("reports that an append may have taken effect if the connection breaks", async () => {
     await using server = await serve((request) => {
       request.resume().on("end", () => request.socket.destroy());
     });
@@ -96,7 +96,7 @@
     expect(await failureOf(appendTo(server.url))).toEqual(expected);
   });
 
-  it("admits that an append may have been taken where no answer came in time", async () => {
+  it("reports that an append may have taken effect if no answer arrives in time", async () => {
     await using server = await serve(() => undefined);
     const expected = { fault: "unreachable", mayHaveTakenEffect: true } as const;
     expect(await failureOf(appendTo(server.url, 50))).toEqual(expected);
@@ -109,28 +109,28 @@
     [503, "unreachable", true],
   ] as const;
   for (const [status, fault, mayHaveTakenEffect] of statuses) {
-    it(`takes status ${status} of an append as ${fault}`, async () => {
-      await using server = await answering(status, {});
+    it(`treats status ${status} of an append as ${fault}`, async () => {
+      await using server = await serveAnswer(status, {});
       expect(await failureOf(appendTo(server.url))).toEqual({ fault, mayHaveTakenEffect });
     });
   }
 
-  it("refuses an append's answer with too few offsets", async () => {
-    await using server = await answering(200, { offsets: [1] });
+  it("rejects an append's answer with too few offsets", async () => {
+    await using server = await serveAnswer(200, { offsets: [1] });
     expect(await failureOf(appendTo(server.url))).toEqual({
       fault: "malformed",
       mayHaveTakenEffect: true,
     });
   });
 
-  it("takes status 410 of a read as expired", async () => {
-    await using server = await answering(410, {});
+  it("treats status 410 of a read as expired", async () => {
+    await using server = await serveAnswer(410, {});
     expect(await failureOf(readFrom(server.url))).toEqual({ fault: "expired", mayHaveTakenEffect: false });
   });
 
-  it("refuses a page whose offsets do not rise", async () => {
+  it("rejects a page whose offsets do not increase", async () => {
     const record = { offset: 5, appendedAt: 1, data: "x" };
-    await using server = await answering(200, {
+    await using server = await serveAnswer(200, {
       records: [record, record],
       earliestOffset: 0,
       nextOffset: 6,
@@ -143,7 +143,7 @@
 });
 
 describe("createHttpVmList", () => {
-  it("is not sent a list again that has not changed, and gives the same one", async () => {
+  it("does not receive an unchanged list again, and returns the same object", async () => {
     await using standIn = await createVmListStandIn();
     await using list = createHttpVmList({ url: standIn.url, timeout: longTimeout });
     const vm = { id: "a", dataCentre: "d", url: "http://127.0.0.1:1", pool: "p" };
@@ -169,15 +169,15 @@
   };
 
   it("reads the list", async () => {
-    await using server = await answering(200, { vms: [vm, { ...vm, peerUrl: "http://127.0.0.1:2" }] });
+    await using server = await serveAnswer(200, { vms: [vm, { ...vm, peerUrl: "http://127.0.0.1:2" }] });
     expect(await readList(server.url)).toEqual([
       vm as never,
       { ...vm, peerUrl: "http://127.0.0.1:2" } as never,
     ]);
   });
 
-  it("refuses a list with an unknown role", async () => {
-    await using server = await answering(200, { vms: [{ ...vm, role: "painter" }] });
+  it("rejects a list with an unknown role", async () => {
+    await using server = await serveAnswer(200, { vms: [{ ...vm, role: "painter" }] });
     expect(await failureOf(readList(server.url))).toEqual({
       fault: "malformed",
       mayHaveTakenEffect: false,
--- a/src/transport/operatorClient.ts
+++ b/src/transport/operatorClient.ts
@@ -1,26 +1,25 @@
-/** Asks routers what operators want to know. */
+/** HTTP client of the routers' operator routes. */
 import { z } from "zod";
 import { operatorPaths, routerEnginesSchema, routerVersionSchema } from "../protocol/operator.ts";
 import type { EngineView, RouterVersion } from "../protocol/operator.ts";
 import { createPlatformHttpClient } from "./platformHttpClient.ts";
 
-/** Calls to routers; each throws `PlatformError`. */
+/** Reads the operator views of routers. Methods throw `PlatformError`. */
 export interface OperatorClient {
-  /** @param url - `http://IP:PORT` at which the router serves callers. */
+  /** @param url - The router's URL for callers, `http://IP:PORT`. */
   readVersion(url: string): Promise<RouterVersion>;
   readEngines(url: string): Promise<readonly EngineView[]>;
-  /** Reads the router's whole state as JSON. */
+  /** @returns The router's whole state, parsed from JSON. */
   dump(url: string): Promise<unknown>;
 }
 
-/** What an operator client needs. */
 export interface OperatorClientSettings {
   readonly operatorKey: string;
   /** Longest wait for an answer, milliseconds. */
   readonly timeout: number;
 }
 
-/** Creates a client that opens a connection for each call. */
+/** Creates a client; it opens a new connection for each call. */
 export const createOperatorClient = ({ operatorKey, timeout }: OperatorClientSettings): OperatorClient => {
   const headers = { authorization: `Bearer ${operatorKey}` };
 
--- a/src/transport/peerFailures.ts
+++ b/src/transport/peerFailures.ts
@@ -1,9 +1,9 @@
-/** Failures between routers, as Connect carries them. */
+/** Converts failures between routers to and from Connect's errors. */
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { PeerFault } from "../protocol/peers/errors.ts";
 import { PeerError, peerError } from "../protocol/peers/errors.ts";
 
-const codes = {
+const connectCodes = {
   unreachable: Code.Unavailable,
   refused: Code.FailedPrecondition,
   forged: Code.Unauthenticated,
@@ -12,17 +12,17 @@
   malformed: Code.InvalidArgument,
 } as const satisfies Record<PeerFault, Code>;
 
-/** @returns What a caller is told of a failure; nothing of this process's inside. */
+/** @returns The error that is sent to the calling peer; details of unexpected errors are not disclosed. */
 export const toConnectError = (error: unknown): ConnectError =>
   error instanceof PeerError
-    ? new ConnectError(error.message, codes[error.fault])
-    : new ConnectError("The peer failed.", Code.Internal);
+    ? new ConnectError(error.message, connectCodes[error.fault])
+    : new ConnectError("Internal peer error.", Code.Internal);
 
 const refusalCodes: readonly Code[] = [Code.FailedPrecondition, Code.Unauthenticated, Code.InvalidArgument];
 
-/** @returns The failure of a call to a peer. */
+/** Classifies the error of a call to a peer: `refused` if the peer rejected it, otherwise `unreachable`. */
 export const toPeerError = (url: string, cause: unknown): PeerError => {
   if (cause instanceof PeerError) return cause;
   const refused = cause instanceof ConnectError && refusalCodes.includes(cause.code);
-  return peerError(`The peer at ${url} did not answer.`, refused ? "refused" : "unreachable", cause);
+  return peerError(`The call to the peer at ${url} failed.`, refused ? "refused" : "unreachable", cause);
 };
--- a/src/transport/peerQueue.ts
+++ b/src/transport/peerQueue.ts
@@ -1,54 +1,55 @@
-/** Messages that wait to be sent, taken out by one reader. */
+/** Messages to be sent to a peer, consumed by one reader. */
 
 /** A bounded queue. */
 export interface PeerQueue {
-  /** @returns False if the queue has ended, or is full and ends now. */
+  /** @returns False if the queue has ended, or ends now since it is full. */
   readonly add: (message: Uint8Array) => boolean;
   readonly end: () => void;
   readonly messages: () => AsyncIterable<Uint8Array>;
 }
 
 /**
- * Makes an empty queue.
+ * Creates an empty queue.
  *
- * @param maximumBytes - A queue that held more ends instead: its reader is too slow to be told anything.
+ * @param maximumBytes - The queue ends when several messages with more bytes than this are queued: its reader is
+ * too slow. A single message may be larger.
  */
 export const createPeerQueue = (maximumBytes: number): PeerQueue => {
-  let waiting: Uint8Array[] = [];
-  let waitingBytes = 0;
-  let ended = false;
+  let queued: Uint8Array[] = [];
+  let queuedBytes = 0;
+  let hasEnded = false;
   let wake = (): void => undefined;
 
   const end = (): void => {
-    ended = true;
+    hasEnded = true;
     wake();
   };
 
   const add = (message: Uint8Array): boolean => {
-    if (ended) return false;
-    waiting.push(message);
-    waitingBytes += message.length;
-    if (waiting.length > 1 && waitingBytes > maximumBytes) end();
+    if (hasEnded) return false;
+    queued.push(message);
+    queuedBytes += message.length;
+    if (queued.length > 1 && queuedBytes > maximumBytes) end();
     wake();
-    return !ended;
+    return !hasEnded;
   };
 
-  const changed = (): Promise<void> =>
+  const nextChange = (): Promise<void> =>
     new Promise((resolve) => {
       wake = resolve;
     });
 
   const messages = async function* (): AsyncIterable<Uint8Array> {
     for (;;) {
-      if (ended) return;
-      if (waiting.length === 0) {
-        await changed();
+      if (hasEnded) return;
+      if (queued.length === 0) {
+        await nextChange();
         continue;
       }
-      const taken = waiting;
-      waiting = [];
-      waitingBytes = 0;
-      yield* taken;
+      const batch = queued;
+      queued = [];
+      queuedBytes = 0;
+      yield* batch;
     }
   };
 
--- a/src/transport/peerServer.test.ts
+++ b/src/transport/peerServer.test.ts
@@ -24,21 +24,21 @@
 const router = { name: "router-1", dataCentre: "amman-north", incarnation: 1, peerUrl: "http://127.0.0.1:1" };
 const session = new Uint8Array(16).fill(7);
 const join: Question = create(QuestionSchema, { body: { case: "join", value: { router } } });
-const encoded = (nextWithin: number): Uint8Array =>
+const encodeMessage = (nextWithin: number): Uint8Array =>
   toBinary(PeerMessageSchema, create(PeerMessageSchema, { nextWithin }));
 
-/** A server that lets everybody in who proves the secret, and remembers what it was sent. */
+/** Starts a server that accepts every router that has the secret, and records the messages it receives. */
 const startServer = async (serverSecret = secret) => {
   const resources = createResourceStack();
   const metrics = new MemoryMetrics();
   const received: PeerMessage[] = [];
-  let told = (): void => undefined;
+  let notifyReceived = (): void => undefined;
   const events = { lost: 0 };
   const handler: PeerHandler = {
     answer: () => create(AnswerSchema, { body: { case: "joined", value: { accepted: true, session } } }),
     receive: (_sender, message) => {
       received.push(message);
-      told();
+      notifyReceived();
       return message.nextWithin < 100;
     },
     lost: () => (events.lost += 1),
@@ -54,9 +54,9 @@
     network,
     received,
     events,
-    /** Resolves when a number of messages have come. */
+    /** Resolves when `count` messages have been received. */
     hasReceived: async (count: number): Promise<void> => {
-      while (received.length < count) await new Promise<void>((resolve) => (told = resolve));
+      while (received.length < count) await new Promise<void>((resolve) => (notifyReceived = resolve));
     },
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
@@ -76,29 +76,29 @@
     await server.network.ask(server.url, join, signal);
     const link = server.network.open(server.url, session);
     const configurationState = "x".repeat(300_000);
-    link.send(encoded(1));
+    link.send(encodeMessage(1));
     link.send(toBinary(PeerMessageSchema, create(PeerMessageSchema, { nextWithin: 2, configurationState })));
-    link.send(encoded(3));
+    link.send(encodeMessage(3));
     await server.hasReceived(3);
     expect(server.received.map((message) => message.nextWithin)).toEqual([1, 2, 3]);
     expect(server.received[1]?.configurationState).toEqual(configurationState);
-    link.send(encoded(100));
+    link.send(encodeMessage(100));
     await link.ended;
-    expect(link.send(encoded(4))).toEqual(false);
+    expect(link.send(encodeMessage(4))).toEqual(false);
     expect(server.events.lost).toEqual(1);
   });
 
-  it("refuses and counts a stranger's question", async () => {
+  it("refuses and counts a question sealed with another secret", async () => {
     await using server = await startServer("the-secret-of-other-routers-0123456789");
     expect(await faultOf(server.network.ask(server.url, join, signal))).toEqual("refused");
     expect(server.metrics.snapshot()).toEqual({ "peer_refusals{reason=forged}": 1 });
   });
 
-  it("does not believe a stranger's answer", async () => {
+  it("rejects an answer sealed with another secret", async () => {
     await using server = await startServer();
     const seals = createSeals(secret, Date.now);
-    // Knows how to open questions but not how to seal answers.
-    const stranger = {
+    // Opens questions with the right secret, but seals answers with another.
+    const mixedSeals = {
       ...seals,
       sealAnswer: createSeals("the-secret-of-other-routers-0123456789", Date.now).sealAnswer,
     };
@@ -109,7 +109,7 @@
     };
     const metrics = new MemoryMetrics();
     await using listening = await startPeerServer({
-      seals: stranger,
+      seals: mixedSeals,
       handler,
       metrics,
       address: "127.0.0.1",
@@ -118,24 +118,24 @@
     expect(await faultOf(server.network.ask(listening.url, join, signal))).toEqual("forged");
   });
 
-  it("refuses and counts a stranger's stream: no session, another's session, no proof", async () => {
+  it("refuses and counts a stream without session, with an unknown session, or without proof", async () => {
     await using server = await startServer();
     const transport = createConnectTransport({ baseUrl: server.url, httpVersion: "2" });
-    const stranger = createClient(PeerService, transport);
+    const client = createClient(PeerService, transport);
     const send = async (headers: Readonly<Record<string, string>>): Promise<string> => {
       const messages = async function* () {
-        yield await Promise.resolve(create(SealedMessageSchema, { payload: encoded(1) }));
+        yield await Promise.resolve(create(SealedMessageSchema, { payload: encodeMessage(1) }));
       };
-      return stranger.send(messages(), { headers }).then(
+      return client.send(messages(), { headers }).then(
         () => "taken",
         () => "refused",
       );
     };
-    const name = Buffer.from(session).toString("hex");
+    const sessionId = Buffer.from(session).toString("hex");
     expect(await send({})).toEqual("refused");
-    expect(await send({ [sessionHeader]: name })).toEqual("refused");
+    expect(await send({ [sessionHeader]: sessionId })).toEqual("refused");
     await server.network.ask(server.url, join, signal);
-    expect(await send({ [sessionHeader]: name })).toEqual("refused");
+    expect(await send({ [sessionHeader]: sessionId })).toEqual("refused");
     expect(server.received).toEqual([]);
     expect(server.metrics.snapshot()).toEqual({ "peer_refusals{reason=forged}": 3 });
   });
--- a/src/transport/peerServer.ts
+++ b/src/transport/peerServer.ts
@@ -1,4 +1,4 @@
-/** Where peers connect: Connect over HTTP/2, every payload checked against the shared secret. */
+/** The server for peers: Connect over HTTP/2; each payload must be sealed with the shared secret. */
 import { create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import type { GenMessage } from "@bufbuild/protobuf/codegenv2";
 import type { Message } from "@bufbuild/protobuf";
@@ -30,11 +30,10 @@
 import type { Metrics } from "../state/Metrics.ts";
 import { toConnectError } from "./peerFailures.ts";
 
-/** Sessions that joined and have not opened their stream; the oldest give way. */
-const maximumUnopened = 1_000;
+/** Sessions that joined and have not opened their stream yet; beyond this number the oldest is removed. */
+const maximumUnopenedSessions = 1_000;
 
-/** What a server works with. */
-export interface PeerServerParts {
+export interface PeerServerDependencies {
   readonly seals: Seals;
   readonly handler: PeerHandler;
   readonly metrics: Metrics;
@@ -47,13 +46,13 @@
 export interface PeerServer extends AsyncDisposable {
   /** `http://IP:PORT`. */
   readonly url: string;
-  /** Ends every connection; peers come again by themselves. For tests of broken connections. */
+  /** Ends all connections; peers reconnect by themselves. For tests of broken connections. */
   readonly dropConnections: () => void;
-  /** Bytes over all open connections, without TCP's own. */
+  /** Bytes received and sent on the connections that are open now, without TCP's overhead. */
   readonly traffic: () => Traffic;
 }
 
-/** Bytes of connections. */
+/** Bytes received and sent. */
 export interface Traffic {
   readonly received: number;
   readonly sent: number;
@@ -63,27 +62,27 @@
   try {
     return fromBinary(schema, payload);
   } catch (cause) {
-    throw peerError("What the peer sent is malformed.", "malformed", cause);
+    throw peerError("The peer's message is malformed.", "malformed", cause);
   }
 };
 
-/** Starts a server. */
-export const startPeerServer = async (parts: PeerServerParts): Promise<PeerServer> => {
-  const { seals, handler, metrics } = parts;
-  const joined = new Map<string, Router>();
+/** Starts the server; resolves once it listens. */
+export const startPeerServer = async (dependencies: PeerServerDependencies): Promise<PeerServer> => {
+  const { seals, handler, metrics } = dependencies;
+  const joinedSessions = new Map<string, Router>();
   const connections = new Set<ServerHttp2Session>();
 
-  /** Counts what was refused, and hides everything else from the caller. */
+  /** Counts a refusal and throws the error that the calling peer may see. */
   const refuse = (error: unknown): never => {
     const reason = error instanceof PeerError ? error.fault : "internal";
     metrics.count(metricNames.peerRefusals, 1, { reason });
     throw toConnectError(error);
   };
 
-  const noteJoined = (session: Uint8Array, router: Router): void => {
-    joined.set(Buffer.from(session).toString("hex"), router);
-    const [oldest] = joined.keys();
-    if (joined.size > maximumUnopened && oldest !== undefined) joined.delete(oldest);
+  const rememberSession = (session: Uint8Array, router: Router): void => {
+    joinedSessions.set(Buffer.from(session).toString("hex"), router);
+    const [oldest] = joinedSessions.keys();
+    if (joinedSessions.size > maximumUnopenedSessions && oldest !== undefined) joinedSessions.delete(oldest);
   };
 
   const ask = (sealed: SealedQuestion): SealedAnswer => {
@@ -92,7 +91,7 @@
       const answer = handler.answer(question);
       const { body } = question;
       if (body.case === "join" && answer.body.case === "joined" && answer.body.value.accepted) {
-        if (body.value.router !== undefined) noteJoined(answer.body.value.session, body.value.router);
+        if (body.value.router !== undefined) rememberSession(answer.body.value.session, body.value.router);
       }
       return seals.sealAnswer(sealed, toBinary(AnswerSchema, answer));
     } catch (error) {
@@ -100,10 +99,10 @@
     }
   };
 
-  const takeSession = (header: string | null): Router => {
-    const router = joined.get(header ?? "");
+  const consumeSession = (header: string | null): Router => {
+    const router = joinedSessions.get(header ?? "");
     if (router === undefined) throw peerError("The session is unknown.", "forged");
-    joined.delete(header ?? "");
+    joinedSessions.delete(header ?? "");
     return router;
   };
 
@@ -130,7 +129,7 @@
     const header = requestHeader.get(sessionHeader);
     let router: Router | undefined;
     try {
-      router = takeSession(header);
+      router = consumeSession(header);
       await receive(router, seals.streamKey(Buffer.from(header ?? "", "hex")), messages);
       return create(SendEndedSchema);
     } catch (error) {
@@ -154,7 +153,7 @@
   });
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(parts.port, parts.address, resolve);
+    server.listen(dependencies.port, dependencies.address, resolve);
   });
   const { address, port } = server.address() as AddressInfo;
 
@@ -163,8 +162,8 @@
   };
 
   const traffic = (): Traffic => {
-    const open = [...connections].filter((connection) => !connection.destroyed);
-    const sockets = open.map(({ socket }) => socket);
+    const openConnections = [...connections].filter((connection) => !connection.destroyed);
+    const sockets = openConnections.map(({ socket }) => socket);
     return {
       received: sockets.reduce((sum, { bytesRead }) => sum + bytesRead, 0),
       sent: sockets.reduce((sum, { bytesWritten }) => sum + bytesWritten, 0),
--- a/src/transport/peerSession.ts
+++ b/src/transport/peerSession.ts
@@ -1,13 +1,13 @@
 /**
  * One HTTP/2 connection to one peer, opened when it is needed.
  *
- * Connect's own manager takes its error listener off a session that it gives up; a session that is told GOAWAY
- * just then emits an error that nobody hears, which ends the process. Here the listener stays.
+ * It replaces Connect's own session manager, which removes its error listener from a session that it abandons: if
+ * GOAWAY then arrives, the session emits an unhandled error, which ends the process. Here the listener stays.
  */
 import { connect } from "node:http2";
 import type { ClientHttp2Session, ClientHttp2Stream, OutgoingHttpHeaders } from "node:http2";
 
-/** What Connect's transport takes as its `sessionManager`. */
+/** The methods that Connect's transport requires of its `sessionManager`. */
 export interface PeerSession {
   readonly authority: string;
   readonly request: (
@@ -17,11 +17,11 @@
     options: object,
   ) => Promise<ClientHttp2Stream>;
   readonly notifyResponseByteRead: (stream: ClientHttp2Stream) => void;
-  /** Cuts the connection and every stream on it. */
+  /** Destroys the connection and all streams on it. */
   readonly abort: () => void;
 }
 
-/** How long a connection may take to open, milliseconds. */
+/** Milliseconds. */
 const connectTimeout = 1_000;
 
 const openSession = (authority: string): ClientHttp2Session => {
@@ -34,21 +34,25 @@
   return session;
 };
 
-/** @param url - The peer's `peerUrl`. */
+/**
+ * Creates a session; the connection is opened with the first request.
+ *
+ * @param url - The peer's `peerUrl`.
+ */
 export const createPeerSession = (url: string): PeerSession => {
   const authority = new URL(url).origin;
   let session: ClientHttp2Session | undefined;
 
-  const current = (): ClientHttp2Session => {
+  const currentSession = (): ClientHttp2Session => {
     if (session === undefined || session.closed || session.destroyed) session = openSession(authority);
     return session;
   };
 
   return {
     authority,
-    // eslint-disable-next-line @typescript-eslint/require-await -- a failure must be a rejection
+    // eslint-disable-next-line @typescript-eslint/require-await -- errors must reject the promise
     request: async (method, path, headers, options) =>
-      current().request({ ...headers, ":method": method, ":path": path }, options),
+      currentSession().request({ ...headers, ":method": method, ":path": path }, options),
     notifyResponseByteRead: () => undefined,
     abort: () => session?.destroy(),
   };
--- a/src/transport/platformHttpClient.ts
+++ b/src/transport/platformHttpClient.ts
@@ -1,104 +1,104 @@
-/** JSON over HTTP towards the platform's services, and operators' calls, with typed failures. */
+/** HTTP client for the platform's services and the routers' operator routes, with typed failures. */
 import { Agent } from "undici";
 import type { z } from "zod";
 import { platformError } from "../protocol/errors.ts";
 import type { PlatformError } from "../protocol/errors.ts";
 
-/** Longest connection attempt, milliseconds. */
+/** Milliseconds. */
 const connectTimeout = 1_000;
 
-/** Connections to one platform service. */
+/** Maximum number of connections to one platform service. */
 const maximumConnections = 8;
 
-/** The longest accepted answer, bytes. */
+/** Longer answers are rejected. */
 const maximumAnswerBytes = 64 * 1024 * 1024;
 
-/** Where a platform service is and how long it may take. */
+/** The URL of a platform service, and how it is called. */
 export interface PlatformHttpSettings {
   /** `http://IP:PORT`, with or without a path prefix. */
   readonly url: string;
   /** Longest wait for a whole answer, milliseconds. */
   readonly timeout: number;
-  /** Sent with each call. */
+  /** Headers of each call. */
   readonly headers?: Readonly<Record<string, string>>;
-  /** Called with the headers of each answer before its status is looked at. */
+  /** Called with the headers of each answer before its status is checked. */
   readonly onAnswer?: (headers: AnswerHeaders) => void;
 }
 
-/** Headers of an answer, their names in lower case. */
+/** The headers of an answer; their names are in lower case. */
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
 /** One call to a platform service. */
 export interface PlatformCall<Schema extends z.ZodType> {
   readonly method: "GET" | "POST";
-  /** Path and query, after the service's URL. */
+  /** Path and query, appended to the service's URL. */
   readonly path: string;
   readonly body?: string | Buffer;
-  /** What the answer's JSON has to be. */
+  /** The schema of the answer's JSON. */
   readonly answer: Schema;
-  /** Milliseconds that the service was asked to wait, on top of the timeout. */
+  /** How long the service was asked to wait for data, milliseconds; added to the timeout. */
   readonly longPollTimeout?: number;
-  /** Cuts the call. */
+  /** Aborts the call. */
   readonly signal?: AbortSignal | undefined;
 }
 
-/** A call whose answer is not JSON, or whose status says something. */
+/** A call whose answer is not parsed, and for which some error statuses may be valid answers. */
 export interface RawPlatformCall extends Omit<PlatformCall<z.ZodType>, "answer"> {
-  /** Statuses besides 2xx that are answers and no failures. */
+  /** Statuses besides 2xx that are not treated as failures. */
   readonly acceptedStatuses?: readonly number[];
 }
 
-/** A whole answer as it came. */
+/** An answer with its unparsed body. */
 export interface RawPlatformAnswer {
   readonly status: number;
   readonly bytes: Buffer;
   readonly headers: AnswerHeaders;
 }
 
-/** An answer with the tag by which it can be asked for again. */
+/** An answer with its `ETag`, with which the next call can ask whether it has changed. */
 export interface TaggedAnswer<T> {
   readonly value: T;
   readonly tag: string | undefined;
 }
 
-/** A connection pool to one platform service. */
+/** Client of one platform service, with a connection pool. */
 export interface PlatformHttpClient extends AsyncDisposable {
   /**
-   * Makes one call for something that the caller may have already. Throws `PlatformError`.
+   * Makes one conditional call, never retried. Throws `PlatformError`.
    *
-   * @param tag - The tag of what the caller has.
-   * @returns Undefined if that is still current.
+   * @param tag - The `ETag` of the value that the caller already has.
+   * @returns `undefined` if that value is still current.
    */
   callIfChanged<Schema extends z.ZodType>(
     call: PlatformCall<Schema>,
     tag: string | undefined,
   ): Promise<TaggedAnswer<z.output<Schema>> | undefined>;
-  /** Makes one call, never repeated. Throws `PlatformError`. */
+  /** Makes one call, never retried. Throws `PlatformError`. */
   call<Schema extends z.ZodType>(call: PlatformCall<Schema>): Promise<z.output<Schema>>;
-  /** Makes one call, never repeated, and leaves its answer as it is. Throws `PlatformError`. */
+  /** Makes one call, never retried, without parsing its answer. Throws `PlatformError`. */
   callRaw(call: RawPlatformCall): Promise<RawPlatformAnswer>;
 }
 
 /**
- * Ends a call after a time or with a signal. `AbortSignal.any` would do, but loses timeouts that the garbage collector
- * finds no other reference to.
+ * Creates a signal that aborts a call after a timeout or with another signal. `AbortSignal.any` is not used: a timeout
+ * signal that nothing else refers to can be garbage-collected before it fires.
  */
-const limitCall = (milliseconds: number, signal: AbortSignal | undefined) => {
-  const limit = new AbortController();
-  const cut = (): void => limit.abort();
-  const timer = setTimeout(cut, milliseconds);
-  signal?.addEventListener("abort", cut);
-  if (signal?.aborted === true) cut();
+const createCallLimit = (milliseconds: number, signal: AbortSignal | undefined) => {
+  const controller = new AbortController();
+  const abort = (): void => controller.abort();
+  const timer = setTimeout(abort, milliseconds);
+  signal?.addEventListener("abort", abort);
+  if (signal?.aborted === true) abort();
   return {
-    signal: limit.signal,
+    signal: controller.signal,
     [Symbol.dispose]: (): void => {
       clearTimeout(timer);
-      signal?.removeEventListener("abort", cut);
+      signal?.removeEventListener("abort", abort);
     },
   };
 };
 
-/** Tells whether a failure came before any byte of the request left. */
+/** True if the connection could not be opened, so that no byte of the request was sent. */
 const failedToConnect = (error: unknown): boolean => {
   if (!(error instanceof Error)) return false;
   if (error instanceof AggregateError) return error.errors.every(failedToConnect);
@@ -107,19 +107,19 @@
 };
 
 /**
- * Turns an answer other than 2xx into a failure. A 4xx status is a positive refusal; of a 5xx or a 408
- * nobody knows what happened before it.
+ * Converts a status other than 2xx to a failure. After a 4xx status the call had no effect; after a 5xx or 408
+ * that is unknown.
  */
-const statusFailure = (what: string, status: number, changesState: boolean): PlatformError => {
-  if (status === 429) return platformError(`${what}: overloaded`, "overloaded", false);
-  if (status === 410) return platformError(`${what}: no longer kept`, "expired", false);
+const statusFailure = (operation: string, status: number, changesState: boolean): PlatformError => {
+  if (status === 429) return platformError(`${operation}: overloaded`, "overloaded", false);
+  if (status === 410) return platformError(`${operation}: no longer available`, "expired", false);
   const refused = status >= 400 && status < 500 && status !== 408;
   const fault = refused ? "malformed" : "unreachable";
-  return platformError(`${what}: status ${status}`, fault, changesState && !refused);
+  return platformError(`${operation}: status ${status}`, fault, changesState && !refused);
 };
 
 const parseAnswer = <Schema extends z.ZodType>(
-  what: string,
+  operation: string,
   text: string,
   schema: Schema,
   changesState: boolean,
@@ -127,14 +127,14 @@
   try {
     return schema.parse(JSON.parse(text));
   } catch (error) {
-    throw platformError(`${what}: malformed answer`, "malformed", changesState, error);
+    throw platformError(`${operation}: malformed answer`, "malformed", changesState, error);
   }
 };
 
 /**
- * Opens a connection pool to a platform service.
+ * Creates a client with its own connection pool.
  *
- * @returns The pool; disposing it cuts calls in flight.
+ * @returns The client; disposing it aborts calls in flight.
  */
 export const createPlatformHttpClient = (settings: PlatformHttpSettings): PlatformHttpClient => {
   const { url, timeout, headers = {}, onAnswer } = settings;
@@ -150,11 +150,11 @@
 
   const send = async (
     call: RawPlatformCall,
-    what: string,
-    further: Readonly<Record<string, string>> = {},
+    operation: string,
+    extraHeaders: Readonly<Record<string, string>> = {},
   ): Promise<RawPlatformAnswer & { readonly tag: string | undefined }> => {
     const changesState = call.method === "POST";
-    using limit = limitCall(timeout + (call.longPollTimeout ?? 0), call.signal);
+    using callLimit = createCallLimit(timeout + (call.longPollTimeout ?? 0), call.signal);
     try {
       const answer = await agent.request({
         origin,
@@ -162,11 +162,11 @@
         method: call.method,
         headers: {
           ...headers,
-          ...further,
+          ...extraHeaders,
           ...(typeof call.body === "string" ? { "content-type": "application/json" } : {}),
         },
         body: call.body ?? null,
-        signal: limit.signal,
+        signal: callLimit.signal,
       });
       onAnswer?.(answer.headers);
       const { etag } = answer.headers;
@@ -175,36 +175,36 @@
       return { status: answer.statusCode, bytes, headers: answer.headers, tag };
     } catch (error) {
       const mayHaveTakenEffect = changesState && !failedToConnect(error);
-      throw platformError(`${what}: no answer`, "unreachable", mayHaveTakenEffect, error);
+      throw platformError(`${operation}: no answer`, "unreachable", mayHaveTakenEffect, error);
     }
   };
 
-  const callIfChanged: PlatformHttpClient["callIfChanged"] = async (call, known) => {
-    const what = `${call.method} ${base}${call.path}`;
+  const callIfChanged: PlatformHttpClient["callIfChanged"] = async (call, knownTag) => {
+    const operation = `${call.method} ${base}${call.path}`;
     const changesState = call.method === "POST";
     const { status, bytes, tag } = await send(
       call,
-      what,
-      known === undefined ? {} : { "if-none-match": known },
+      operation,
+      knownTag === undefined ? {} : { "if-none-match": knownTag },
     );
-    if (status === 304 && known !== undefined) return undefined;
-    if (status < 200 || status > 299) throw statusFailure(what, status, changesState);
-    return { value: parseAnswer(what, bytes.toString(), call.answer, changesState), tag };
+    if (status === 304 && knownTag !== undefined) return undefined;
+    if (status < 200 || status > 299) throw statusFailure(operation, status, changesState);
+    return { value: parseAnswer(operation, bytes.toString(), call.answer, changesState), tag };
   };
 
   return {
     callIfChanged,
     call: async (call) => {
       const answer = await callIfChanged(call, undefined);
-      // Without a tag there is always an answer.
+      // `undefined` is returned only for a call with a tag.
       return answer?.value as z.output<typeof call.answer>;
     },
     callRaw: async (call) => {
-      const what = `${call.method} ${base}${call.path}`;
-      const answer = await send(call, what);
+      const operation = `${call.method} ${base}${call.path}`;
+      const answer = await send(call, operation);
       const { status } = answer;
       const isAnswer = (status >= 200 && status <= 299) || call.acceptedStatuses?.includes(status) === true;
-      if (!isAnswer) throw statusFailure(what, status, call.method === "POST");
+      if (!isAnswer) throw statusFailure(operation, status, call.method === "POST");
       return answer;
     },
     [Symbol.asyncDispose]: () => agent.destroy(),
