--- a/src/coordination/requests/backOff.ts
+++ b/src/coordination/requests/backOff.ts
@@ -1,5 +1,5 @@
 /** How long to wait before another attempt, so that many requests that failed together do not return together. */
-import { firstBackOff, longestBackOff } from "./constants.ts";
+import { initialBackOff, maxBackOff } from "./constants.ts";
 
 /**
  * Picks a delay at random below a limit that doubles with each failure ("full jitter").
@@ -9,6 +9,6 @@
  * @returns Milliseconds.
  */
 export const pickBackOff = (failures: number, random: () => number): number => {
-  const limit = Math.min(longestBackOff, firstBackOff * 2 ** (failures - 1));
+  const limit = Math.min(maxBackOff, initialBackOff * 2 ** (failures - 1));
   return random() * limit;
 };
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -1,11 +1,11 @@
 /** The ids of a stream's events: resume tokens. */
 import type { AnswerBatch, AnswerPosition } from "../../protocol/FrontEnd.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
-import { resumeTokenAt } from "../../protocol/resumeToken.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
+import { formatResumeToken } from "../../protocol/resumeToken.ts";
 import type { ResumeTokens } from "../../protocol/resumeToken.ts";
 import type { CompletionRequest } from "../../protocol/types.ts";
 import type { Clock } from "../clock.ts";
-import { resumeTokenLife } from "./constants.ts";
+import { resumeTokenLifetime } from "./constants.ts";
 import type { CompletionJob } from "./types.ts";
 
 const shortDigestLength = 16;
@@ -35,7 +35,7 @@
       incarnation: batch.incarnation,
       attempt: batch.attempt,
       attemptOffset: batch.attemptOffset,
-      expiresAt: secondsOf(clock.wall() + left + resumeTokenLife),
+      expiresAt: secondsOf(clock.wall() + left + resumeTokenLifetime),
     });
   };
 
@@ -44,6 +44,6 @@
       attempt = batch.attempt;
       signed = signFor(batch);
     }
-    return resumeTokenAt(signed, delivered);
+    return formatResumeToken(signed, delivered);
   };
 };
--- a/src/transport/callerServer.ts
+++ b/src/transport/callerServer.ts
@@ -106,15 +106,15 @@
   const writer = createChunkWriter(answerIdentity(answer), answer.request.includeUsage);
   try {
     for await (const batch of answer.batches) {
-      const delivered = { tokens: batch.firstOffset, others: batch.firstOthers };
+      const delivered = { tokens: batch.firstOffset, textlessPieces: batch.precedingTextlessPieces };
       let text = "";
       for (const frame of batch.frames) {
-        const isFirst = delivered.tokens === 0 && delivered.others === 0;
+        const isFirst = delivered.tokens === 0 && delivered.textlessPieces === 0;
         if (frame.text === "") {
-          delivered.others += 1;
+          delivered.textlessPieces += 1;
         } else {
           delivered.tokens += 1;
-          delivered.others = 0;
+          delivered.textlessPieces = 0;
         }
         text += writer.write(frame, answer.eventId(batch, delivered), isFirst);
       }
--- a/src/transport/httpLogService.ts
+++ b/src/transport/httpLogService.ts
@@ -7,7 +7,7 @@
 import { z } from "zod";
 import { platformError } from "../protocol/errors.ts";
 import { LogService } from "../protocol/LogService.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 import type { AppendedRecords, LogPage } from "../protocol/types.ts";
 import { createPlatformHttpClient } from "./platformHttpClient.ts";
 import type { PlatformHttpSettings } from "./platformHttpClient.ts";
@@ -44,7 +44,7 @@
       const path = recordsPath(stream);
       const body = JSON.stringify({ records });
       const { offsets } = await http.call({ method: "POST", path, body, answer: appendAnswerSchema });
-      if (offsets.length === records.length) return { offsets, epoch: unnamedEpoch };
+      if (offsets.length === records.length) return { offsets, epoch: defaultEpoch };
       throw platformError(
         `POST ${path}: the number of offsets differs from that of the records`,
         "malformed",
@@ -66,7 +66,7 @@
         answer: pageSchema,
         longPollTimeout: waitMilliseconds,
       });
-      if (isOrdered(page, fromOffset)) return { ...page, epoch: unnamedEpoch };
+      if (isOrdered(page, fromOffset)) return { ...page, epoch: defaultEpoch };
       throw platformError(`GET ${path}: records out of order`, "malformed", false);
     }
 
--- a/src/transport/peerServer.test.ts
+++ b/src/transport/peerServer.test.ts
@@ -41,7 +41,7 @@
       notifyReceived();
       return message.nextWithin < 100;
     },
-    lost: () => (events.lost += 1),
+    streamEnded: () => (events.lost += 1),
   };
   const seals = createSeals(serverSecret, Date.now);
   const server = resources.use(
@@ -105,7 +105,7 @@
     const handler: PeerHandler = {
       answer: () => create(AnswerSchema),
       receive: () => true,
-      lost: () => undefined,
+      streamEnded: () => undefined,
     };
     const metrics = new MemoryMetrics();
     await using listening = await startPeerServer({
