--- a/src/daemons/completionQuarantine.ts
+++ b/src/daemons/completionQuarantine.ts
@@ -1,4 +1,4 @@
-/** Holding back model requests that crash the engines that run them, over the log service, put together. */
+/** Wires up the quarantine of model requests that crash engines; routers share crash reports through the log service. */
 import type { Clock } from "../coordination/clock.ts";
 import type { EngineCrashWatch, EngineCrashWatchParts } from "../coordination/crashes/engineCrashWatch.ts";
 import { createEngineCrashWatch } from "../coordination/crashes/engineCrashWatch.ts";
@@ -13,31 +13,30 @@
 import type { LogService } from "../protocol/LogService.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
 
-/** What it works with. */
-export interface CompletionQuarantineParts {
+export interface CompletionQuarantineDependencies {
   readonly log: LogService;
   readonly connect: EngineCrashWatchParts["connect"];
   readonly clock: Clock;
-  /** Longest wait of one read of the log for something new, milliseconds. */
+  /** Timeout of one long poll of the log, milliseconds. */
   readonly longPoll: number;
 }
 
-/** See {@link createCompletionQuarantine}. */
+/** The quarantine and the monitor that reports engine crashes to it. */
 export interface CompletionQuarantine extends AsyncDisposable {
   readonly quarantine: Quarantine<CompletionJob>;
   readonly crashes: EngineCrashWatch;
 }
 
-/** Between two tries to read the log, milliseconds. */
+/** Delay between two attempts to read the log, milliseconds. */
 const retryInterval = 200;
 
-/** Starts to follow what other routers tell, until it is disposed of. */
+/** Starts to follow the crash reports of other routers in the log, until it is disposed of. */
 export const createCompletionQuarantine = ({
   log,
   connect,
   clock,
   longPoll,
-}: CompletionQuarantineParts): CompletionQuarantine => {
+}: CompletionQuarantineDependencies): CompletionQuarantine => {
   const resources = createResourceStack();
   const link = resources.use(
     new LogNewsLink({ log, stream: logStreams.crashNews, clock, longPoll, retryInterval }),
--- a/src/daemons/forwardingDaemon.ts
+++ b/src/daemons/forwardingDaemon.ts
@@ -1,4 +1,4 @@
-/** A router that passes requests on, as a process: settings, signals, and the end. */
+/** Runs a forwarding router as a process: settings, signals and shutdown. */
 import { statSync } from "node:fs";
 import { createBoundedLines } from "../state/boundedLines.ts";
 import { createLogger, directLogs } from "../state/log.ts";
@@ -11,11 +11,12 @@
 
 const exitCodes = { ended: 0, fault: 1, badSettings: 2 } as const;
 
-/** Enough for each request of a busy router to leave a line; more than a reader takes is left out. */
+/** Enough for a line for each request of a busy router. Lines beyond this rate are dropped. */
 const linesPerSecond = 200;
+/** Lines are also dropped while more bytes than this wait for the log reader. */
 const mostBytesWaiting = 256 * 1024;
 
-/** The settings file may change without a signal. Milliseconds. */
+/** How often the settings file is checked for changes made without a signal, milliseconds. */
 const settingsCheckInterval = 2_000;
 
 const writeLog = createLogger("daemon");
@@ -30,35 +31,39 @@
   }
 };
 
-const changedAt = (file: string): number => {
+const modificationTime = (file: string): number => {
   try {
     return statSync(file).mtimeMs;
   } catch {
-    // While the file is being replaced there is none; the next look finds it.
+    // The file is missing while it is being replaced; the next check finds it.
     return 0;
   }
 };
 
-/** Takes over settings that changed, by signal or by looking. */
+/**
+ * Reloads the settings on SIGHUP, and when the file's modification time changes.
+ *
+ * @returns Stops the periodic check.
+ */
 const watchSettings = (file: string, router: ForwardingRouter): (() => void) => {
-  let seen = changedAt(file);
+  let lastModified = modificationTime(file);
   const reload = (): void => {
-    seen = changedAt(file);
+    lastModified = modificationTime(file);
     const settings = readSettings(file);
     if (settings === undefined) return;
     router.reload(settings);
     writeLog("reloaded", { file });
   };
   const check = (): void => {
-    const now = changedAt(file);
-    if (now !== 0 && now !== seen) reload();
+    const now = modificationTime(file);
+    if (now !== 0 && now !== lastModified) reload();
   };
   process.on("SIGHUP", reload);
   const timer = setInterval(check, settingsCheckInterval);
   return () => clearInterval(timer);
 };
 
-/** A fault of the program ends the process, but says so first. */
+/** Logs an uncaught exception, then ends the process. */
 const reportFaults = (): void => {
   process.on("uncaughtException", (error) => {
     writeLog("fault", { reason: error.stack ?? String(error) });
@@ -66,16 +71,16 @@
   });
 };
 
-const untilAsked = (): Promise<string> =>
+const waitForShutdownSignal = (): Promise<string> =>
   new Promise((resolve) => {
     for (const signal of ["SIGTERM", "SIGINT"]) process.once(signal, () => resolve(signal));
   });
 
 /**
- * Runs a router until it is asked to end.
+ * Runs a router until SIGTERM or SIGINT.
  *
  * @param file - The settings file.
- * @returns The exit code: 0 ended as asked, 1 a fault of the program, 2 the settings can't be used.
+ * @returns The exit code: 0 ended by a signal, 1 an uncaught exception, 2 the settings are invalid.
  */
 export const runForwardingDaemon = async (file: string, connect: ConnectPlatform): Promise<number> => {
   const now = (): number => performance.now();
@@ -88,15 +93,15 @@
   );
   reportFaults();
   writeLog("starting", { dataCentre: settings.dataCentre });
-  const asked = untilAsked();
-  // Not disposed of: the process ends by exiting, whatever is still open.
+  const shutdownSignal = waitForShutdownSignal();
+  // Never disposed of: the process exits regardless of what is still open.
   const router = await startForwardingRouter(settings, connect);
   const stopWatching = watchSettings(file, router);
-  const signal = await asked;
+  const signal = await shutdownSignal;
   writeLog("ending", { signal });
   stopWatching();
   await router.drain();
   writeLog("ended");
-  // What a peer or the store still holds open is no reason to stay.
+  // Connections that a peer or the store still holds open must not delay the exit.
   process.exit(exitCodes.ended);
 };
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -1,4 +1,4 @@
-/** A router that passes requests on untouched, put together. */
+/** Wires up a forwarding router, which passes requests on to replicas unchanged. */
 import { randomBytes } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../coordination/clock.ts";
@@ -19,30 +19,30 @@
 import { startForwardingServer } from "../transport/forwarding/forwardingServer.ts";
 import { startStatusServer } from "../transport/forwarding/statusServer.ts";
 import { openUdpLink } from "../transport/forwarding/udpLink.ts";
-import type { ForwardingBeliefs } from "./forwardingView.ts";
-import { startForwardingBeliefs } from "./forwardingView.ts";
+import type { ForwardingView } from "./forwardingView.ts";
+import { startForwardingView } from "./forwardingView.ts";
 import type { ForwardingSettings } from "./forwardingSettings.ts";
 
 const writeLog = createLogger("router");
 
 const millisecondsPerSecond = 1_000;
 
-/** Of the random name that tells a start of a router from all others; it is in every message to peers. */
+/** Size of the random id that identifies one start of a router; every message to peers carries it. */
 const incarnationBytes = 9;
 
-/** A running router. */
+/** A running forwarding router. */
 export interface ForwardingRouter extends AsyncDisposable {
-  /** Where callers connect. */
+  /** The port that callers connect to. */
   readonly port: number;
-  /** Where the balancer asks. */
+  /** The port of the load balancer's readiness checks. */
   readonly readinessPort: number;
-  /** Takes over settings that changed. */
+  /** Applies the bounds of changed settings; the other settings need a restart. */
   readonly reload: (settings: ForwardingSettings) => void;
-  /** Takes no new connections, ends what is under way, and resolves when the process can end. */
+  /** Shuts down gracefully: fails readiness checks, waits for open requests, and resolves when the process can end. */
   readonly drain: () => Promise<void>;
 }
 
-const boundsOf = ({ bounds }: ForwardingSettings): ForwardingBounds => ({
+const toForwardingBounds = ({ bounds }: ForwardingSettings): ForwardingBounds => ({
   keyRevocation: bounds.keyRevocation,
   drain: bounds.drain,
   lease: bounds.lease,
@@ -64,17 +64,21 @@
   port,
 });
 
-/** A replica's connections are shared by all routers. */
-const shareConnections = ({ replicaClient }: ForwardingPlatform, beliefs: ForwardingBeliefs): void => {
-  const { configuration, replicas, peers } = beliefs;
+/** Divides each replica's connection limit evenly among all routers. */
+const divideConnectionLimits = (
+  { replicaClient }: ForwardingPlatform,
+  forwardingView: ForwardingView,
+): void => {
+  const { configuration, replicas, peers } = forwardingView;
   const routers = peers.countServing();
   for (const { entry } of replicas.all()) {
-    const most = configuration.table()?.findService(entry.service)?.maximumConnections;
-    if (most !== undefined) replicaClient.limitConnections(entry, Math.floor(most / routers));
+    const maxConnections = configuration.table()?.findService(entry.service)?.maximumConnections;
+    if (maxConnections !== undefined)
+      replicaClient.limitConnections(entry, Math.floor(maxConnections / routers));
   }
 };
 
-/** Starts a router; it serves as soon as it knows its configuration and the replicas. */
+/** Starts a router; it is ready as soon as it knows the configuration, the replicas and the quarantine. */
 export const startForwardingRouter = async (
   settings: ForwardingSettings,
   connect: ConnectPlatform,
@@ -82,7 +86,7 @@
   await using resources = createResourceStack();
   const clock = systemClock;
   const metrics = new ExpositionMetrics();
-  const bounds = { ...boundsOf(settings) };
+  const bounds = { ...toForwardingBounds(settings) };
   const storeTimeout = bounds.keyRevocation * storeTimeoutShare;
   const platform = resources.use(connect({ store: settings.store, storeTimeout }));
   platform.epochs.subscribe(() => metrics.count(metricNames.storeEpochChanges));
@@ -90,8 +94,8 @@
   const self = describeSelf(settings, link.port);
   const shutdown = createShutdown(clock, bounds);
 
-  const beliefs = resources.use(
-    startForwardingBeliefs({
+  const forwardingView = resources.use(
+    startForwardingView({
       self,
       platform,
       link,
@@ -99,20 +103,20 @@
       bounds,
       onConfiguration: () => {
         server.applyLimits();
-        shareConnections(platform, beliefs);
+        divideConnectionLimits(platform, forwardingView);
       },
     }),
   );
-  const { configuration, replicas, peers } = beliefs;
+  const { configuration, replicas, peers } = forwardingView;
   replicas.subscribe((_, departure) => {
-    if (departure === undefined) shareConnections(platform, beliefs);
+    if (departure === undefined) divideConnectionLimits(platform, forwardingView);
   });
   const admit = createAdmit(configuration, bounds, clock);
   const { forwarder } = resources.use(
     createDecisions({
       dataCentre: self.dataCentre,
       client: platform.replicaClient,
-      beliefs,
+      beliefs: forwardingView,
       admit,
       shutdown,
       bounds,
@@ -135,7 +139,7 @@
       metrics,
       bounds,
       holder: createHolderName(settings.name),
-      // Whoever comes first among those that reach the store; a router whose store is lost soon doesn't.
+      // The first in rendezvous order among routers that reach the store; one that has lost it soon drops out.
       isCandidate: () => {
         const candidates = peers.inTouch(bounds.keyRevocation / 2);
         return !shutdown.isUnderWay() && rendezvousFirst("weights", candidates) === self.name;
@@ -144,7 +148,10 @@
   );
 
   const isReady = (): boolean =>
-    !shutdown.isUnderWay() && beliefs.knowsReplicas() && beliefs.quarantine.isKnown() && admit.isFresh();
+    !shutdown.isUnderWay() &&
+    forwardingView.knowsReplicas() &&
+    forwardingView.quarantine.isKnown() &&
+    admit.isFresh();
 
   const server = resources.use(
     await startForwardingServer({
@@ -153,7 +160,7 @@
       wire: platform.wire,
       forward: forwarder.forward,
       limits: () => configuration.table()?.configuration.limits,
-      // A caller of a router that can't serve is better off with another one.
+      // Closing the connection lets the caller reconnect through the load balancer to a router that is ready.
       endsConnections: () => !isReady(),
     }),
   );
@@ -172,18 +179,18 @@
   const drain = async (): Promise<void> => {
     shutdown.begin();
     peers.standDown();
-    const handedOver = orders[Symbol.asyncDispose]();
+    const ordersHandedOver = orders[Symbol.asyncDispose]();
     await sleep(Math.max(0, shutdown.untilNoticed()));
-    await Promise.race([handedOver, sleep(Math.max(0, shutdown.untilOver()))]);
+    await Promise.race([ordersHandedOver, sleep(Math.max(0, shutdown.untilOver()))]);
     peers.leave();
-    const settle = async (): Promise<void> => {
+    const waitForOpenRequests = async (): Promise<void> => {
       while (forwarder.openRequests() > 0 && shutdown.untilOver() > 0) await sleep(shutdownInterval);
     };
-    await settle();
+    await waitForOpenRequests();
     server.closeIdle();
-    // What was on its way when the connections were closed.
+    // Waits for requests that were in transit when the idle connections were closed.
     await sleep(shutdownInterval);
-    await settle();
+    await waitForOpenRequests();
     writeLog("drained", { openRequests: forwarder.openRequests() });
   };
 
@@ -192,7 +199,7 @@
     port: server.port,
     readinessPort: status.port,
     reload: (changed) => {
-      Object.assign(bounds, boundsOf(changed));
+      Object.assign(bounds, toForwardingBounds(changed));
     },
     drain,
     [Symbol.asyncDispose]: () => owned[Symbol.asyncDispose](),
--- a/src/daemons/forwardingSettings.test.ts
+++ b/src/daemons/forwardingSettings.test.ts
@@ -25,14 +25,14 @@
 const parse = (changes: Readonly<Record<string, unknown>>) =>
   parseForwardingSettings(JSON.stringify({ ...settings, ...changes }), "settings.json");
 
-describe("the settings of a router that passes requests on", () => {
-  it("are read with addresses taken apart, and fields that are not known are ignored", () => {
+describe("the settings of a forwarding router", () => {
+  it("are parsed with addresses split into IP and port, ignoring unknown fields", () => {
     const parsed = parse({ later: true });
     expect(parsed.callers).toEqual({ address: "10.1.0.30", port: 8782 });
     expect(parsed.bounds.retryReserve).toEqual(56);
   });
 
-  it("name everything that is wrong, and where", () => {
+  it("are rejected with all problems and their paths", () => {
     expect(() => parse({ callers: "nowhere", bounds: { ...settings.bounds, lease: "long" } })).toThrow(
       /callers: must be IP:PORT\n.*bounds\.lease/s,
     );
--- a/src/daemons/forwardingSettings.ts
+++ b/src/daemons/forwardingSettings.ts
@@ -1,4 +1,4 @@
-/** The settings file of a router that passes requests on. */
+/** The settings file of a forwarding router. */
 import { z } from "zod";
 
 import { fileError } from "../protocol/errors.ts";
@@ -6,12 +6,12 @@
 import { parseSettingsText, readSettingsText } from "./settingsFile.ts";
 
 const endpointPattern = /^((?:\d{1,3}\.){3}\d{1,3}):(\d{1,5})$/;
-const largestPort = 65_535;
+const maxPort = 65_535;
 
 const endpoint = z.string().transform((text, context) => {
   const [, address, digits] = endpointPattern.exec(text) ?? [];
   const port = Number(digits);
-  if (address !== undefined && port <= largestPort) return { address, port };
+  if (address !== undefined && port <= maxPort) return { address, port };
   context.addIssue({ code: "custom", message: "must be IP:PORT" });
   return z.NEVER;
 });
@@ -19,16 +19,16 @@
 const duration = z.number().min(0);
 const share = z.number().min(0);
 
-/** How closely organisations' limits are kept where the settings don't say: no more than a tenth beyond them. */
-const assumedLimits = { windowSeconds: 8, overshoot: 0.1, reserve: 0 } as const;
+/** How closely organisations' limits are enforced by default: usage exceeds them by at most a tenth. */
+const defaultLimits = { windowSeconds: 8, overshoot: 0.1, reserve: 0 } as const;
 
-/** Durations are milliseconds unless a name says otherwise. Fields that are not known are ignored. */
+/** Durations are milliseconds unless a name says otherwise. Unknown fields are ignored. */
 export const forwardingSettingsSchema = z.object({
-  name: z.string().min(1).describe("Tells this router from all others"),
+  name: z.string().min(1).describe("Unique among all routers"),
   dataCentre: z.string().min(1),
   callers: endpoint.describe("Where callers connect"),
-  readiness: endpoint.describe("Where the balancer asks whether this router takes requests"),
-  metricsPort: z.number().int().min(0).max(largestPort).describe("Where counters are served; 0: nowhere"),
+  readiness: endpoint.describe("Where the load balancer checks whether this router accepts requests"),
+  metricsPort: z.number().int().min(0).max(maxPort).describe("Where metrics are served; 0: nowhere"),
   peers: endpoint.describe("Where other routers' datagrams are received"),
   store: endpoint.describe("The platform's store"),
   bounds: z.object({
@@ -40,22 +40,31 @@
     retryRatio: share,
     retryWindowSeconds: duration.min(1),
     retryReserve: share,
-    limitWindowSeconds: duration.min(1).default(assumedLimits.windowSeconds),
-    limitOvershoot: share.default(assumedLimits.overshoot),
-    limitReserve: share.default(assumedLimits.reserve),
+    limitWindowSeconds: duration.min(1).default(defaultLimits.windowSeconds),
+    limitOvershoot: share.default(defaultLimits.overshoot),
+    limitReserve: share.default(defaultLimits.reserve),
   }),
 });
 
-/** Checked settings. */
+/** Validated settings. */
 export type ForwardingSettings = Readonly<z.output<typeof forwardingSettingsSchema>>;
 
-/** @returns Checked settings; throws `FileError` naming everything that is wrong. */
+/**
+ * Parses and validates settings.
+ *
+ * @param file - The file's name, for error messages.
+ * @throws `FileError` listing all problems.
+ */
 export const parseForwardingSettings = (text: string, file: string): ForwardingSettings => {
   const result = forwardingSettingsSchema.safeParse(parseSettingsText(text, file));
   if (result.success) return result.data;
   throw fileError(file, listSchemaProblems(result.error));
 };
 
-/** Reads and checks a settings file. */
+/**
+ * Reads and validates a settings file.
+ *
+ * @throws `FileError` if the file can't be read, or listing all problems.
+ */
 export const readForwardingSettings = (file: string): ForwardingSettings =>
   parseForwardingSettings(readSettingsText(file), file);
--- a/src/daemons/forwardingView.ts
+++ b/src/daemons/forwardingView.ts
@@ -1,4 +1,7 @@
-/** What a router that passes requests on believes, and the tasks that keep it up: store, registry, peers. */
+/**
+ * A forwarding router's view of the system (configuration, replicas, caches, limits, quarantine) and the background
+ * tasks that keep it current from the store, the registry and the peers.
+ */
 import type { Clock } from "../coordination/clock.ts";
 import type { CacheHolders } from "../coordination/forwarding/cacheHolders.ts";
 import { createCacheHolders } from "../coordination/forwarding/cacheHolders.ts";
@@ -31,19 +34,18 @@
 import type { StoreFollowing } from "./storeFollowing.ts";
 import { followStore } from "./storeFollowing.ts";
 
-/** What beliefs come from. */
-export interface ForwardingBeliefsParts {
+export interface ForwardingViewDependencies {
   readonly self: RouterEntry;
   readonly platform: ForwardingPlatform;
   readonly link: DatagramLink;
   readonly clock: Clock;
   readonly bounds: ForwardingBounds;
-  /** A configuration came that may have other limits. */
+  /** Called when a configuration was received; its limits may differ. */
   readonly onConfiguration: () => void;
 }
 
-/** Kept up until they are disposed of. */
-export interface ForwardingBeliefs extends AsyncDisposable {
+/** Kept current until it is disposed of. */
+export interface ForwardingView extends AsyncDisposable {
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
   readonly holders: CacheHolders;
@@ -53,12 +55,12 @@
   readonly limits: UsageLimits;
   readonly replicaLimits: ReplicaLimits;
   readonly quarantine: Quarantine;
-  /** Whether the registry has been read. */
+  /** Whether the registry of replicas has been read. */
   readonly knowsReplicas: () => boolean;
 }
 
 const registerRouter = (
-  { self, platform, clock, bounds }: ForwardingBeliefsParts,
+  { self, platform, clock, bounds }: ForwardingViewDependencies,
   peers: RouterPeers,
   recovery: RecoveryWindow,
 ): AsyncDisposable =>
@@ -76,9 +78,9 @@
     },
   });
 
-/** Begins to follow the store and to talk to peers. */
-export const startForwardingBeliefs = (parts: ForwardingBeliefsParts): ForwardingBeliefs => {
-  const { self, platform, clock, bounds } = parts;
+/** Starts to follow the store and to exchange messages with peers. */
+export const startForwardingView = (dependencies: ForwardingViewDependencies): ForwardingView => {
+  const { self, platform, clock, bounds } = dependencies;
   const resources = createResourceStack();
   const { epochs } = platform;
   const recovery = createRecoveryWindow(epochs, clock, bounds);
@@ -96,14 +98,14 @@
   const peers = resources.use(
     createRouterPeers({
       self,
-      link: parts.link,
+      link: dependencies.link,
       clock,
       replicas,
       configuration,
       holders,
-      longestReadAge: () => following.longestReadAge(),
-      onNewerConfiguration: () => following.readOn(),
-      onNewerEpoch: () => following.readEpoch(),
+      longestReadAge: () => storeFollowing.maxReadAge(),
+      onNewerConfiguration: () => storeFollowing.requestRead(),
+      onNewerEpoch: () => storeFollowing.readEpoch(),
       epochs,
       recovery,
       quarantine: {
@@ -126,7 +128,7 @@
   const owners = resources.use(
     createReplicaOwners({
       self,
-      link: parts.link,
+      link: dependencies.link,
       clock,
       replicas,
       holders,
@@ -135,19 +137,19 @@
     }),
   );
 
-  const keeping = resources.use(
+  const keyCoordination = resources.use(
     createKeyCoordination({
       self,
-      link: parts.link,
+      link: dependencies.link,
       clock,
       others: peers.serving,
-      nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
+      nearestDataCentre: (key) => replicas.get(key)?.entry.dataCentre,
       random: Math.random,
     }),
   );
 
   const limits = createUsageLimits({
-    coordination: keeping,
+    coordination: keyCoordination,
     clock,
     bounds,
     limitOf: (organisation) => configuration.table()?.limits.get(organisation),
@@ -156,7 +158,7 @@
   });
 
   const replicaLimits = createReplicaLimits({
-    coordination: keeping,
+    coordination: keyCoordination,
     replicas,
     clock,
     announce: peers.tellLimit,
@@ -165,7 +167,7 @@
 
   const quarantine: Quarantine = resources.use(
     createQuarantine({
-      link: parts.link,
+      link: dependencies.link,
       clock,
       feed: platform.quarantine,
       epochs,
@@ -174,22 +176,22 @@
     }),
   );
 
-  const following: StoreFollowing = resources.use(
+  const storeFollowing: StoreFollowing = resources.use(
     followStore({
       platform,
       self: self.name,
       recovery,
-      link: parts.link,
+      link: dependencies.link,
       clock,
       bounds,
       configuration,
       replicas,
       peers,
-      onConfiguration: parts.onConfiguration,
+      onConfiguration: dependencies.onConfiguration,
     }),
   );
 
-  resources.use(registerRouter(parts, peers, recovery));
+  resources.use(registerRouter(dependencies, peers, recovery));
 
   return {
     configuration,
@@ -201,7 +203,7 @@
     limits,
     replicaLimits,
     quarantine,
-    knowsReplicas: following.knowsReplicas,
+    knowsReplicas: storeFollowing.knowsReplicas,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
 };
--- a/src/daemons/router.ts
+++ b/src/daemons/router.ts
@@ -1,4 +1,4 @@
-/** One router, put together: the library's way to run what `pomelocleat-router` runs. */
+/** Wires up one router: the library's counterpart of the `pomelocleat-router` command. */
 import { randomUUID } from "node:crypto";
 import { StatsD } from "hot-shots";
 import { Agent } from "undici";
@@ -24,7 +24,7 @@
 import { createHttpVmList } from "../transport/httpVmList.ts";
 import { StatsdMetrics } from "../transport/statsdMetrics.ts";
 import { createCompletionQuarantine } from "./completionQuarantine.ts";
-import { createRouterBeliefs } from "./routerView.ts";
+import { createRouterView } from "./routerView.ts";
 import { startRouterDuties } from "./routerDuties.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
@@ -38,9 +38,9 @@
   readonly url: string;
   /** Where peers connect: `http://IP:PORT`. */
   readonly peerUrl: string;
-  /** Ends every connection that peers have to this router; they come again by themselves. */
+  /** Closes every connection that peers have to this router; they reconnect by themselves. */
   readonly dropPeerConnections: () => void;
-  /** Takes no new work and resolves when all work under way has ended. */
+  /** Accepts no new requests and resolves when all open requests have ended. */
   readonly drain: () => Promise<void>;
 }
 
@@ -74,7 +74,7 @@
 /**
  * Starts a router.
  *
- * @returns The router, which serves callers at once and is ready as soon as it has a configuration.
+ * @returns The router, which accepts callers' connections at once and is ready as soon as it has a configuration.
  */
 export const startRouter = async (settings: RouterSettings): Promise<Router> => {
   await using resources = createResourceStack();
@@ -87,19 +87,19 @@
   const vmList = createHttpVmList({ url: settings.vmList, timeout: settings.platformTimeout });
 
   const connect = (engine: EngineReplica) => new HttpModelEngine(engine.url, pool);
-  const beliefs = resources.use(createRouterBeliefs({ settings, clock, metrics, log, vmList, connect }));
-  const { history, follower, directory, serviceDirectory, peers } = beliefs;
+  const view = resources.use(createRouterView({ settings, clock, metrics, log, vmList, connect }));
+  const { history, follower, directory, serviceDirectory, peers } = view;
 
-  const crashing = resources.use(
+  const completionQuarantine = resources.use(
     createCompletionQuarantine({ log, connect, clock, longPoll: settings.configurationLongPoll }),
   );
 
-  // Taken last, so that they end first and cut the calls that followers wait for.
+  // Registered after the view, so disposed of before it: this aborts the calls that its followers wait for.
   resources.use(log);
   resources.use(vmList);
 
   const duties = resources.use(
-    startRouterDuties({ settings, incarnation, clock, metrics, log, connect, beliefs }),
+    startRouterDuties({ settings, incarnation, clock, metrics, log, connect, view }),
   );
 
   const scheduler = new PredictiveScheduler({
@@ -108,7 +108,7 @@
     configuration: follower.current,
     dataCentre: settings.dataCentre,
     liveRouters: () => peers.membership.livePeers().length,
-    organisationShare: beliefs.routerShare,
+    organisationShare: view.routerShare,
   });
   resources.defer(() => {
     scheduler[Symbol.dispose]();
@@ -125,11 +125,11 @@
     metrics,
     clock,
     connect,
-    quarantine: crashing.quarantine,
-    crashes: crashing.crashes,
+    quarantine: completionQuarantine.quarantine,
+    crashes: completionQuarantine.crashes,
     bindWeights: createWeightsInForce({ directory, formerModels: (name) => history.formerModels(name) }),
   });
-  // Without keep-alive: each call that may run at most once has a connection of its own.
+  // No keep-alive: each call that must run at most once gets its own connection.
   const singleUse = new Agent({ connect: { timeout: connectTimeout }, pipelining: 0 });
   resources.defer(() => singleUse.destroy());
   const services = createServiceRunner({
@@ -179,7 +179,7 @@
 
   const { callerKeepAlive: keepAlive } = settings;
   const server = resources.use(await startCallerServer(frontEnd, { ...settings.callers, keepAlive }));
-  const peerUrl = await beliefs.start();
+  const peerUrl = await view.start();
   writeLog("listening", { router: settings.name, url: server.url, peerUrl, incarnation });
 
   const drain = async (): Promise<void> => {
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -1,4 +1,7 @@
-/** What one router of several does for all of them, by leases: orders to engines, and the restatement. */
+/**
+ * Tasks that one router does for all, under leases: sending orders to engines, and republishing the configuration
+ * before its log records expire.
+ */
 import type { Clock } from "../coordination/clock.ts";
 import { restatementLease } from "../coordination/leases/constants.ts";
 import { createLeaseHistory } from "../coordination/leases/leaseHistory.ts";
@@ -11,38 +14,38 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import type { EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
-import type { RouterBeliefs } from "./routerView.ts";
+import type { RouterView } from "./routerView.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
+/** Milliseconds. */
 const orderInterval = 250;
 
-/** Of a lease that is sought while no configuration is in force. */
+/** Lease duration while no configuration is in force, milliseconds. */
 const idleLeaseDuration = 10_000;
 
-/** What duties are done with. */
-export interface RouterDutiesParts {
+export interface RouterDutiesDependencies {
   readonly settings: RouterSettings;
-  /** Of this process. */
+  /** Identifies this start of the router. */
   readonly incarnation: string;
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly log: LogService;
   readonly connect: (engine: EngineReplica) => ModelEngine;
-  readonly beliefs: RouterBeliefs;
+  readonly view: RouterView;
 }
 
-/** Runs until it is disposed of; then the leases are handed over. */
+/** Runs until it is disposed of; then the leases are released. */
 export interface RouterDuties extends AsyncDisposable {
   readonly leases: () => readonly LeaseView[];
   readonly rollOuts: () => readonly RollOutView[];
 }
 
-/** Seeks the leases that fall to this router. */
-export const startRouterDuties = (parts: RouterDutiesParts): RouterDuties => {
-  const { settings, clock, metrics, log, beliefs } = parts;
-  const { peers, follower, directory, history } = beliefs;
+/** Tries to acquire the leases that this router is a candidate for. */
+export const startRouterDuties = (dependencies: RouterDutiesDependencies): RouterDuties => {
+  const { settings, clock, metrics, log, view } = dependencies;
+  const { peers, follower, directory, history } = view;
   const resources = createResourceStack();
-  const common = { log, clock, metrics, holder: `${settings.name}/${parts.incarnation}` };
+  const common = { log, clock, metrics, holder: `${settings.name}/${dependencies.incarnation}` };
   const leases = createLeaseHistory(clock);
   const orders = resources.use(
     startDeploymentOrders({
@@ -51,13 +54,13 @@
       isCandidate: (lease) => peers.membership.isHome(lease),
       configuration: follower.current,
       directory,
-      connect: parts.connect,
-      isListedLeaving: beliefs.isListedLeaving,
+      connect: dependencies.connect,
+      isListedLeaving: view.isListedLeaving,
       interval: orderInterval,
       loadTimeout: settings.loadTimeout,
     }),
   );
-  const restatement = resources.use(
+  const republication = resources.use(
     startRestatement({
       ...common,
       leases,
@@ -68,7 +71,7 @@
     }),
   );
   return {
-    leases: () => [...orders.leases(), restatement.view()],
+    leases: () => [...orders.leases(), republication.view()],
     rollOuts: orders.rollOuts,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
--- a/src/daemons/routerMain.ts
+++ b/src/daemons/routerMain.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `pomelocleat-router --settings FILE`: one router as a process. */
+/** `pomelocleat-router --settings FILE`: runs one router as a process. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { parseArgs } from "node:util";
 import { FileError } from "../protocol/errors.ts";
@@ -47,12 +47,12 @@
   });
 
 const serve = async (settings: RouterSettings): Promise<void> => {
-  const asked = shutdownSignal();
+  const shutdownRequested = shutdownSignal();
   await using router = await startRouter(settings);
   const { url, peerUrl } = router;
   const ready = { kind: "router", name: settings.name, url, peerUrl, processId: process.pid };
   process.stdout.write(`${JSON.stringify(ready)}\n`);
-  await asked;
+  await shutdownRequested;
   const limit = settings.longestDrain === undefined ? [] : [sleep(settings.longestDrain)];
   await Promise.race([router.drain(), ...limit]);
 };
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/routerPeers.ts
@@ -1,4 +1,4 @@
-/** A router's membership and what it exchanges with its peers, put together. */
+/** Wires up a router's membership and the exchanges with its peers: loads, configuration and summaries. */
 import { LoadExchange } from "../coordination/membership/loadExchange.ts";
 import { ConfigurationExchange } from "../coordination/membership/configurationExchange.ts";
 import { patience } from "../coordination/membership/constants.ts";
@@ -21,8 +21,8 @@
 import { startPeerServer } from "../transport/peerServer.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
-/** What a router's peers are told of, and tell it of. */
-export interface RouterPeersParts {
+/** The state that a router exchanges with its peers. */
+export interface RouterPeersDependencies {
   readonly settings: RouterSettings;
   readonly history: ConfigurationHistory;
   readonly engines: EngineDirectory;
@@ -34,42 +34,43 @@
   readonly logReadAt: () => number | undefined;
 }
 
-/** A router among its peers. */
+/** A router's membership and exchanges, until it is disposed of. */
 export interface RouterPeers extends AsyncDisposable {
   readonly membership: Membership;
   readonly configuration: ConfigurationExchange;
   /**
-   * Lets peers connect, and asks them for what this router lacks after its start.
+   * Lets peers connect, and asks them for the configuration, VM list and engine reports after a restart.
    *
-   * @returns Where they connect: `http://IP:PORT`.
+   * @returns The URL that they connect to: `http://IP:PORT`.
    */
   readonly listen: () => Promise<string>;
-  /** Resolves, after `listen`, when this router has a configuration from whomever. */
+  /** Resolves, after `listen`, when this router has a configuration from any source. */
   readonly restored: () => Promise<void>;
-  /** Asks every peer known by now for what this router lacks. */
+  /** Asks every peer that is known now for the missing state. */
   readonly askPeers: () => Promise<void>;
   readonly applyVms: (vms: readonly ListedVm[]) => void;
-  /** Whether this router asks an engine for its reports. */
+  /** Whether this router is the one that polls an engine for its reports. */
   readonly isHome: (engine: EngineReplica) => boolean;
+  /** Whether an engine is in this router's data centre. */
   readonly isNear: (engine: EngineReplica) => boolean;
   readonly leave: () => void;
   readonly dropConnections: () => void;
-  /** Bytes of the connections that peers have to this router. */
+  /** Bytes received and sent on the connections that peers have to this router. */
   readonly traffic: () => Traffic;
-  /** What each peer has in force, as far as it has said. */
+  /** The configuration version that each peer last reported. */
   readonly versions: () => unknown;
   readonly dump: () => unknown;
 }
 
-/** Puts everything together; nothing is sent or received before `listen`. */
-export const createRouterPeers = (parts: RouterPeersParts): RouterPeers => {
+/** Creates the exchanges; nothing is sent or received before `listen`. */
+export const createRouterPeers = (dependencies: RouterPeersDependencies): RouterPeers => {
   const resources = createResourceStack();
-  const { settings, history, engines, clock, metrics } = parts;
+  const { settings, history, engines, clock, metrics } = dependencies;
   const { name, dataCentre, peers } = settings;
   const seals = createSeals(settings.sharedSecret, clock.wall);
   const network = resources.use(createConnectPeerNetwork(seals));
   const directory = createPeerDirectory(name, patience);
-  const answer = createPeerAnswers({ history, engines, clock, vms: parts.lastVms });
+  const answer = createPeerAnswers({ history, engines, clock, vms: dependencies.lastVms });
   const controls = resources.use(
     createPeerMembership({
       name,
@@ -93,7 +94,7 @@
     clock,
     random: Math.random,
     push,
-    logReadAt: parts.logReadAt,
+    logReadAt: dependencies.logReadAt,
   });
   controls.add(
     new LoadExchange({ directory: engines, clock, isHome: membership.isHome.bind(membership), push }),
@@ -119,7 +120,7 @@
         peerUrls,
         isDone: () => history.current() !== undefined,
         adoptConfiguration: (json, from) => configuration.adopt(json, from),
-        restoreVms: parts.restoreVms,
+        restoreVms: dependencies.restoreVms,
         random: Math.random,
       }),
     );
--- a/src/daemons/routerSettings.ts
+++ b/src/daemons/routerSettings.ts
@@ -49,16 +49,25 @@
   statsd: z.strictObject({ address, port }).optional(),
 });
 
-/** Checked settings. */
+/** Validated settings. */
 export type RouterSettings = Readonly<z.output<typeof routerSettingsSchema>>;
 
-/** @returns Checked settings; throws `FileError` naming everything that is wrong. */
+/**
+ * Parses and validates settings.
+ *
+ * @param file - The file's name, for error messages.
+ * @throws `FileError` listing all problems.
+ */
 export const parseRouterSettings = (text: string, file: string): RouterSettings => {
   const result = routerSettingsSchema.safeParse(parseSettingsText(text, file));
   if (result.success) return result.data;
   throw fileError(file, listSchemaProblems(result.error));
 };
 
-/** Reads and checks a settings file. */
+/**
+ * Reads and validates a settings file.
+ *
+ * @throws `FileError` if the file can't be read, or listing all problems.
+ */
 export const readRouterSettings = (file: string): RouterSettings =>
   parseRouterSettings(readSettingsText(file), file);
--- a/src/daemons/routerView.ts
+++ b/src/daemons/routerView.ts
@@ -1,4 +1,4 @@
-/** Everything by which a router keeps what it believes up to date: the log, the VM list, engines and peers. */
+/** A router's view of the system, kept current from the log, the VM list, the engines and the peers. */
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationFollower } from "../coordination/configurationFollower.ts";
 import { startConfigurationFollower } from "../coordination/configurationFollower.ts";
@@ -22,8 +22,7 @@
 
 const retryInterval = 200;
 
-/** What beliefs are kept up to date with. */
-export interface RouterBeliefsParts {
+export interface RouterViewDependencies {
   readonly settings: RouterSettings;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -32,31 +31,31 @@
   readonly connect: (engine: EngineReplica) => ModelEngine;
 }
 
-/** See the module. */
-export interface RouterBeliefs extends AsyncDisposable {
+/** Kept current until it is disposed of. */
+export interface RouterView extends AsyncDisposable {
   readonly history: ConfigurationHistory;
   readonly follower: ConfigurationFollower;
   readonly directory: EngineDirectory;
   readonly serviceDirectory: ServiceDirectory;
   readonly peers: RouterPeers;
-  /** Whether the last VM list said that a VM leaves. */
+  /** Whether the last VM list has a VM as leaving. */
   readonly isListedLeaving: (id: string) => boolean;
   /**
-   * This router's even part of limits that hold over all routers of all data centres. The last list stays in
-   * force while the platform can't be asked, so that the parts of a cut-off data centre do not grow.
+   * This router's even share of limits that apply across all routers of all data centres, from 0 to 1. The last VM
+   * list stays in force while the platform is unreachable, so that the shares in an isolated data centre don't grow.
    */
   readonly routerShare: () => number;
   /**
-   * Lets peers connect, and waits until this router has tried to learn what it needs to serve.
+   * Lets peers connect, and waits until this router has tried to obtain the VM list and a configuration.
    *
-   * @returns Where peers connect.
+   * @returns The URL that peers connect to.
    */
   readonly start: () => Promise<string>;
 }
 
-/** Starts to follow the log and the VM list. */
-export const createRouterBeliefs = (parts: RouterBeliefsParts): RouterBeliefs => {
-  const { settings, clock, metrics, log, vmList, connect } = parts;
+/** Starts to follow the log and the VM list; peers can connect after `start`. */
+export const createRouterView = (dependencies: RouterViewDependencies): RouterView => {
+  const { settings, clock, metrics, log, vmList, connect } = dependencies;
   const resources = createResourceStack();
   const history = createConfigurationHistory();
   const directory = createEngineDirectory();
@@ -105,22 +104,22 @@
     }),
   );
 
-  let leavingOf: { readonly vms: readonly ListedVm[]; readonly ids: ReadonlySet<string> } | undefined;
+  let leavingCache: { readonly vms: readonly ListedVm[]; readonly ids: ReadonlySet<string> } | undefined;
   const isListedLeaving = (id: string): boolean => {
     const vms = monitor.lastVms();
-    if (leavingOf?.vms !== vms) {
-      leavingOf = { vms, ids: new Set(vms.filter(({ state }) => state === "leaving").map((vm) => vm.id)) };
+    if (leavingCache?.vms !== vms) {
+      leavingCache = { vms, ids: new Set(vms.filter(({ state }) => state === "leaving").map((vm) => vm.id)) };
     }
-    return leavingOf.ids.has(id);
+    return leavingCache.ids.has(id);
   };
 
-  let routersOf: { readonly vms: readonly ListedVm[]; readonly count: number } | undefined;
+  let routerCountCache: { readonly vms: readonly ListedVm[]; readonly count: number } | undefined;
   const routerShare = (): number => {
     const vms = monitor.lastVms();
-    if (routersOf?.vms !== vms) {
-      routersOf = { vms, count: vms.filter(({ role }) => role === "router").length };
+    if (routerCountCache?.vms !== vms) {
+      routerCountCache = { vms, count: vms.filter(({ role }) => role === "router").length };
     }
-    return 1 / Math.max(1, routersOf.count, peers.membership.livePeers().length);
+    return 1 / Math.max(1, routerCountCache.count, peers.membership.livePeers().length);
   };
 
   const start = async (): Promise<string> => {
--- a/src/daemons/settingsFile.ts
+++ b/src/daemons/settingsFile.ts
@@ -1,8 +1,11 @@
-/** Settings files: their text, and what is wrong with it. Functions throw `FileError`. */
+/** Reads and parses settings files. */
 import { readFileSync } from "node:fs";
 import { fileError } from "../protocol/errors.ts";
 
-/** @returns The file's text. */
+/**
+ * @returns The file's text.
+ * @throws `FileError` if it can't be read.
+ */
 export const readSettingsText = (file: string): string => {
   try {
     return readFileSync(file, "utf8");
@@ -11,7 +14,10 @@
   }
 };
 
-/** @returns What the JSON says. */
+/**
+ * @returns The parsed JSON.
+ * @throws `FileError` if the text is not JSON.
+ */
 export const parseSettingsText = (text: string, file: string): unknown => {
   try {
     return JSON.parse(text);
--- a/src/daemons/storeFollowing.test.ts
+++ b/src/daemons/storeFollowing.test.ts
@@ -17,8 +17,8 @@
 import { positionAt } from "../../tests/support/positions.ts";
 import { unnamedEpoch } from "../protocol/storeEpoch.ts";
 
-/** A store that forgets its history: changes are to be had only as the newest of each key. */
-const forgetful = (entries: () => readonly ReplicaEntry[]) => {
+/** A store whose history expires at once: mostly only the newest record of each key can be read. */
+const createForgetfulStore = (entries: () => readonly ReplicaEntry[]) => {
   const state = { end: 10, wholeReads: 0, reads: 0 };
   const feed: Pick<RecordFeed<ReplicaEntry>, "newest" | "changes"> = {
     newest: () => {
@@ -27,7 +27,7 @@
       const records = entries().map((value) => ({ position: positionAt(0), key: value.id, value }));
       return Promise.resolve({ records, next: positionAt(state.end), isComplete: true });
     },
-    // Every third read comes before more is forgotten.
+    // Every third read succeeds before more records expire.
     changes: (from) => {
       state.reads += 1;
       return state.reads % 3 === 0
@@ -38,8 +38,9 @@
   return { state, feed: feed as RecordFeed<ReplicaEntry> };
 };
 
-describe("a reader of a store that forgets its history", () => {
-  it("tells the others of news only if a whole read changes something", async () => {
+describe("a reader of a store whose history expires", () => {
+  // Otherwise the position announced would move with every full read, and all routers would read the store again.
+  it("announces a newer position only if a full read changes something", async () => {
     let listener: (datagram: Buffer, from: { address: string; port: number }) => void = () => undefined;
     const answers: ProofAnswer[] = [];
     const link = {
@@ -48,12 +49,12 @@
         const message = decodeProofMessage(datagram);
         if (message?.kind === "answer") answers.push(message);
       },
-      receive: (heard: typeof listener) => {
-        listener = heard;
+      receive: (newListener: typeof listener) => {
+        listener = newListener;
       },
     } as unknown as DatagramLink;
     const entries = [engineEntry("a"), engineEntry("b")];
-    const { state, feed } = forgetful(() => entries);
+    const { state, feed } = createForgetfulStore(() => entries);
     const operator: Pick<RecordFeed<OperatorRecord>, "newest" | "changes"> = {
       newest: () => Promise.resolve(pageOf({ kind: "configuration", configuration: configurationOf(1) })),
       changes: async (from) => {
@@ -84,19 +85,19 @@
       },
       onConfiguration: () => undefined,
     });
-    const askUntil = async (isDone: () => boolean): Promise<number | undefined> => {
+    const queryPositionAfter = async (isDone: () => boolean): Promise<number | undefined> => {
       while (!isDone()) await sleep(5);
       await sleep(40);
       listener(encodeProofMessage({ kind: "question", number: 7 }), { address: "10.0.0.1", port: 2 });
       return answers.at(-1)?.replicas.position.offsetIn(unnamedEpoch);
     };
-    const first = await askUntil(() => state.wholeReads >= 3);
-    const later = await askUntil(() => state.wholeReads >= 6);
+    const first = await queryPositionAfter(() => state.wholeReads >= 3);
+    const later = await queryPositionAfter(() => state.wholeReads >= 6);
     expect(following.knowsReplicas()).toEqual(true);
     expect(first).toEqual(15);
     expect(later).toEqual(first);
     entries.push(engineEntry("c"));
-    const changed = await askUntil(() => state.wholeReads >= 9);
+    const changed = await queryPositionAfter(() => state.wholeReads >= 9);
     expect(changed ?? 0).toBeGreaterThan(15);
   });
 });
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -1,4 +1,7 @@
-/** Follows the operator's records and the registry of replicas in the platform's store. */
+/**
+ * Follows the operator's records and the registry of replicas in the platform's store. In a large fleet a few routers
+ * of each data centre read the store for the others.
+ */
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationState } from "../coordination/forwarding/configurationState.ts";
 import {
@@ -32,8 +35,7 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import type { ReplicaTable } from "../state/forwarding/replicaTable.ts";
 
-/** What following works with. */
-export interface StoreFollowingParts {
+export interface StoreFollowingDependencies {
   readonly platform: Pick<ForwardingPlatform, "epochs" | "operator" | "operatorCopies" | "replicas">;
   /** The name of this router. */
   readonly self: string;
@@ -44,62 +46,62 @@
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
   readonly peers: Pick<RouterPeers, "countServing" | "isLarge" | "isReader" | "live" | "readers">;
-  /** A configuration came that may have other limits. */
+  /** Called when a configuration was received; its limits may differ. */
   readonly onConfiguration: () => void;
 }
 
-/** Follows until it is disposed of. */
+/** Follows the store until it is disposed of. */
 export interface StoreFollowing extends AsyncDisposable {
-  /** Whether the registry has been read. */
+  /** Whether the registry of replicas has been read. */
   readonly knowsReplicas: () => boolean;
-  /** A router whose last own read of the operator's records is older takes no duties, milliseconds. */
-  readonly longestReadAge: () => number;
-  /** There is something newer than what is known. */
-  readonly readOn: () => void;
-  /** There is a newer epoch of the store. */
+  /** A router whose own last read of the operator's records is older takes no duties, milliseconds. */
+  readonly maxReadAge: () => number;
+  /** Reads because a peer knows newer records. */
+  readonly requestRead: () => void;
+  /** Reads because a peer has observed a newer epoch of the store. */
   readonly readEpoch: () => void;
 }
 
-/** Starts to follow. */
-export const followStore = (parts: StoreFollowingParts): StoreFollowing => {
-  const { platform, clock, bounds, configuration, replicas, peers } = parts;
+/** Starts to follow the store. */
+export const followStore = (dependencies: StoreFollowingDependencies): StoreFollowing => {
+  const { platform, clock, bounds, configuration, replicas, peers } = dependencies;
   const resources = createResourceStack();
-  let registryProvenAt = Number.NEGATIVE_INFINITY;
+  let registryConfirmedAt = Number.NEGATIVE_INFINITY;
 
-  const proveRegistry = (at: number): void => {
-    registryProvenAt = Math.max(registryProvenAt, at);
+  const confirmRegistry = (at: number): void => {
+    registryConfirmedAt = Math.max(registryConfirmedAt, at);
   };
 
-  const shortHeldRead = (): number => bounds.keyRevocation * configurationWaitShare;
+  const smallFleetLongPoll = (): number => bounds.keyRevocation * configurationWaitShare;
 
-  /** A router that knows that it doesn't reach the store takes no duties. */
-  const longestReadAge = (): number => {
-    if (!peers.isLarge()) return shortHeldRead() * readsBeforeStandingDown;
-    return reading.reachesStore() ? longestReadAgeOfMany : 0;
+  // A router in a large fleet that knows it can't reach the store takes no duties.
+  const maxReadAge = (): number => {
+    if (!peers.isLarge()) return smallFleetLongPoll() * readsBeforeStandingDown;
+    return storeReading.reachesStore() ? longestReadAgeOfMany : 0;
   };
 
-  const isReadFor = (): boolean => peers.isLarge() && !peers.isReader();
+  const delegatesReads = (): boolean => peers.isLarge() && !peers.isReader();
 
-  const registryPace = (): number => {
-    if (isReadFor()) return longRegistryPace;
+  const registryReadInterval = (): number => {
+    if (delegatesReads()) return longRegistryPace;
     return bounds.drain * (peers.isLarge() ? readerRegistryPaceShare : registryPaceShare);
   };
 
-  const retryStretch = (): number => (isReadFor() ? retryStretchOfMany : 1);
+  const retryFactor = (): number => (delegatesReads() ? retryStretchOfMany : 1);
 
-  /** Routers that others read for have these to tell them of changes. */
+  // Routers that delegate reads are notified of changes by the readers, so they can wait and spread the load.
   const rereadDelay = (): number =>
-    isReadFor() ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpread) : 0;
+    delegatesReads() ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpread) : 0;
 
   const recovery = resources.use(
     createOperatorRecovery({
-      self: parts.self,
+      self: dependencies.self,
       copies: platform.operatorCopies,
       configuration,
       live: peers.live,
       clock,
       random: Math.random,
-      onRecovered: parts.onConfiguration,
+      onRecovered: dependencies.onConfiguration,
     }),
   );
 
@@ -109,8 +111,8 @@
       feed: platform.operator,
       epochs: platform.epochs,
       clock,
-      wait: () => (peers.isLarge() ? longHeldRead : shortHeldRead()),
-      retryStretch,
+      wait: () => (peers.isLarge() ? longHeldRead : smallFleetLongPoll()),
+      retryStretch: retryFactor,
       pace: () => 0,
       rereadDelay,
       replace: (page) => {
@@ -120,7 +122,7 @@
       apply: (page) => {
         configuration.apply(page);
         recovery.noteStored(page);
-        parts.onConfiguration();
+        dependencies.onConfiguration();
       },
       confirm: configuration.confirm,
     }),
@@ -134,21 +136,21 @@
       epochs: platform.epochs,
       clock,
       wait: () => 0,
-      retryStretch,
-      pace: registryPace,
+      retryStretch: retryFactor,
+      pace: registryReadInterval,
       rereadDelay: () => rereadDelay() * registryRereadStretch,
       replace: registry.replace,
       apply: registry.apply,
       confirm: (at) => {
         registry.confirm(at);
-        proveRegistry(at);
+        confirmRegistry(at);
       },
     }),
   );
 
-  const reading = resources.use(
+  const storeReading = resources.use(
     startStoreReading({
-      link: parts.link,
+      link: dependencies.link,
       clock,
       bounds,
       isNeeded: peers.isLarge,
@@ -164,22 +166,25 @@
       replicas: {
         feed: registryFeed,
         changedAt: registry.changedAt,
-        age: () => clock.monotonic() - registryProvenAt,
-        confirm: proveRegistry,
+        age: () => clock.monotonic() - registryConfirmedAt,
+        confirm: confirmRegistry,
       },
       random: Math.random,
     }),
   );
 
-  /** A read that was held back since before proves nothing yet. */
-  let callOffCheck: () => void = () => undefined;
+  // A long poll sent before the recovery window ends confirms nothing, so the records are read again after it.
+  let cancelCheck: () => void = () => undefined;
   platform.epochs.subscribe(() => {
-    callOffCheck();
-    if (isReadFor()) return;
-    callOffCheck = clock.after(parts.recovery.remaining() + timerSlack, () => void operatorFeed.check());
+    cancelCheck();
+    if (delegatesReads()) return;
+    cancelCheck = clock.after(
+      dependencies.recovery.remaining() + timerSlack,
+      () => void operatorFeed.check(),
+    );
   });
   resources.defer(() => {
-    callOffCheck();
+    cancelCheck();
     return undefined;
   });
 
@@ -192,11 +197,11 @@
   };
 
   return {
-    knowsReplicas: () => Number.isFinite(registryProvenAt),
-    longestReadAge,
-    readOn: () => {
+    knowsReplicas: () => Number.isFinite(registryConfirmedAt),
+    maxReadAge,
+    requestRead: () => {
       recovery.readCopies();
-      if (peers.isLarge()) reading.readOn();
+      if (peers.isLarge()) storeReading.readOn();
       else operatorFeed.hurry();
     },
     readEpoch,
