--- a/src/commandLine/OperatorCommand.ts
+++ b/src/commandLine/OperatorCommand.ts
@@ -12,12 +12,12 @@
 import { exitCodes } from "./exitCodes.ts";
 import type { ExitName } from "./exitCodes.ts";
 
-/** What a command has found. */
+/** The result of a command. */
 export interface CommandResult {
   readonly exit: ExitName;
-  /** For people. */
+  /** What is printed for people. */
   readonly text: string;
-  /** For programs: what `--json` prints. */
+  /** What `--json` prints. */
   readonly value: unknown;
 }
 
@@ -39,11 +39,11 @@
   };
 };
 
-/** What all commands share: options, settings, output and exit codes. */
+/** Base class of all commands: the `--json` option, output and exit codes. */
 export abstract class OperatorCommand extends Command {
   json = Option.Boolean("--json", false, { description: "Print one JSON value" });
 
-  /** Does the command's work; failures are thrown. */
+  /** Does the command's work; throws on failure. */
   protected abstract run(): Promise<CommandResult>;
 
   override async execute(): Promise<number> {
@@ -69,7 +69,7 @@
   throw commandError(`No ${name} is known. ${ways}`, "invalidInput");
 };
 
-/** What commands share that talk to the platform and to routers. */
+/** Base class of commands that connect to the platform or to routers: connection options and settings. */
 export abstract class ConnectedCommand extends OperatorCommand {
   logService = Option.String("--log-service", {
     env: "POMELOCLEAT_LOG_SERVICE",
--- a/src/commandLine/askRouters.ts
+++ b/src/commandLine/askRouters.ts
@@ -1,23 +1,28 @@
-/** Asks many routers, a few at a time. */
+/** Queries many routers, a limited number at a time. */
 import { PlatformError } from "../protocol/errors.ts";
 import type { ListedVm } from "../protocol/types.ts";
 import { commandError } from "./errors.ts";
 
-/** Routers asked at once. */
+/** Routers queried at a time. */
 const concurrency = 32;
 
-/** A router's answer, or why there is none. */
+/** A router's answer, or the reason that it couldn't be reached. */
 export type RouterAnswer<Value> =
   | { readonly reached: true; readonly vm: ListedVm; readonly value: Value }
   | { readonly reached: false; readonly vm: ListedVm; readonly cause: string };
 
-/** Picks the routers out of a VM list, by data centre and id. */
+/** @returns The routers of a VM list, sorted by data centre and id. */
 export const listRouters = (vms: readonly ListedVm[]): readonly ListedVm[] =>
   vms
     .filter(({ role }) => role === "router")
     .sort((left, right) => (`${left.dataCentre} ${left.id}` < `${right.dataCentre} ${right.id}` ? -1 : 1));
 
-/** Finds a router by its id or its URL. */
+/**
+ * Finds a router by its id.
+ *
+ * @returns Its URL.
+ * @throws `CommandError` if the VM list doesn't have it.
+ */
 export const findRouter = (vms: readonly ListedVm[], router: string): string => {
   const vm = listRouters(vms).find(({ id }) => id === router);
   if (vm !== undefined) return vm.url;
@@ -36,16 +41,20 @@
   }
 };
 
-/** Asks every router; the answers come in the routers' order. */
+/**
+ * Queries every router.
+ *
+ * @returns The answers, in the order of `routers`.
+ */
 export const askRouters = async <Value>(
   routers: readonly ListedVm[],
   ask: (url: string) => Promise<Value>,
 ): Promise<readonly RouterAnswer<Value>[]> => {
   const answers = new Array<RouterAnswer<Value>>(routers.length);
-  const waiting = routers.entries();
-  const work = async (): Promise<void> => {
-    for (const [index, vm] of waiting) answers[index] = await askRouter(vm, ask);
+  const pending = routers.entries();
+  const askNext = async (): Promise<void> => {
+    for (const [index, vm] of pending) answers[index] = await askRouter(vm, ask);
   };
-  await Promise.all(Array.from({ length: concurrency }, work));
+  await Promise.all(Array.from({ length: concurrency }, askNext));
   return answers;
 };
--- a/src/commandLine/cli.test.ts
+++ b/src/commandLine/cli.test.ts
@@ -27,7 +27,7 @@
   readonly errors: string;
 }
 
-/** Runs the client in this process. */
+/** Runs the client in the test's process. */
 const runClient = async (arguments_: readonly string[], env: Record<string, string> = {}): Promise<Run> => {
   const stdout = new PassThrough();
   const stderr = new PassThrough();
@@ -45,7 +45,7 @@
   return { exitCode, value: JSON.parse(output) };
 };
 
-/** A router that answers operators, and nothing else. */
+/** A stand-in for a router that serves only the operators' views. */
 const startRouter = async (views: Readonly<Record<string, unknown>>) => {
   const server = createServer((request, response) => {
     const known = request.headers.authorization === `Bearer ${operatorKey}`;
@@ -73,7 +73,7 @@
   },
 });
 
-/** The platform's stand-ins, and the client's environment for them. */
+/** Starts stand-ins of the log service and the VM list, with the environment variables that point the client at them. */
 const startPlatform = async () => {
   const log = await createLogServiceStandIn();
   const vmList = await createVmListStandIn();
@@ -109,14 +109,14 @@
 const digestOf = (value: unknown): string => (value as { digest: string }).digest;
 
 describe("pomelocleat configuration", () => {
-  it("checks a file without any platform", async () => {
+  it("checks a file without connecting to the platform", async () => {
     const { exitCode, value } = await runJson(["configuration", "check", exampleFile("demo")], {});
     expect(exitCode).toEqual(exitCodes.success);
     const digest = digestOf(value);
     expect(value).toEqual({ file: exampleFile("demo"), valid: true, sections: 25, digest });
   });
 
-  it("names everything that is wrong with a file", async () => {
+  it("lists all problems of a file", async () => {
     const directory = await mkdtemp(join(tmpdir(), "pomelocleat-"));
     const file = join(directory, "wrong.json");
     await writeFile(file, '{"schema": 2, "organisations": []}');
@@ -127,7 +127,7 @@
     expect(run.output).toEqual("");
   });
 
-  it("says which setting is missing, and which is wrong", async () => {
+  it("names the missing setting, and the invalid one", async () => {
     const missing = await runClient(["configuration", "history"]);
     expect(missing.exitCode).toEqual(exitCodes.invalidInput);
     expect(missing.errors).toInclude("No logService is known.");
@@ -153,7 +153,7 @@
     expect(absent.exitCode).toEqual(exitCodes.notFound);
   });
 
-  it("says that nothing was published yet", async () => {
+  it("reports that nothing has been published yet", async () => {
     await using platform = await startPlatform();
     const run = await runClient(["configuration", "show"], platform.env);
     expect([run.exitCode, run.errors]).toEqual([exitCodes.notFound, "No version has been published yet\n"]);
@@ -161,7 +161,7 @@
 });
 
 describe("pomelocleat versions", () => {
-  it("tells routers that differ from those that have the version in force", async () => {
+  it("distinguishes routers that differ from those that have the version in force", async () => {
     await using platform = await startPlatform();
     const digest = digestOf((await publishExample("levant", platform.env)).value);
     const newer = digestOf((await publishExample("demo", platform.env)).value);
@@ -203,7 +203,7 @@
     expect((await runClient(["versions"], platform.env)).exitCode).toEqual(exitCodes.success);
   });
 
-  it("goes by the newest router while the log is out", async () => {
+  it("compares with the newest router while the log is unavailable", async () => {
     await using platform = await startPlatform();
     await using older = await startRouter(versionView(3, "a"));
     await using newer = await startRouter(versionView(5, "b"));
--- a/src/commandLine/cli.ts
+++ b/src/commandLine/cli.ts
@@ -1,4 +1,4 @@
-/** The operators' client: all its commands. */
+/** The operators' client with all its commands. */
 import { Builtins, Cli } from "clipanion";
 import { ConfigurationCheckCommand } from "./commands/configurationCheck.ts";
 import { ConfigurationHistoryCommand } from "./commands/configurationHistory.ts";
--- a/src/commandLine/clientSettings.ts
+++ b/src/commandLine/clientSettings.ts
@@ -1,11 +1,11 @@
-/** Settings of the operators' client: options and environment variables go before the settings file. */
+/** Settings of the operators' client: options and environment variables take precedence over the settings file. */
 import { readFile } from "node:fs/promises";
 import { z } from "zod";
 import { findJsonTextProblems } from "../protocol/configuration/jsonText.ts";
 import { listSchemaProblems } from "../protocol/schemaProblems.ts";
 import { fileError } from "../protocol/errors.ts";
 
-/** The settings file. */
+/** The schema of the settings file. */
 export const clientSettingsSchema = z.strictObject({
   logService: z.url().optional().describe("The platform's log service"),
   vmList: z.url().optional().describe("The platform's VM list"),
@@ -20,13 +20,17 @@
     .describe("Longest wait for an answer, milliseconds"),
 });
 
-/** Checked settings. */
+/** Validated settings. */
 export type ClientSettings = Readonly<z.output<typeof clientSettingsSchema>>;
 
-/** What options and environment variables give. */
+/** Settings from options and environment variables. */
 export type ClientOptions = { readonly [Field in keyof ClientSettings]?: string | undefined };
 
-/** Reads a file; a failure names it. */
+/**
+ * Reads a text file.
+ *
+ * @throws `FileError` naming the file.
+ */
 export const readTextFile = async (file: string): Promise<string> => {
   try {
     return await readFile(file, "utf8");
@@ -45,10 +49,10 @@
 };
 
 /**
- * Puts settings together.
+ * Merges options and the settings file, and validates the result.
  *
  * @param file - The settings file, if there is one.
- * @throws `FileError` that lists all problems.
+ * @throws `FileError` listing all problems.
  */
 export const readClientSettings = async (
   options: ClientOptions,
--- a/src/commandLine/commands/configurationHistory.ts
+++ b/src/commandLine/commands/configurationHistory.ts
@@ -1,19 +1,19 @@
 import { Command } from "clipanion";
 import { createConfigurationHistory } from "../../state/configurationHistory.ts";
 import type { HistoryEntry } from "../../state/configurationReplay.ts";
-import { describeFate } from "../describeOutcome.ts";
+import { describeOutcome } from "../describeOutcome.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { readConfigurationLog } from "../readConfigurationLog.ts";
 import { formatTable, formatTime } from "../table.ts";
 
-/** Section names that are written out for people. */
-const maximumNames = 4;
+/** Section names shown for a record; the rest is only counted. */
+const maxShownSections = 4;
 
 const describeChanges = ({ put, remove }: HistoryEntry): string => {
   const names = [...put, ...remove.map((name) => `-${name}`)];
-  const more = names.length - maximumNames;
-  const shown = names.slice(0, maximumNames).join(" ");
+  const more = names.length - maxShownSections;
+  const shown = names.slice(0, maxShownSections).join(" ");
   return more > 0 ? `${shown} and ${more} more` : shown;
 };
 
@@ -22,7 +22,7 @@
   formatTime(entry.appendedAt),
   entry.kind,
   entry.publishedBy === "" ? "-" : entry.publishedBy,
-  describeFate(entry.fate),
+  describeOutcome(entry.fate),
   describeChanges(entry),
 ];
 
--- a/src/commandLine/commands/configurationPublish.ts
+++ b/src/commandLine/commands/configurationPublish.ts
@@ -2,7 +2,7 @@
 import { Command, Option } from "clipanion";
 import { parseConfiguration } from "../../protocol/configuration/check.ts";
 import { readTextFile } from "../clientSettings.ts";
-import { describeReason } from "../describeOutcome.ts";
+import { describeVoidReason } from "../describeOutcome.ts";
 import type { ExitName } from "../exitCodes.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
@@ -10,7 +10,7 @@
 import type { PublishResult } from "../publishConfiguration.ts";
 import { formatTime } from "../table.ts";
 
-const exits: Readonly<Record<PublishResult["kind"], ExitName>> = {
+const exitNames: Readonly<Record<PublishResult["kind"], ExitName>> = {
   published: "success",
   already_in_force: "success",
   beaten: "beaten",
@@ -31,7 +31,7 @@
       return `Not in force: version ${version}${winner} was first. Nothing changed; look at it, then publish again.`;
     }
     case "refused":
-      return `Not in force: the record is void, ${describeReason(result.reason)}`;
+      return `Not in force: the record is void, ${describeVoidReason(result.reason)}`;
     case "state_unknown":
       return "The log no longer tells which version is in force. Wait for a router to restate it, or publish with --replace.";
     case "outcome_unknown":
@@ -88,6 +88,6 @@
       publishedAt: Date.now(),
       replace: this.replace,
     });
-    return { exit: exits[result.kind], text: `${describeResult(result)}\n`, value: result };
+    return { exit: exitNames[result.kind], text: `${describeResult(result)}\n`, value: result };
   }
 }
--- a/src/commandLine/commands/engines.ts
+++ b/src/commandLine/commands/engines.ts
@@ -7,7 +7,7 @@
 import type { CommandResult } from "../OperatorCommand.ts";
 import { formatTable } from "../table.ts";
 
-/** What one data centre's routers say. */
+/** The engines as a router of one data centre lists them. */
 interface DataCentreEngines {
   readonly dataCentre: string;
   /** The router that answered; null if none did. */
@@ -15,7 +15,7 @@
   readonly engines: readonly EngineView[];
 }
 
-/** Asks the routers of a data centre one after another until one answers. */
+/** Queries the routers of a data centre one after another until one answers. */
 const readDataCentre = async (
   client: OperatorClient,
   dataCentre: string,
@@ -28,7 +28,7 @@
   return { dataCentre, router: null, engines: [] };
 };
 
-/** Merges the answers; an engine's own data centre knows it best. */
+/** Merges the answers; that of an engine's own data centre takes precedence, since its state is the most current. */
 const mergeEngines = (answers: readonly DataCentreEngines[]): readonly EngineView[] => {
   const merged = new Map<string, EngineView>();
   for (const { dataCentre, engines } of answers) {
--- a/src/commandLine/commands/explain.ts
+++ b/src/commandLine/commands/explain.ts
@@ -2,16 +2,16 @@
 import { OperatorCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { readLogs } from "../readLogs.ts";
-import type { RequestStory, StoryStep } from "../requestTimeline.ts";
-import { tellStory } from "../requestTimeline.ts";
+import type { RequestTimeline, TimelineStep } from "../requestTimeline.ts";
+import { buildTimeline } from "../requestTimeline.ts";
 
-const writeStep = ({ at, router, text }: StoryStep): string => `  ${at} ${router}: ${text}\n`;
+const formatStep = ({ at, router, text }: TimelineStep): string => `  ${at} ${router}: ${text}\n`;
 
-const writeStory = ({ request, steps, around, cause }: RequestStory): string =>
+const formatTimeline = ({ request, steps, around, cause }: RequestTimeline): string =>
   [
     `request ${request}\n`,
-    ...steps.map(writeStep),
-    ...(around.length === 0 ? [] : ["around it\n", ...around.map(writeStep)]),
+    ...steps.map(formatStep),
+    ...(around.length === 0 ? [] : ["around it\n", ...around.map(formatStep)]),
     `most likely: ${cause}\n`,
   ].join("");
 
@@ -33,12 +33,12 @@
 
   protected async run(): Promise<CommandResult> {
     const { lines, unreadable } = await readLogs(this.files, this.context.stdin);
-    const story = tellStory(this.request, lines);
+    const timeline = buildTimeline(this.request, lines);
     const note = unreadable === 0 ? "" : `${unreadable} lines were not a router's\n`;
     return {
-      exit: story.steps.length === 0 ? "notFound" : "success",
-      text: writeStory(story) + note,
-      value: { ...story, unreadable },
+      exit: timeline.steps.length === 0 ? "notFound" : "success",
+      text: formatTimeline(timeline) + note,
+      value: { ...timeline, unreadable },
     };
   }
 }
--- a/src/commandLine/commands/logsSummary.ts
+++ b/src/commandLine/commands/logsSummary.ts
@@ -7,7 +7,7 @@
 import { readLogs } from "../readLogs.ts";
 import { formatTable } from "../table.ts";
 
-const writeSummary = ({ from, spanSeconds, causes }: LogSummary): string => {
+const formatSummary = ({ from, spanSeconds, causes }: LogSummary): string => {
   if (causes.length === 0) return "no request was refused or failed\n";
   const rows = causes.map(({ cause, total, counts }) => [String(total), cause, counts.join(" ")]);
   return `from ${from ?? "-"}, each ${spanSeconds} s\n${formatTable([["total", "cause", "by time"], ...rows])}`;
@@ -34,6 +34,6 @@
     const { lines, unreadable } = await readLogs(this.files, this.context.stdin);
     const summary = summarise(lines, span);
     const note = unreadable === 0 ? "" : `${unreadable} lines were not a router's\n`;
-    return { exit: "success", text: writeSummary(summary) + note, value: { ...summary, unreadable } };
+    return { exit: "success", text: formatSummary(summary) + note, value: { ...summary, unreadable } };
   }
 }
--- a/src/commandLine/commands/versions.ts
+++ b/src/commandLine/commands/versions.ts
@@ -11,14 +11,14 @@
 import { readConfigurationLog } from "../readConfigurationLog.ts";
 import { formatTable, shortDigest } from "../table.ts";
 
-/** What should be in force everywhere, and who says so. */
+/** The configuration that should be in force everywhere, and where it was read. */
 interface Expected {
   readonly source: "log" | "routers";
   readonly version: number | null;
   readonly digest: string | null;
 }
 
-/** One router's state for operators. */
+/** One router's state, as printed. */
 interface VersionRow {
   readonly router: string;
   readonly dataCentre: string;
@@ -27,12 +27,12 @@
   readonly cause: string | null;
   readonly version: number | null;
   readonly digest: string | null;
-  /** Versions that it lacks; null where that cannot be told. */
+  /** How many versions the router is behind; null if unknown. */
   readonly behindBy: number | null;
   readonly ready: boolean;
 }
 
-const readLogUnlessOut = async (log: LogService): Promise<ConfigurationHistory | undefined> => {
+const readLogIfAvailable = async (log: LogService): Promise<ConfigurationHistory | undefined> => {
   const history = createConfigurationHistory();
   try {
     await readConfigurationLog(log, history);
@@ -43,7 +43,7 @@
   }
 };
 
-const newestOf = (answers: readonly RouterAnswer<RouterVersion>[]): Expected => {
+const newestAmong = (answers: readonly RouterAnswer<RouterVersion>[]): Expected => {
   const values = answers.flatMap((answer) => (answer.reached ? [answer.value] : []));
   const versions = values.map(({ configurationVersion }) => configurationVersion ?? -1);
   const newest = values.find(({ configurationVersion }) => configurationVersion === Math.max(...versions));
@@ -103,8 +103,8 @@
   describeState(row, expected),
 ];
 
-/** A leaving router may be gone at any moment, so it does not count. */
-const isFine = (row: VersionRow, expected: Expected): boolean =>
+/** A leaving router may be gone at any moment, so its state doesn't matter. */
+const isAsExpected = (row: VersionRow, expected: Expected): boolean =>
   row.listed === "leaving" || (row.reached && row.ready && row.digest === expected.digest);
 
 /** `pomelocleat versions`. */
@@ -125,20 +125,20 @@
     const client = this.createClient(settings);
     await using vmList = this.openVmList(settings);
     await using log = this.openLog(settings);
-    const [vms, history] = await Promise.all([vmList.read(), readLogUnlessOut(log)]);
+    const [vms, history] = await Promise.all([vmList.read(), readLogIfAvailable(log)]);
     const answers = await askRouters(listRouters(vms), (url) => client.readVersion(url));
     const inForce = history?.current();
     const expected: Expected =
       history === undefined
-        ? newestOf(answers)
+        ? newestAmong(answers)
         : { source: "log", version: inForce?.version ?? null, digest: inForce?.digest ?? null };
     const rows = answers.map((answer) => describeAnswer(answer, history, expected));
     const header = ["DATA CENTRE", "ROUTER", "LISTED", "VERSION", "DIGEST", "BEHIND BY", "STATE"];
     const table = formatTable([header, ...rows.map((row) => tableRow(row, expected))]);
-    const says = expected.source === "log" ? "the log says" : "the log is out; the newest router says";
+    const sourceText = expected.source === "log" ? "the log says" : "the log is out; the newest router says";
     return {
-      exit: rows.every((row) => isFine(row, expected)) ? "success" : "routersDiffer",
-      text: `${table}In force, ${says}: ${expected.version ?? "no version"} ${shortDigest(expected.digest)}\n`,
+      exit: rows.every((row) => isAsExpected(row, expected)) ? "success" : "routersDiffer",
+      text: `${table}In force, ${sourceText}: ${expected.version ?? "no version"} ${shortDigest(expected.digest)}\n`,
       value: { expected, routers: rows },
     };
   }
--- a/src/commandLine/describeOutcome.ts
+++ b/src/commandLine/describeOutcome.ts
@@ -1,8 +1,8 @@
-/** Fates in words. */
+/** Describes the outcomes of configuration records for people. */
 import type { Fate, VoidReason } from "../state/configurationFate.ts";
 
-/** Says why a record is void. */
-export const describeReason = (reason: VoidReason): string => {
+/** @returns Why a record is void. */
+export const describeVoidReason = (reason: VoidReason): string => {
   switch (reason.kind) {
     case "unreadable":
       return "not a configuration record";
@@ -19,15 +19,15 @@
   }
 };
 
-/** Says what became of a record. */
-export const describeFate = (fate: Fate): string => {
-  switch (fate.kind) {
+/** @returns The effect that a record had. */
+export const describeOutcome = (outcome: Fate): string => {
+  switch (outcome.kind) {
     case "applied":
-      return `in force as version ${fate.version}`;
+      return `in force as version ${outcome.version}`;
     case "restated":
-      return `restates version ${fate.version}`;
+      return `restates version ${outcome.version}`;
     case "void":
-      return `void: ${describeReason(fate.reason)}`;
+      return `void: ${describeVoidReason(outcome.reason)}`;
     case "seen":
       return "seen before";
     case "undecided":
--- a/src/commandLine/errors.ts
+++ b/src/commandLine/errors.ts
@@ -1,8 +1,8 @@
-/** Failures of the operators' client. */
+/** Errors of the operators' client. */
 import { PomelocleatError } from "../protocol/errors.ts";
 import type { ExitName } from "./exitCodes.ts";
 
-/** A command that cannot do what was asked. */
+/** A command failed; `exit` names its exit code. */
 export const CommandError = PomelocleatError.subclass("CommandError", {
   props: { exit: "internal" as ExitName },
 });
--- a/src/commandLine/exitCodes.ts
+++ b/src/commandLine/exitCodes.ts
@@ -1,25 +1,25 @@
-/** How `pomelocleat` ends; documented in docs/OPERATORS.md. */
+/** Exit codes of `pomelocleat`; documented in docs/OPERATORS.md. */
 export const exitCodes = {
   success: 0,
-  /** The command line is not understood. */
+  /** The command line is invalid. */
   usage: 1,
-  /** A file or a setting is wrong or missing. */
+  /** A file or a setting is invalid or missing. */
   invalidInput: 2,
-  /** Another publication was first; nothing changed. */
+  /** Another publication was appended first; nothing changed. */
   beaten: 3,
-  /** The log holds the publication, but every reader voids it. */
+  /** The log holds the publication, but every reader treats it as void. */
   refused: 4,
-  /** The publication may have been taken; nobody could be asked. */
+  /** The publication may have been appended; its outcome could not be determined. */
   outcomeUnknown: 5,
   /** The log service, the VM list or a router did not answer; nothing changed. */
   unreachable: 6,
-  /** The log no longer tells which version is in force. */
+  /** Records expired unread, so the log no longer shows which version is in force. */
   stateUnknown: 7,
   /** Routers differ from the version in force, or some are not ready. */
   routersDiffer: 8,
-  /** There is no such router or version. */
+  /** No such router or version, or no log line about the request. */
   notFound: 9,
-  /** A fault of the program itself. */
+  /** An internal error of the client. */
   internal: 70,
 } as const;
 
--- a/src/commandLine/logLines.ts
+++ b/src/commandLine/logLines.ts
@@ -1,4 +1,4 @@
-/** Log lines of routers as a person's tools read them: any fields, some of them known. */
+/** Parses the JSON log lines of routers: a few known fields, and any others. */
 import { z } from "zod";
 
 const logLineSchema = z.looseObject({
@@ -8,17 +8,17 @@
   router: z.string().default("?"),
 });
 
-/** One line. Fields besides these differ by event. */
+/** One line. The other fields depend on the event. */
 export type LogLine = Readonly<z.output<typeof logLineSchema>>;
 
-/** The lines of a text, and how many were none of a router's. */
+/** The parsed lines of a text, and how many lines could not be parsed. */
 export interface ReadLines {
   readonly lines: readonly LogLine[];
   readonly unreadable: number;
 }
 
 const parseLine = (text: string): LogLine | undefined => {
-  // What collectors put before a line, such as a process's name, is skipped.
+  // Skips prefixes that log collectors add, such as the name of the process.
   const start = text.indexOf("{");
   if (start < 0) return undefined;
   try {
@@ -28,14 +28,14 @@
   }
 };
 
-/** Reads the logs of any number of routers, in any order. */
+/** Parses the logs of any number of routers; lines may be in any order. */
 export const readLogLines = (text: string): ReadLines => {
-  const written = text.split("\n").filter((line) => line.trim() !== "");
-  const lines = written.map(parseLine).filter((line) => line !== undefined);
-  return { lines, unreadable: written.length - lines.length };
+  const nonEmptyLines = text.split("\n").filter((line) => line.trim() !== "");
+  const lines = nonEmptyLines.map(parseLine).filter((line) => line !== undefined);
+  return { lines, unreadable: nonEmptyLines.length - lines.length };
 };
 
-/** @returns A field as text; a dash if there is none. */
+/** @returns A field as text; a dash if it is missing or not a simple value. */
 export const fieldOf = (line: LogLine, name: string): string => {
   const value = line[name];
   return typeof value === "string" || typeof value === "number" || typeof value === "boolean"
@@ -43,7 +43,7 @@
     : "-";
 };
 
-/** @returns A field if it is a number. */
+/** @returns A field if it is a number, else `undefined`. */
 export const numberOf = (line: LogLine, name: string): number | undefined => {
   const value = line[name];
   return typeof value === "number" ? value : undefined;
--- a/src/commandLine/logSummary.ts
+++ b/src/commandLine/logSummary.ts
@@ -1,8 +1,8 @@
-/** Refusals and failures by cause and time, from the log lines of any number of routers. */
+/** Counts refusals and failures by cause and time, from the log lines of any number of routers. */
 import type { LogLine } from "./logLines.ts";
 import { fieldOf } from "./logLines.ts";
 
-/** One cause with how often it came in each span of time. */
+/** One cause and how often it occurred in each span of time. */
 export interface CauseCounts {
   readonly cause: string;
   readonly total: number;
@@ -10,17 +10,17 @@
   readonly counts: readonly number[];
 }
 
-/** See {@link summarise}. */
+/** Refusals and failures by cause and time. */
 export interface LogSummary {
-  /** When the first span begins, ISO 8601; nothing without a line. */
+  /** When the first span begins, ISO 8601; `undefined` without log lines. */
   readonly from: string | undefined;
   readonly spanSeconds: number;
   /** The most frequent first. */
   readonly causes: readonly CauseCounts[];
 }
 
-/** Events of requests that did not go well. */
-const unhappyEvents: ReadonlySet<string> = new Set([
+/** Events of refused and failed requests and attempts. */
+const failureEvents: ReadonlySet<string> = new Set([
   "refused",
   "failed",
   "failed_there",
@@ -31,18 +31,19 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Reasons with names and numbers in them are one cause all the same. */
-const general = (reason: string): string => reason.replaceAll(/\d+(?:\.\d+)*(?::\d+)?/g, "N");
+/** Replaces numbers and addresses, so that reasons that differ only in them count as one cause. */
+const generaliseReason = (reason: string): string => reason.replaceAll(/\d+(?:\.\d+)*(?::\d+)?/g, "N");
 
 const causeOf = (line: LogLine): string => {
-  const why = line.event === "attempt_failed" ? fieldOf(line, "fault") : general(fieldOf(line, "reason"));
-  return why === "-" ? line.event : `${line.event}: ${why}`;
+  const detail =
+    line.event === "attempt_failed" ? fieldOf(line, "fault") : generaliseReason(fieldOf(line, "reason"));
+  return detail === "-" ? line.event : `${line.event}: ${detail}`;
 };
 
 /**
- * Counts.
+ * Counts refusals and failures.
  *
- * @param spanSeconds - Length of a span.
+ * @param spanSeconds - Length of a span, seconds.
  */
 export const summarise = (lines: readonly LogLine[], spanSeconds: number): LogSummary => {
   const times = lines.map(({ at }) => Date.parse(at));
@@ -53,7 +54,7 @@
   const spans = spanOf(last) + 1;
   const byCause = new Map<string, number[]>();
   for (const line of lines) {
-    if (line.part !== "requests" || !unhappyEvents.has(line.event)) continue;
+    if (line.part !== "requests" || !failureEvents.has(line.event)) continue;
     const cause = causeOf(line);
     const counts = byCause.get(cause) ?? new Array<number>(spans).fill(0);
     const span = spanOf(Date.parse(line.at));
--- a/src/commandLine/publishConfiguration.test.ts
+++ b/src/commandLine/publishConfiguration.test.ts
@@ -8,10 +8,10 @@
 import type { PublishResult } from "./publishConfiguration.ts";
 import { unnamedEpoch } from "../protocol/storeEpoch.ts";
 
-/** What the log does with the next calls; it works again when the list is used up. */
+/** How an append fails. Without a fault left in the list, appends succeed. */
 type Fault = "taken_answer_lost" | "lost_before" | "refused" | "rival_first";
 
-/** A log in memory with faults in turn. */
+/** A log in memory whose appends fail in the given order, and whose reads fail in a given range. */
 const createFaultyLog = (appendFaults: readonly Fault[], readFaults = 0, readsBeforeFaults = 0) => {
   const records = createFakeLog();
   const faults = [...appendFaults];
@@ -57,7 +57,7 @@
 const kindOf = async (result: Promise<PublishResult>): Promise<string> => (await result).kind;
 
 describe("publishConfiguration", () => {
-  it("publishes, and does not publish the same again", async () => {
+  it("publishes, and does not publish the same configuration again", async () => {
     const { log, records } = createFaultyLog([]);
     const result = await publish(log, 1);
     expect(result.kind === "published" && result.version).toEqual(0);
@@ -65,7 +65,7 @@
     expect(records.nextOffset()).toEqual(1);
   });
 
-  it("names the publication that was first", async () => {
+  it("names the publication that was appended first", async () => {
     const { log } = createFaultyLog(["rival_first"]);
     expect(await publish(log, 1)).toEqual({
       kind: "beaten",
@@ -73,13 +73,13 @@
     });
   });
 
-  it("finds a publication whose answer was lost, and appends no second one", async () => {
+  it("finds a publication whose response was lost, and does not append it again", async () => {
     const { log, records } = createFaultyLog(["taken_answer_lost"]);
     expect(await kindOf(publish(log, 1))).toEqual("published");
     expect(records.nextOffset()).toEqual(1);
   });
 
-  it("appends again what was lost on its way", async () => {
+  it("appends again if the append did not reach the log", async () => {
     const { log, records } = createFaultyLog(["lost_before", "refused"]);
     expect(await kindOf(publish(log, 1))).toEqual("published");
     expect(records.nextOffset()).toEqual(1);
@@ -91,7 +91,7 @@
     expect(records.nextOffset()).toEqual(0);
   });
 
-  it("admits not to know where the log goes out after a lost answer", async () => {
+  it("reports an unknown outcome if the log fails after a lost response", async () => {
     const { log } = createFaultyLog(
       ["taken_answer_lost", "taken_answer_lost", "taken_answer_lost"],
       Number.POSITIVE_INFINITY,
@@ -100,19 +100,19 @@
     expect(await kindOf(publish(log, 1))).toEqual("outcome_unknown");
   });
 
-  it("fails where the log surely took nothing", async () => {
+  it("throws if the log has rejected every append", async () => {
     const { log, records } = createFaultyLog(["refused", "refused", "refused"]);
     const error: unknown = await publish(log, 1).catch((failure: unknown) => failure);
     expect(error instanceof PlatformError).toEqual(true);
     expect(records.nextOffset()).toEqual(0);
   });
 
-  it("reads again where the log was out for a moment", async () => {
+  it("retries reads while the log is unavailable for a moment", async () => {
     const { log } = createFaultyLog([], 3);
     expect(await kindOf(publish(log, 1))).toEqual("published");
   });
 
-  it("refuses to guess where the log no longer tells the state, unless asked to replace it", async () => {
+  it("does not publish if the log no longer shows the state, unless asked to replace it", async () => {
     const { log, records } = createFaultyLog([]);
     await publish(log, 1);
     await publish(log, 2);
--- a/src/commandLine/publishConfiguration.ts
+++ b/src/commandLine/publishConfiguration.ts
@@ -1,4 +1,4 @@
-/** Publishes a configuration and reads back what became of it. */
+/** Publishes a configuration and reads back the outcome. */
 import { setTimeout as sleep } from "node:timers/promises";
 import {
   createPublication,
@@ -18,29 +18,30 @@
 import type { ConfigurationHistory } from "../state/configurationHistory.ts";
 import { readConfigurationLog } from "./readConfigurationLog.ts";
 
-/** Appends of one record before giving up. */
-const mostAppends = 3;
+/** How often one record is appended before giving up. */
+const maxAppends = 3;
 
+/** Milliseconds. */
 const defaultRetryDelay = 250;
 
-/** What became of a publication. */
+/** The outcome of a publication. */
 export type PublishResult =
   | { readonly kind: "published"; readonly version: number; readonly digest: string }
   | { readonly kind: "already_in_force"; readonly version: number; readonly digest: string }
-  /** Another publication was first. */
+  /** Another publication was appended first. */
   | { readonly kind: "beaten"; readonly by: Publisher & { readonly version: number } }
   | { readonly kind: "refused"; readonly reason: VoidReason }
-  /** The log no longer tells which version is in force. */
+  /** Records expired unread, so the log no longer shows which version is in force. */
   | { readonly kind: "state_unknown" }
-  /** The record may have been taken. */
+  /** The record may have been appended. */
   | { readonly kind: "outcome_unknown" };
 
-/** What to publish, and how. */
+/** The configuration to publish, who publishes it, and how. */
 export interface PublishRequest extends Publisher {
   readonly configuration: Configuration;
-  /** Supersede whatever is in force, for a log that no longer tells it. */
+  /** Supersede whatever is in force; for a log that no longer shows which version that is. */
   readonly replace: boolean;
-  /** Milliseconds before the first retry. */
+  /** Delay before the first retry, milliseconds. */
   readonly retryDelay?: number;
 }
 
@@ -53,20 +54,20 @@
   return encodeConfigurationRecord(record);
 };
 
-const describeWinner = (history: ConfigurationHistory, version: number): PublishResult => {
+const toBeatenResult = (history: ConfigurationHistory, version: number): PublishResult => {
   const winner = history.history().find(({ offset }) => offset === version);
   const { publishedBy = "", publishedAt = 0 } = winner ?? {};
   return { kind: "beaten", by: { version, publishedBy, publishedAt } };
 };
 
-const describeFate = (history: ConfigurationHistory, fate: Fate, digest: string): PublishResult => {
-  if (fate.kind === "applied") return { kind: "published", version: fate.version, digest };
-  if (fate.kind !== "void") return { kind: "outcome_unknown" };
-  if (fate.reason.kind === "stale_base") return describeWinner(history, fate.reason.beatenBy);
-  return { kind: "refused", reason: fate.reason };
+const toPublishResult = (history: ConfigurationHistory, outcome: Fate, digest: string): PublishResult => {
+  if (outcome.kind === "applied") return { kind: "published", version: outcome.version, digest };
+  if (outcome.kind !== "void") return { kind: "outcome_unknown" };
+  if (outcome.reason.kind === "stale_base") return toBeatenResult(history, outcome.reason.beatenBy);
+  return { kind: "refused", reason: outcome.reason };
 };
 
-/** An append's failure; nothing if its answer came. */
+/** @returns The failure of an append; `undefined` if it was acknowledged. */
 const tryAppend = async (log: LogService, data: string): Promise<PlatformFailure | undefined> => {
   try {
     await log.append(logStreams.configuration, [data]);
@@ -78,44 +79,46 @@
 };
 
 /**
- * Appends a record and reads until it is there.
+ * Appends a record and reads the log until the record is found, appending again where it is missing.
  *
- * @param maximumAppends - Above 1 only for records of which a second copy does no harm.
- * @returns The record's fate; nothing if nobody could be asked.
+ * @param ambiguousAppendLimit - How often the record is appended once an append may have taken effect; above 1 only
+ * for records of which a second copy has no effect.
+ * @returns The record's outcome; `undefined` if it could not be determined.
  */
 const appendAndReadBack = async (
   log: LogService,
   history: ConfigurationHistory,
   data: string,
   retryDelay: number,
-  maximumAppends: number,
+  ambiguousAppendLimit: number,
 ): Promise<Fate | undefined> => {
-  const fates: Fate[] = [];
-  const collect = (record: LogRecord, fate: Fate | undefined): boolean => {
-    if (record.data === data && fate !== undefined) fates.push(fate);
+  const outcomes: Fate[] = [];
+  const collect = (record: LogRecord, outcome: Fate | undefined): boolean => {
+    if (record.data === data && outcome !== undefined) outcomes.push(outcome);
     return false;
   };
-  let mayBeThere = false;
+  let mayBeStored = false;
   for (let appends = 1; ; appends += 1) {
     const failure = await tryAppend(log, data);
-    mayBeThere ||= failure?.mayHaveTakenEffect !== false;
-    if (mayBeThere) await readConfigurationLog(log, history, collect, retryDelay).catch(() => undefined);
-    const fate = fates.find(({ kind }) => kind === "applied") ?? fates[0];
-    if (fate !== undefined) return fate;
-    const last = appends >= (mayBeThere ? maximumAppends : mostAppends);
-    if (last && failure !== undefined && !mayBeThere) throw failure;
+    mayBeStored ||= failure?.mayHaveTakenEffect !== false;
+    if (mayBeStored) await readConfigurationLog(log, history, collect, retryDelay).catch(() => undefined);
+    const outcome = outcomes.find(({ kind }) => kind === "applied") ?? outcomes[0];
+    if (outcome !== undefined) return outcome;
+    const last = appends >= (mayBeStored ? ambiguousAppendLimit : maxAppends);
+    if (last && failure !== undefined && !mayBeStored) throw failure;
     if (last) return undefined;
     await sleep(retryDelay * appends);
   }
 };
 
 /**
- * Publishes a configuration against the version that the log has in force now.
+ * Publishes a configuration, based on the version that the log has in force now.
  *
- * An append whose answer was lost is resolved by reading; where the record is not there, the same record is
- * appended again, since of two with the same base only the first counts. A replacement is appended only once.
+ * If the response to an append is lost, the log is read to find out whether it took effect. If the record is missing,
+ * it is appended again: of two records with the same base only the first is applied. A replacement has no base, so it
+ * is not appended again once it may have taken effect.
  *
- * @throws `PlatformError` if the log could not be read before anything was appended, or took nothing.
+ * @throws `PlatformError` if the log could not be read before anything was appended, or accepted no append.
  */
 export const publishConfiguration = async (
   log: LogService,
@@ -132,7 +135,7 @@
   }
 
   const data = encodeRequest(request, history);
-  const appends = request.replace ? 1 : mostAppends;
-  const fate = await appendAndReadBack(log, history, data, retryDelay, appends);
-  return fate === undefined ? { kind: "outcome_unknown" } : describeFate(history, fate, digest);
+  const appends = request.replace ? 1 : maxAppends;
+  const outcome = await appendAndReadBack(log, history, data, retryDelay, appends);
+  return outcome === undefined ? { kind: "outcome_unknown" } : toPublishResult(history, outcome, digest);
 };
--- a/src/commandLine/readConfigurationLog.ts
+++ b/src/commandLine/readConfigurationLog.ts
@@ -8,46 +8,46 @@
 
 const pageSize = 500;
 
-/** Reads of one page before giving up. */
-const maximumReads = 4;
+/** How often one page is read before giving up. */
+const maxReads = 4;
 
-/** Wait before the second read of a page, doubled for each one more; milliseconds. */
+/** Delay before the second read of a page, doubled for each further read; milliseconds. */
 const defaultRetryDelay = 250;
 
-/** Called for each record with its fate; reading stops where it returns true. */
-export type RecordObserver = (record: LogRecord, fate: Fate | undefined) => boolean;
+/** Called for each record with its outcome; reading stops when it returns true. */
+export type RecordObserver = (record: LogRecord, outcome: Fate | undefined) => boolean;
 
-const readOn = (): boolean => false;
+const readToEnd = (): boolean => false;
 
 const readPage = async (log: LogService, from: number, retryDelay: number): Promise<LogPage> => {
   for (let reads = 1; ; reads += 1) {
     try {
       return await log.read(logStreams.configuration, from, pageSize);
     } catch (error) {
-      if (reads === maximumReads) throw error;
+      if (reads === maxReads) throw error;
       await sleep(retryDelay * 2 ** (reads - 1));
     }
   }
 };
 
 /**
- * Reads the stream from where a history has come to up to the end.
+ * Reads the stream into a history, from the history's position to the end of the stream.
  *
- * @param retryDelay - Milliseconds before the first retry.
- * @throws `PlatformError` if the log does not answer after some retries.
+ * @param retryDelay - Delay before the first retry, milliseconds.
+ * @throws `PlatformError` if a page can't be read after several attempts.
  */
 export const readConfigurationLog = async (
   log: LogService,
   history: ConfigurationHistory,
-  observe: RecordObserver = readOn,
+  observe: RecordObserver = readToEnd,
   retryDelay = defaultRetryDelay,
 ): Promise<void> => {
   for (;;) {
     const page = await readPage(log, history.readTo(), retryDelay);
     history.expire(page.earliestOffset);
     for (const record of page.records) {
-      const [fate] = history.applyPage(history.readTo(), { ...page, records: [record] });
-      if (observe(record, fate)) return;
+      const [outcome] = history.applyPage(history.readTo(), { ...page, records: [record] });
+      if (observe(record, outcome)) return;
     }
     if (page.records.length === 0 || history.readTo() >= page.nextOffset) return;
   }
--- a/src/commandLine/readLogs.ts
+++ b/src/commandLine/readLogs.ts
@@ -4,7 +4,11 @@
 import type { ReadLines } from "./logLines.ts";
 import { readLogLines } from "./logLines.ts";
 
-/** Reads logs from files, or from standard input if none are named. Throws `FileError`. */
+/**
+ * Reads logs from files, or from standard input if no files are given.
+ *
+ * @throws `FileError` if a file can't be read.
+ */
 export const readLogs = async (files: readonly string[], input: Readable): Promise<ReadLines> => {
   const texts = files.length === 0 ? [await readAll(input)] : await Promise.all(files.map(readTextFile));
   return readLogLines(texts.join("\n"));
--- a/src/commandLine/requestTimeline.test.ts
+++ b/src/commandLine/requestTimeline.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { readLogLines } from "./logLines.ts";
 import { summarise } from "./logSummary.ts";
-import { tellStory } from "./requestTimeline.ts";
+import { buildTimeline } from "./requestTimeline.ts";
 
 const line = (
   second: number,
@@ -12,11 +12,12 @@
 ): string =>
   JSON.stringify({ at: new Date(second * 1_000).toISOString(), part, event, router: "router-1", ...fields });
 
-const story = (...written: readonly string[]) => tellStory("wanted", readLogLines(written.join("\n")).lines);
+const timelineOf = (...written: readonly string[]) =>
+  buildTimeline("wanted", readLogLines(written.join("\n")).lines);
 
-describe("the story of a request", () => {
-  it("puts lines of several routers in order, with what the replica was at the time", () => {
-    const told = story(
+describe("the timeline of a request", () => {
+  it("orders the lines of several routers, with the state of the replica at the time", () => {
+    const timeline = timelineOf(
       line(20, "requests", "stream_broken", {
         request: "wanted",
         replica: "i-1",
@@ -34,14 +35,14 @@
       line(3, "router", "replica", { replica: "i-1", state: "ready" }),
       line(19, "replicas", "ejected", { replica: "i-9" }),
     );
-    expect(told.steps.map(({ text }) => text.split(" ")[0])).toEqual(["attempt", "the"]);
-    expect(told.around.length).toEqual(1);
-    expect(told.around[0]?.text.includes("state=gone")).toEqual(true);
-    expect(told.cause.includes("connection failed or it was silent")).toEqual(true);
+    expect(timeline.steps.map(({ text }) => text.split(" ")[0])).toEqual(["attempt", "the"]);
+    expect(timeline.around.length).toEqual(1);
+    expect(timeline.around[0]?.text.includes("state=gone")).toEqual(true);
+    expect(timeline.cause.includes("connection failed or it was silent")).toEqual(true);
   });
 
-  it("names the replicas that were not available, and what they reported", () => {
-    const told = story(
+  it("names the replicas that were unavailable, and the state they reported", () => {
+    const timeline = timelineOf(
       line(18, "replicas", "backoff_started", { replica: "i-2", request: "other", milliseconds: 3_000 }),
       line(20, "requests", "failed", {
         request: "wanted",
@@ -51,13 +52,13 @@
         reason: "All replicas are shutting down or asked for backoff; the request has not run.",
       }),
     );
-    expect(told.steps[0]?.text.includes("i-2:backoff:1200 i-3:draining")).toEqual(true);
-    expect(told.around.length).toEqual(1);
-    expect(told.cause.includes("every replica of the service drained")).toEqual(true);
+    expect(timeline.steps[0]?.text.includes("i-2:backoff:1200 i-3:draining")).toEqual(true);
+    expect(timeline.around.length).toEqual(1);
+    expect(timeline.cause.includes("every replica of the service drained")).toEqual(true);
   });
 
-  it("names a stale configuration as the cause of a refusal, with its age, and the store that was lost", () => {
-    const told = story(
+  it("names a stale configuration as the cause of a refusal, with its age and the loss of the store", () => {
+    const timeline = timelineOf(
       line(9, "feeds", "lost", { feed: "operator" }),
       line(14, "requests", "refused", {
         request: "wanted",
@@ -69,13 +70,13 @@
       }),
     );
     const proof = "configuration 7, store epoch 3, read 120 ms and proved 4900 ms before";
-    expect(told.steps[0]?.text.includes(proof)).toEqual(true);
-    expect(told.around[0]?.text.startsWith("feeds lost")).toEqual(true);
-    expect(told.cause.includes("no fresh proof")).toEqual(true);
+    expect(timeline.steps[0]?.text.includes(proof)).toEqual(true);
+    expect(timeline.around[0]?.text.startsWith("feeds lost")).toEqual(true);
+    expect(timeline.cause.includes("no fresh proof")).toEqual(true);
   });
 
-  it("names the limit that refused a request, and that the router could not ask", () => {
-    const told = story(
+  it("names the limit that refused a request, and that the router could not query its coordinator", () => {
+    const timeline = timelineOf(
       line(9, "limits", "unasked", { organisation: "levant" }),
       line(10, "requests", "limited", {
         request: "wanted",
@@ -90,13 +91,13 @@
         reason: "RequestError: The organisation's limit is reached.",
       }),
     );
-    expect(told.steps[0]?.text.includes("counts 12000 beyond the limit of levant")).toEqual(true);
-    expect(told.around.map(({ text }) => text)).toEqual(["limits unasked organisation=levant"]);
-    expect(told.cause.includes("limit allows")).toEqual(true);
+    expect(timeline.steps[0]?.text.includes("counts 12000 beyond the limit of levant")).toEqual(true);
+    expect(timeline.around.map(({ text }) => text)).toEqual(["limits unasked organisation=levant"]);
+    expect(timeline.cause.includes("limit allows")).toEqual(true);
   });
 
-  it("names silent owners of replicas as the cause of a placement that went wrong", () => {
-    const told = story(
+  it("names unreachable replica owners as the cause of a wrong placement", () => {
+    const timeline = timelineOf(
       line(9, "owners", "silent", { owner: "router-7", milliseconds: 500 }),
       line(12, "requests", "served", {
         request: "wanted",
@@ -108,12 +109,12 @@
         askedFor: 12,
       }),
     );
-    expect(told.around[0]?.text.startsWith("owners silent owner=router-7")).toEqual(true);
-    expect(told.cause.includes("no owner of a replica answered")).toEqual(true);
+    expect(timeline.around[0]?.text.startsWith("owners silent owner=router-7")).toEqual(true);
+    expect(timeline.cause.includes("no owner of a replica answered")).toEqual(true);
   });
 
-  it("tells a belief about weights that was wrong, and a prediction that was", () => {
-    const wrong = story(
+  it("names outdated weights and a wrong prediction as causes", () => {
+    const wrong = timelineOf(
       line(1, "requests", "attempt_failed", {
         request: "wanted",
         fault: "wrong_weights",
@@ -127,7 +128,7 @@
       }),
     );
     expect(wrong.cause.includes("other weights")).toEqual(true);
-    const late = story(
+    const late = timelineOf(
       line(2, "requests", "served", {
         request: "wanted",
         replica: "i-1",
@@ -138,7 +139,7 @@
     expect(late.cause.includes("longer than predicted")).toEqual(true);
   });
 
-  it("is counted among refusals and failures by cause and time", () => {
+  it("is counted in the summary of refusals and failures by cause and time", () => {
     const written = [
       line(10, "daemon", "starting", {}),
       line(11, "requests", "attempt_failed", { fault: "overloaded" }),
@@ -155,8 +156,8 @@
     expect(summarise([], 5).causes).toEqual([]);
   });
 
-  it("says so where there is no line, and counts lines that are none", () => {
-    expect(story().cause.startsWith("no router wrote a line")).toEqual(true);
+  it("reports that no line was found, and counts unreadable lines", () => {
+    expect(timelineOf().cause.startsWith("no router wrote a line")).toEqual(true);
     const { lines, unreadable } = readLogLines(
       `router-1 | ${line(1, "daemon", "starting", {})}\nnoise\n{"a":1}\n\n`,
     );
