--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/routerPeers.ts
@@ -52,7 +52,7 @@
   /** Whether this router is the one that polls an engine for its reports. */
   readonly isHome: (engine: EngineReplica) => boolean;
   /** Whether an engine is in this router's data centre. */
-  readonly isNear: (engine: EngineReplica) => boolean;
+  readonly isLocal: (engine: EngineReplica) => boolean;
   readonly leave: () => void;
   readonly dropConnections: () => void;
   /** Bytes received and sent on the connections that peers have to this router. */
@@ -127,7 +127,7 @@
     return server.url;
   };
 
-  const isNear = (engine: EngineReplica): boolean => engine.dataCentre === dataCentre;
+  const isLocal = (engine: EngineReplica): boolean => engine.dataCentre === dataCentre;
   return {
     membership,
     configuration,
@@ -136,8 +136,8 @@
     askPeers: () => restore?.tryAll() ?? Promise.resolve(),
     applyVms: controls.applyVms,
     isHome: (engine) =>
-      (isNear(engine) || summaries.isSilent(engine.dataCentre)) && membership.isHome(engine.id),
-    isNear,
+      (isLocal(engine) || summaries.isSilent(engine.dataCentre)) && membership.isHome(engine.id),
+    isLocal,
     leave: controls.leave,
     traffic: () => server?.traffic() ?? { received: 0, sent: 0 },
     dropConnections: () => server?.dropConnections(),
--- a/src/daemons/routerView.ts
+++ b/src/daemons/routerView.ts
@@ -97,7 +97,7 @@
         peers.applyVms(vms);
       },
       isHome: peers.isHome,
-      isNear: peers.isNear,
+      isNear: peers.isLocal,
       vmListInterval: settings.vmListInterval,
       loadInterval: settings.loadInterval,
       loadTimeout: settings.loadTimeout,
