--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -175,9 +175,9 @@
 
   const readLog = (): void => {
     for (const { peers, history } of nodes) {
-      if (peers.configuration.turn() !== "follow") continue;
+      if (peers.configuration.logReadMode() !== "follow") continue;
       history.applyPage(history.readTo(), log.read(history.readTo(), 100));
-      peers.configuration.noteRead();
+      peers.configuration.noteLogVersion();
     }
   };
 
@@ -237,7 +237,7 @@
   const changedSeconds = (settled.at - changed.at) / 1_000;
   const extra = (used: number, usual: number): number =>
     (used / count - usual * changedSeconds) / times.changes;
-  const live = Math.min(...nodes.map(({ peers }) => peers.membership.livePeers().length));
+  const live = Math.min(...nodes.map(({ peers }) => peers.membership.liveMembers().length));
   const whole = nodes[0]?.history.snapshot();
   stop.abort();
   await loads;
--- a/src/commandLine/describeOutcome.ts
+++ b/src/commandLine/describeOutcome.ts
@@ -1,5 +1,5 @@
 /** Describes the outcomes of configuration records for people. */
-import type { Fate, VoidReason } from "../state/configurationFate.ts";
+import type { ConfigurationOutcome, VoidReason } from "../state/configurationOutcome.ts";
 
 /** @returns Why a record is void. */
 export const describeVoidReason = (reason: VoidReason): string => {
@@ -20,7 +20,7 @@
 };
 
 /** @returns The effect that a record had. */
-export const describeOutcome = (outcome: Fate): string => {
+export const describeOutcome = (outcome: ConfigurationOutcome): string => {
   switch (outcome.kind) {
     case "applied":
       return `in force as version ${outcome.version}`;
--- a/src/commandLine/publishConfiguration.ts
+++ b/src/commandLine/publishConfiguration.ts
@@ -13,7 +13,7 @@
 import type { PlatformError as PlatformFailure } from "../protocol/errors.ts";
 import type { LogService } from "../protocol/LogService.ts";
 import type { LogRecord } from "../protocol/types.ts";
-import type { Fate, VoidReason } from "../state/configurationFate.ts";
+import type { ConfigurationOutcome, VoidReason } from "../state/configurationOutcome.ts";
 import { createConfigurationHistory } from "../state/configurationHistory.ts";
 import type { ConfigurationHistory } from "../state/configurationHistory.ts";
 import { readConfigurationLog } from "./readConfigurationLog.ts";
@@ -60,7 +60,11 @@
   return { kind: "beaten", by: { version, publishedBy, publishedAt } };
 };
 
-const toPublishResult = (history: ConfigurationHistory, outcome: Fate, digest: string): PublishResult => {
+const toPublishResult = (
+  history: ConfigurationHistory,
+  outcome: ConfigurationOutcome,
+  digest: string,
+): PublishResult => {
   if (outcome.kind === "applied") return { kind: "published", version: outcome.version, digest };
   if (outcome.kind !== "void") return { kind: "outcome_unknown" };
   if (outcome.reason.kind === "stale_base") return toBeatenResult(history, outcome.reason.beatenBy);
@@ -91,9 +95,9 @@
   data: string,
   retryDelay: number,
   ambiguousAppendLimit: number,
-): Promise<Fate | undefined> => {
-  const outcomes: Fate[] = [];
-  const collect = (record: LogRecord, outcome: Fate | undefined): boolean => {
+): Promise<ConfigurationOutcome | undefined> => {
+  const outcomes: ConfigurationOutcome[] = [];
+  const collect = (record: LogRecord, outcome: ConfigurationOutcome | undefined): boolean => {
     if (record.data === data && outcome !== undefined) outcomes.push(outcome);
     return false;
   };
--- a/src/commandLine/readConfigurationLog.ts
+++ b/src/commandLine/readConfigurationLog.ts
@@ -3,7 +3,7 @@
 import { logStreams } from "../protocol/constants.ts";
 import type { LogService } from "../protocol/LogService.ts";
 import type { LogPage, LogRecord } from "../protocol/types.ts";
-import type { Fate } from "../state/configurationFate.ts";
+import type { ConfigurationOutcome } from "../state/configurationOutcome.ts";
 import type { ConfigurationHistory } from "../state/configurationHistory.ts";
 
 const pageSize = 500;
@@ -15,7 +15,7 @@
 const defaultRetryDelay = 250;
 
 /** Called for each record with its outcome; reading stops when it returns true. */
-export type RecordObserver = (record: LogRecord, outcome: Fate | undefined) => boolean;
+export type RecordObserver = (record: LogRecord, outcome: ConfigurationOutcome | undefined) => boolean;
 
 const readToEnd = (): boolean => false;
 
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -2,7 +2,7 @@
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { KeeperQuestion, LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
 import { encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
-import { createAnswerTimes } from "../answerTimes.ts";
+import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
 import { answerTimeGain, answerTimeout, initialAnswerTime } from "./constants.ts";
@@ -57,10 +57,10 @@
 }: CoordinatorQueriesDependencies): CoordinatorQueries => {
   const pending = new Map<number, Pending>();
   let lastNumber = Math.floor(random() * firstNumberBound);
-  const times = createAnswerTimes({
-    assumed: initialAnswerTime,
-    gain: answerTimeGain,
-    patience: answerTimeout,
+  const times = createAdaptiveTimeout({
+    initialLatency: initialAnswerTime,
+    smoothingFactor: answerTimeGain,
+    timeoutRange: answerTimeout,
   });
 
   return {
@@ -68,7 +68,7 @@
       new Promise((resolve) => {
         lastNumber += 1;
         const number = lastNumber;
-        const cancelTimeout = clock.after(times.patience(), () => {
+        const cancelTimeout = clock.after(times.timeout(), () => {
           pending.delete(number);
           resolve(undefined);
         });
@@ -84,7 +84,7 @@
       const query = pending.get(answer.number);
       if (query === undefined) return;
       pending.delete(answer.number);
-      times.note(clock.monotonic() - query.askedAt);
+      times.observe(clock.monotonic() - query.askedAt);
       query.settle(answer);
     },
   };
--- a/src/coordination/crashes/quarantineRecords.ts
+++ b/src/coordination/crashes/quarantineRecords.ts
@@ -13,7 +13,7 @@
 import { createLogger } from "../../state/log.ts";
 import { createRecentMap } from "../../state/recentMap.ts";
 import { mostHeld } from "./constants.ts";
-import type { HeldRequests } from "./heldRequests.ts";
+import type { HeldRequests } from "./quarantinedRequests.ts";
 
 /** What keeping works with. */
 export interface QuarantineRecordsParts {
--- a/src/coordination/forwarding/partSaving.test.ts
+++ b/src/coordination/forwarding/partSaving.test.ts
@@ -3,7 +3,7 @@
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import { createManualClock } from "../manualClock.ts";
 import { saveBurst, saveLinkShare } from "./constants.ts";
-import { usualLoadPolicy } from "./loadPolicy.ts";
+import { defaultLoadPolicy } from "./loadPolicy.ts";
 import { createPartSaving } from "./partSaving.ts";
 import type { SharedParts } from "./partSaving.ts";
 
@@ -22,7 +22,7 @@
 
 const create = (routers = 1) => {
   const clock = createManualClock();
-  return { clock, saving: createPartSaving({ clock, policy: usualLoadPolicy, routers: () => routers }) };
+  return { clock, saving: createPartSaving({ clock, policy: defaultLoadPolicy, routers: () => routers }) };
 };
 
 describe("saving shared parts", () => {
--- a/src/coordination/forwarding/proofModel.test.ts
+++ b/src/coordination/forwarding/proofModel.test.ts
@@ -83,7 +83,7 @@
       replicas: createReplicaTable(),
       configuration,
       holders: { noteKey: () => undefined },
-      longestReadAge: () => Number.POSITIVE_INFINITY,
+      maxReadAge: () => Number.POSITIVE_INFINITY,
       onNewerConfiguration: () => undefined,
       ...noEpochs,
       quarantine: noQuarantine,
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -5,7 +5,7 @@
 import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { createManualClock } from "../manualClock.ts";
-import { messagesPerInterval, peerIntervals } from "./constants.ts";
+import { messagesPerInterval, peerMessageIntervals } from "./constants.ts";
 import { noEpochs } from "../storeEpochs/recoveryWindow.ts";
 import { createConfigurationState } from "./configurationState.ts";
 import { createRouterPeers } from "./routerPeers.ts";
@@ -36,7 +36,7 @@
       replicas,
       configuration,
       holders: { noteKey: (key, holder, isReady) => noted.push([key, holder, isReady]) },
-      longestReadAge: () => longestReadAge,
+      maxReadAge: () => longestReadAge,
       onNewerConfiguration: () => newer.push(self.name),
       ...noEpochs,
       quarantine: noQuarantine,
@@ -56,7 +56,7 @@
       replicas: createReplicaTable(),
       configuration,
       holders: { noteKey: () => undefined },
-      longestReadAge: () => longestReadAge,
+      maxReadAge: () => longestReadAge,
       onNewerConfiguration: () => undefined,
       ...noEpochs,
       quarantine: noQuarantine,
@@ -145,17 +145,17 @@
     first.configuration.confirm(clock.monotonic());
     second.configuration.confirm(clock.monotonic());
     run(600);
-    expect(second.peers.inTouch(2_500).toSorted()).toEqual(["a", "b"]);
+    expect(second.peers.dutyCandidates(2_500).toSorted()).toEqual(["a", "b"]);
     for (let round = 0; round < 20; round += 1) {
       second.configuration.confirm(clock.monotonic());
       run(200);
     }
     // The peer's proof is fresh by this router's word.
     expect(first.configuration.age() < 1_000).toEqual(true);
-    expect([first.peers.inTouch(2_500), second.peers.inTouch(2_500)]).toEqual([["b"], ["b"]]);
+    expect([first.peers.dutyCandidates(2_500), second.peers.dutyCandidates(2_500)]).toEqual([["b"], ["b"]]);
     first.configuration.confirm(clock.monotonic());
     run(600);
-    expect(second.peers.inTouch(2_500).toSorted()).toEqual(["a", "b"]);
+    expect(second.peers.dutyCandidates(2_500).toSorted()).toEqual(["a", "b"]);
   });
 
   it("take no duties once one stands down, while its share of limits stays", () => {
@@ -163,10 +163,10 @@
     second.peers.add(entries);
     first.configuration.confirm(clock.monotonic());
     run(600);
-    expect(second.peers.inTouch(2_500).includes("a")).toEqual(true);
-    first.peers.standDown();
+    expect(second.peers.dutyCandidates(2_500).includes("a")).toEqual(true);
+    first.peers.stepDown();
     run(50);
-    expect(second.peers.inTouch(2_500).includes("a")).toEqual(false);
+    expect(second.peers.dutyCandidates(2_500).includes("a")).toEqual(false);
     expect(second.peers.countServing()).toEqual(2);
   });
 
@@ -227,7 +227,7 @@
     const readers = routers.filter(({ peers }) => peers.isReader());
     expect(readers.filter(({ self }) => self.dataCentre === "here").length).toEqual(3);
     expect(readers.filter(({ self }) => self.dataCentre === "there").length).toEqual(3);
-    readers[0]?.peers.standDown();
+    readers[0]?.peers.stepDown();
     run(10_000);
     expect(routers.filter(({ peers }) => peers.isReader()).length).toEqual(6);
   });
@@ -248,7 +248,7 @@
       }
       return system.network.sent / count / 8;
     };
-    const most = (messagesPerInterval * 1_000) / peerIntervals.shortest;
+    const most = (messagesPerInterval * 1_000) / peerMessageIntervals.shortest;
     expect(sentBy(24)).toBeLessThanOrEqual(most);
     expect(sentBy(60)).toBeLessThanOrEqual(most);
   });
--- a/src/coordination/membership/suspicions.ts
+++ b/src/coordination/membership/suspicions.ts
@@ -11,7 +11,7 @@
 import { rendezvousOrder } from "./rendezvous.ts";
 
 /** What questions about suspects need. */
-export interface SuspicionsParts {
+export interface SuspicionsDependencies {
   readonly name: string;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
@@ -42,7 +42,7 @@
   now - peer.heardAt <= heardIntervals * peer.nextWithin;
 
 /** Makes the two halves. */
-export const createSuspicions = (parts: SuspicionsParts): Suspicions => {
+export const createSuspicions = (parts: SuspicionsDependencies): Suspicions => {
   const { name, directory, clock } = parts;
 
   const ask = (suspect: Peer): void => {
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -10,13 +10,13 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ToldWord } from "../../protocol/forwarding/toldWord.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { workWithout } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import { avoidReplica, avoidReplicaUntil } from "../replicaReports/backoff.ts";
 import { announcedLimitMaxAge } from "../replicaLimits/constants.ts";
 import { holdersNamed, reportMemory } from "./constants.ts";
@@ -52,7 +52,9 @@
 
 /** Whoever asks hears the limit from the replica itself if nobody has for long. */
 const tellRecentLimit = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
-  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.receivedAt > announcedLimitMaxAge
+    ? undefined
+    : toReportedLimitMessage(limit, now);
 
 /** A teller that has none at a replica any more. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -80,7 +82,7 @@
     // Whoever can't reach it may be cut off itself: the owner looks before it believes.
     if (report.isUnreachable) state.isSuspected = true;
     if (report.isBackingOff) avoidReplica(state, clock.monotonic());
-    if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
+    if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, clock.monotonic());
   };
 
   const forgetOld = (): void => {
@@ -113,7 +115,7 @@
   return {
     takeWork: (message) => {
       for (const report of message.reports) takeReport(message, report);
-      takeHolders(message.holders, parts);
+      applyAnnouncedHolders(message.holders, parts);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -8,7 +8,7 @@
 import type { ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
-import { tellWord } from "../../state/forwarding/limitWord.ts";
+import { toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { wholeTokens } from "../../state/forwarding/replicaState.ts";
@@ -50,7 +50,7 @@
   computedTokens: Math.max(0, Math.round(replica.computedTokens)),
   isUnreachable: replica.isUnreachable,
   isBackingOff: isBackingOff(replica, now),
-  limit: replica.limit && tellWord(replica.limit, now),
+  limit: replica.limit && toReportedLimitMessage(replica.limit, now),
 });
 
 /** Starts to tell owners, until it is disposed of. */
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -80,7 +80,7 @@
   };
 
   const observeLimit = (replica: ReplicaState, { limit }: ReplicaReport, askedAt: number): void => {
-    const span = { askedAt, heardAt: clock.monotonic() };
+    const span = { askedAt, receivedAt: clock.monotonic() };
     if (limit === "unreadable") {
       noteUnreadableLimit(replica.entry.id);
       return;
--- a/src/coordination/requests/attempt.ts
+++ b/src/coordination/requests/attempt.ts
@@ -15,7 +15,7 @@
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { Assignment, AttemptReport, Scheduler, Work } from "../scheduling/Scheduler.ts";
 import { isRequestInvalid, provesNotRun } from "./attemptFailures.ts";
 import type { AttemptCanceller } from "./attemptCanceller.ts";
@@ -30,7 +30,7 @@
   /** @returns The connection to an engine. */
   readonly connect: (engine: EngineReplica) => ModelEngine;
   readonly canceller: AttemptCanceller;
-  readonly crashes: EngineCrashWatch;
+  readonly crashes: EngineCrashMonitor;
 }
 
 /** Identifies the attempt that generated a piece of an answer. */
@@ -159,7 +159,10 @@
     if (!(error instanceof UpstreamError) || error.fault !== "closed_early") return;
     const incarnation = state.report.incarnation ?? incarnationBefore;
     const hasBegun = state.report.firstTokenAfter !== undefined;
-    await dependencies.crashes.noteBroken(engine, incarnation, { fingerprint: plan.fingerprint, hasBegun });
+    await dependencies.crashes.noteBrokenConnection(engine, incarnation, {
+      fingerprint: plan.fingerprint,
+      hasBegun,
+    });
   };
 
   const dispatch = async (): Promise<EngineAnswer> => {
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -1,6 +1,6 @@
 /** Opens the next attempt of a request, and a hedge (a second, competing attempt) if the request's class has hedging. */
 import { RequestError } from "../../protocol/errors.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
 import { hasBegun } from "./deliveredAnswer.ts";
@@ -63,7 +63,7 @@
       beforeDispatch: ensureClaimed,
       onMayHaveRun: () => {
         state.mayHaveRun = true;
-        state.hasContinuedQuarantined ||= dependencies.quarantine.isHeld(job);
+        state.hasContinuedQuarantined ||= dependencies.quarantine.isQuarantined(job);
       },
     };
     try {
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -87,7 +87,7 @@
 
 /** Refuses a request that is quarantined for crashing engines. Cheap while no request is quarantined. */
 const checkQuarantine = async ({ dependencies, job }: RunScope): Promise<void> => {
-  const retryAfter = await dependencies.quarantine.ask(job);
+  const retryAfter = await dependencies.quarantine.admit(job);
   if (retryAfter === undefined) return;
   dependencies.metrics.count(metricNames.heldBack);
   throw refusals.quarantined(retryAfter / millisecondsPerSecond);
@@ -99,7 +99,7 @@
  * crashes had another cause.
  */
 const mayContinue = ({ dependencies, job, state }: RunScope): boolean =>
-  !dependencies.quarantine.isHeld(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
+  !dependencies.quarantine.isQuarantined(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
 
 /** Waits for the back-off delay of the next attempt; throws `RequestError` if there is to be no retry. */
 const waitBeforeRetry = async (scope: RunScope, error: unknown): Promise<void> => {
--- a/src/coordination/requests/completionRunner.ts
+++ b/src/coordination/requests/completionRunner.ts
@@ -2,8 +2,8 @@
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
-import { noEngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
+import { noEngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { fingerprintOfJob } from "./fingerprint.ts";
@@ -25,7 +25,7 @@
   "canceller" | "retryBudget" | "random" | "crashes" | "quarantine" | "fingerprintOf"
 > {
   /** Optional; without it, crashes of engines are not tracked. */
-  readonly crashes?: EngineCrashWatch;
+  readonly crashes?: EngineCrashMonitor;
   /** Optional; without it, no request is quarantined. */
   readonly quarantine?: QuarantineChecks<CompletionJob>;
   /** Defaults to a {@link RatioRetryBudget}. */
@@ -79,7 +79,7 @@
   const { clock, metrics } = options;
   const dependencies: CompletionRunDependencies = {
     ...options,
-    crashes: options.crashes ?? noEngineCrashWatch,
+    crashes: options.crashes ?? noEngineCrashMonitor,
     quarantine: options.quarantine ?? noQuarantine,
     fingerprintOf: fingerprintOfJob,
     canceller: createAttemptCanceller(clock, options.connect),
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -1,7 +1,7 @@
 /** Creates the ids of a stream's SSE events. Each id is a resume token. */
 import type { AnswerBatch, AnswerPosition } from "../../protocol/FrontEnd.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
-import { resumeTokenAt } from "../../protocol/resumeToken.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
+import { formatResumeToken } from "../../protocol/resumeToken.ts";
 import type { ResumeTokens } from "../../protocol/resumeToken.ts";
 import type { CompletionRequest } from "../../protocol/types.ts";
 import type { Clock } from "../clock.ts";
@@ -45,6 +45,6 @@
       attempt = batch.attempt;
       signedPart = signFor(batch);
     }
-    return resumeTokenAt(signedPart, delivered);
+    return formatResumeToken(signedPart, delivered);
   };
 };
--- a/src/coordination/requests/relay.ts
+++ b/src/coordination/requests/relay.ts
@@ -46,7 +46,7 @@
     const { tokens: firstOffset, textlessPieces: firstOthers } = answer;
     const frames = received.map((frame) => processPiece(frame, attempt.origin));
     retries.noteProgress();
-    return { frames, firstOffset, firstOthers, ...attempt.origin };
+    return { frames, firstOffset, precedingTextlessPieces: firstOthers, ...attempt.origin };
   };
 
   /** A caller that has received part of a stream may reconnect to resume it. */
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -60,7 +60,7 @@
 export const deliveredBeforeResume = ({ point, delivered }: ResumeJob): DeliveredAnswer => ({
   text: delivered ?? "",
   tokens: point.tokens,
-  textlessPieces: point.others,
+  textlessPieces: point.textlessPieces,
   textKnown: delivered !== undefined || point.tokens === 0,
   continuable: true,
 });
@@ -68,7 +68,7 @@
 /** Skips the pieces that the caller already has, and collects their text so that another engine could continue it. */
 const createSkipper = ({ point, delivered }: ResumeJob, answer: DeliveredAnswer) => {
   let remainingTokens = point.tokens - point.attemptOffset;
-  let remainingTextlessPieces = point.others;
+  let remainingTextlessPieces = point.textlessPieces;
   let skipped = "";
 
   const skipIfDelivered = (frame: AnswerFrame): boolean => {
--- a/src/coordination/requests/runScope.ts
+++ b/src/coordination/requests/runScope.ts
@@ -2,7 +2,7 @@
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { Claim, ClaimLedger } from "../claims/ClaimLedger.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
-import type { BindWeights } from "../weightsInForce.ts";
+import type { BindWeights } from "../weightsBinder.ts";
 import type { DeliveredAnswer } from "./deliveredAnswer.ts";
 import type { AttemptDependencies } from "./attempt.ts";
 import type { RetryBudget } from "./retryBudget.ts";
--- a/src/coordination/requests/work.ts
+++ b/src/coordination/requests/work.ts
@@ -1,7 +1,7 @@
 /** Creates the description of a request that the scheduler places. */
 import { computePrefixLevels } from "../../protocol/prefixLevels.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
-import type { BindWeights, BoundWeights } from "../weightsInForce.ts";
+import type { BindWeights, BoundWeights } from "../weightsBinder.ts";
 import type { CompletionJob } from "./types.ts";
 
 /** @returns The weights that the configuration names, without a choice between versions. */
--- a/src/daemons/completionQuarantine.ts
+++ b/src/daemons/completionQuarantine.ts
@@ -1,11 +1,14 @@
 /** Wires up the quarantine of model requests that crash engines; routers share crash reports through the log service. */
 import type { Clock } from "../coordination/clock.ts";
-import type { EngineCrashWatch, EngineCrashWatchParts } from "../coordination/crashes/engineCrashWatch.ts";
-import { createEngineCrashWatch } from "../coordination/crashes/engineCrashWatch.ts";
-import { everybody, LogNewsLink } from "../coordination/crashes/logNewsLink.ts";
-import { LogRecordFeed } from "../coordination/crashes/logRecordFeed.ts";
+import type {
+  EngineCrashMonitor,
+  EngineCrashMonitorDependencies,
+} from "../coordination/crashes/engineCrashMonitor.ts";
+import { createEngineCrashMonitor } from "../coordination/crashes/engineCrashMonitor.ts";
+import { allRouters, LogUpdatesLink } from "../coordination/crashes/LogUpdatesLink.ts";
+import { LogRecordFeed } from "../coordination/crashes/LogRecordFeed.ts";
 import type { Quarantine } from "../coordination/crashes/quarantine.ts";
-import { createQuarantineOf } from "../coordination/crashes/quarantine.ts";
+import { createQuarantineFor } from "../coordination/crashes/quarantine.ts";
 import { fingerprintOfJob } from "../coordination/requests/fingerprint.ts";
 import type { CompletionJob } from "../coordination/requests/types.ts";
 import { logStreams } from "../protocol/constants.ts";
@@ -15,7 +18,7 @@
 
 export interface CompletionQuarantineDependencies {
   readonly log: LogService;
-  readonly connect: EngineCrashWatchParts["connect"];
+  readonly connect: EngineCrashMonitorDependencies["connect"];
   readonly clock: Clock;
   /** Timeout of one long poll of the log, milliseconds. */
   readonly longPoll: number;
@@ -24,7 +27,7 @@
 /** The quarantine and the monitor that reports engine crashes to it. */
 export interface CompletionQuarantine extends AsyncDisposable {
   readonly quarantine: Quarantine<CompletionJob>;
-  readonly crashes: EngineCrashWatch;
+  readonly crashes: EngineCrashMonitor;
 }
 
 /** Delay between two attempts to read the log, milliseconds. */
@@ -39,21 +42,21 @@
 }: CompletionQuarantineDependencies): CompletionQuarantine => {
   const resources = createResourceStack();
   const link = resources.use(
-    new LogNewsLink({ log, stream: logStreams.crashNews, clock, longPoll, retryInterval }),
+    new LogUpdatesLink({ log, stream: logStreams.crashNews, clock, longPoll, retryInterval }),
   );
   const quarantine = resources.use(
-    createQuarantineOf<CompletionJob>(
+    createQuarantineFor<CompletionJob>(
       {
         link,
         clock,
         feed: new LogRecordFeed(log, logStreams.quarantine),
         epochs: noEpochChanges,
-        others: () => [everybody],
+        others: () => [allRouters],
         random: Math.random,
       },
       { fingerprintOf: fingerprintOfJob, idOf: ({ context }) => context.requestId },
     ),
   );
-  const crashes = createEngineCrashWatch({ connect, clock, onCrash: quarantine.noteCrash });
+  const crashes = createEngineCrashMonitor({ connect, clock, onCrash: quarantine.noteCrash });
   return { quarantine, crashes, [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose]() };
 };
--- a/src/daemons/forwardingDaemon.ts
+++ b/src/daemons/forwardingDaemon.ts
@@ -1,6 +1,6 @@
 /** Runs a forwarding router as a process: settings, signals and shutdown. */
 import { statSync } from "node:fs";
-import { createBoundedLines } from "../state/boundedLines.ts";
+import { createBoundedLogSink } from "../state/boundedLogSink.ts";
 import { createLogger, directLogs } from "../state/log.ts";
 import { FileError } from "../protocol/errors.ts";
 import type { ConnectPlatform } from "../protocol/forwarding/ForwardingPlatform.ts";
@@ -85,11 +85,17 @@
 export const runForwardingDaemon = async (file: string, connect: ConnectPlatform): Promise<number> => {
   const now = (): number => performance.now();
   const output = process.stdout;
-  directLogs(createBoundedLines({ output, fields: {}, now, linesPerSecond, mostBytesWaiting }));
+  directLogs(createBoundedLogSink({ output, fields: {}, now, linesPerSecond, mostBytesWaiting }));
   const settings = readSettings(file);
   if (settings === undefined) return exitCodes.badSettings;
   directLogs(
-    createBoundedLines({ output, fields: { router: settings.name }, now, linesPerSecond, mostBytesWaiting }),
+    createBoundedLogSink({
+      output,
+      fields: { router: settings.name },
+      now,
+      linesPerSecond,
+      mostBytesWaiting,
+    }),
   );
   reportFaults();
   writeLog("starting", { dataCentre: settings.dataCentre });
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -2,10 +2,10 @@
 import { randomBytes } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../coordination/clock.ts";
-import { createAdmit } from "../coordination/forwarding/admit.ts";
-import { shutdownInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
+import { createRequestAdmission } from "../coordination/forwarding/requestAdmission.ts";
+import { shutdownPollInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
 import { createDecisions } from "../coordination/forwarding/decisions.ts";
-import { usualLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
+import { defaultLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
 import { createShutdown } from "../coordination/forwarding/shutdown.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import { createHolderName, startWeightsOrders } from "../coordination/forwarding/weightsOrders.ts";
@@ -15,7 +15,7 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import { metricNames } from "../state/constants.ts";
 import { createLogger } from "../state/log.ts";
-import { ExpositionMetrics } from "../transport/expositionMetrics.ts";
+import { PrometheusMetrics } from "../transport/PrometheusMetrics.ts";
 import { startForwardingServer } from "../transport/forwarding/forwardingServer.ts";
 import { startStatusServer } from "../transport/forwarding/statusServer.ts";
 import { openUdpLink } from "../transport/forwarding/udpLink.ts";
@@ -85,7 +85,7 @@
 ): Promise<ForwardingRouter> => {
   await using resources = createResourceStack();
   const clock = systemClock;
-  const metrics = new ExpositionMetrics();
+  const metrics = new PrometheusMetrics();
   const bounds = { ...toForwardingBounds(settings) };
   const storeTimeout = bounds.keyRevocation * storeTimeoutShare;
   const platform = resources.use(connect({ store: settings.store, storeTimeout }));
@@ -111,16 +111,16 @@
   replicas.subscribe((_, departure) => {
     if (departure === undefined) divideConnectionLimits(platform, forwardingView);
   });
-  const admit = createAdmit(configuration, bounds, clock);
+  const admit = createRequestAdmission(configuration, bounds, clock);
   const { forwarder } = resources.use(
     createDecisions({
       dataCentre: self.dataCentre,
       client: platform.replicaClient,
-      beliefs: forwardingView,
+      view: forwardingView,
       admit,
       shutdown,
       bounds,
-      policy: usualLoadPolicy,
+      policy: defaultLoadPolicy,
       clock,
       metrics,
       random: Math.random,
@@ -141,16 +141,16 @@
       holder: createHolderName(settings.name),
       // The first in rendezvous order among routers that reach the store; one that has lost it soon drops out.
       isCandidate: () => {
-        const candidates = peers.inTouch(bounds.keyRevocation / 2);
-        return !shutdown.isUnderWay() && rendezvousFirst("weights", candidates) === self.name;
+        const candidates = peers.dutyCandidates(bounds.keyRevocation / 2);
+        return !shutdown.isInProgress() && rendezvousFirst("weights", candidates) === self.name;
       },
     }),
   );
 
   const isReady = (): boolean =>
-    !shutdown.isUnderWay() &&
+    !shutdown.isInProgress() &&
     forwardingView.knowsReplicas() &&
-    forwardingView.quarantine.isKnown() &&
+    forwardingView.quarantine.isReady() &&
     admit.isFresh();
 
   const server = resources.use(
@@ -161,7 +161,7 @@
       forward: forwarder.forward,
       limits: () => configuration.table()?.configuration.limits,
       // Closing the connection lets the caller reconnect through the load balancer to a router that is ready.
-      endsConnections: () => !isReady(),
+      shouldCloseConnections: () => !isReady(),
     }),
   );
   const status = resources.use(
@@ -178,18 +178,18 @@
 
   const drain = async (): Promise<void> => {
     shutdown.begin();
-    peers.standDown();
+    peers.stepDown();
     const ordersHandedOver = orders[Symbol.asyncDispose]();
-    await sleep(Math.max(0, shutdown.untilNoticed()));
-    await Promise.race([ordersHandedOver, sleep(Math.max(0, shutdown.untilOver()))]);
+    await sleep(Math.max(0, shutdown.untilBalancerNotices()));
+    await Promise.race([ordersHandedOver, sleep(Math.max(0, shutdown.untilDeadline()))]);
     peers.leave();
     const waitForOpenRequests = async (): Promise<void> => {
-      while (forwarder.openRequests() > 0 && shutdown.untilOver() > 0) await sleep(shutdownInterval);
+      while (forwarder.openRequests() > 0 && shutdown.untilDeadline() > 0) await sleep(shutdownPollInterval);
     };
     await waitForOpenRequests();
     server.closeIdle();
     // Waits for requests that were in transit when the idle connections were closed.
-    await sleep(shutdownInterval);
+    await sleep(shutdownPollInterval);
     await waitForOpenRequests();
     writeLog("drained", { openRequests: forwarder.openRequests() });
   };
--- a/src/daemons/forwardingView.ts
+++ b/src/daemons/forwardingView.ts
@@ -9,7 +9,10 @@
 import type { CacheStoreFollower } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { followCacheStores } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { createConfigurationState } from "../coordination/forwarding/configurationState.ts";
-import { cachedMemoryShare, cacheStoreAskers } from "../coordination/forwarding/constants.ts";
+import {
+  cachedMemoryShare,
+  cacheStorePollersAtShortestInterval,
+} from "../coordination/forwarding/constants.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import { createRouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import type { Quarantine } from "../coordination/crashes/quarantine.ts";
@@ -103,7 +106,7 @@
       replicas,
       configuration,
       holders,
-      longestReadAge: () => storeFollowing.maxReadAge(),
+      maxReadAge: () => storeFollowing.maxReadAge(),
       onNewerConfiguration: () => storeFollowing.requestRead(),
       onNewerEpoch: () => storeFollowing.readEpoch(),
       epochs,
@@ -117,11 +120,11 @@
 
   const cacheStore = resources.use(
     followCacheStores({
-      configured: () => configuration.table()?.cacheStores ?? [],
+      configuredStores: () => configuration.table()?.cacheStores ?? [],
       client: platform.replicaClient,
       holders,
       clock,
-      stretch: () => Math.max(1, peers.countServing() / cacheStoreAskers),
+      intervalFactor: () => Math.max(1, peers.countServing() / cacheStorePollersAtShortestInterval),
     }),
   );
 
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -3,12 +3,12 @@
  * before its log records expire.
  */
 import type { Clock } from "../coordination/clock.ts";
-import { restatementLease } from "../coordination/leases/constants.ts";
+import { republicationLeaseName } from "../coordination/leases/constants.ts";
 import { createLeaseHistory } from "../coordination/leases/leaseHistory.ts";
 import type { LeaseView } from "../coordination/leases/types.ts";
 import { startDeploymentOrders } from "../coordination/orders/deploymentOrders.ts";
 import type { RollOutView } from "../coordination/orders/types.ts";
-import { startRestatement } from "../coordination/restatement.ts";
+import { startRepublication } from "../coordination/republication.ts";
 import type { LogService } from "../protocol/LogService.ts";
 import type { ModelEngine } from "../protocol/ModelEngine.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
@@ -61,10 +61,10 @@
     }),
   );
   const republication = resources.use(
-    startRestatement({
+    startRepublication({
       ...common,
       leases,
-      isCandidate: () => peers.membership.isHome(restatementLease),
+      isCandidate: () => peers.membership.isHome(republicationLeaseName),
       configuration: history,
       retention: settings.logRetention,
       duration: () => follower.current()?.configuration.limits.leaseDuration ?? idleLeaseDuration,
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/routerPeers.ts
@@ -1,9 +1,9 @@
 /** Wires up a router's membership and the exchanges with its peers: loads, configuration and summaries. */
 import { LoadExchange } from "../coordination/membership/loadExchange.ts";
 import { ConfigurationExchange } from "../coordination/membership/configurationExchange.ts";
-import { patience } from "../coordination/membership/constants.ts";
+import { peerTimeouts } from "../coordination/membership/constants.ts";
 import type { Membership } from "../coordination/membership/Membership.ts";
-import { createPeerAnswers } from "../coordination/membership/peerAnswers.ts";
+import { createQuestionHandler } from "../coordination/membership/questionHandler.ts";
 import { createPeerMembership } from "../coordination/membership/peerMembership.ts";
 import { startRestore } from "../coordination/membership/restore.ts";
 import type { Restore } from "../coordination/membership/restore.ts";
@@ -16,7 +16,7 @@
 import type { EngineDirectory, EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
 import { createPeerDirectory } from "../state/peerDirectory.ts";
-import { createConnectPeerNetwork } from "../transport/peerClient.ts";
+import { createConnectPeerNetwork } from "../transport/connectPeerNetwork.ts";
 import type { PeerServer, Traffic } from "../transport/peerServer.ts";
 import { startPeerServer } from "../transport/peerServer.ts";
 import type { RouterSettings } from "./routerSettings.ts";
@@ -69,8 +69,8 @@
   const { name, dataCentre, peers } = settings;
   const seals = createSeals(settings.sharedSecret, clock.wall);
   const network = resources.use(createConnectPeerNetwork(seals));
-  const directory = createPeerDirectory(name, patience);
-  const answer = createPeerAnswers({ history, engines, clock, vms: dependencies.lastVms });
+  const directory = createPeerDirectory(name, peerTimeouts);
+  const answer = createQuestionHandler({ history, engines, clock, vms: dependencies.lastVms });
   const controls = resources.use(
     createPeerMembership({
       name,
@@ -96,11 +96,11 @@
     push,
     logReadAt: dependencies.logReadAt,
   });
-  controls.add(
+  controls.addExtension(
     new LoadExchange({ directory: engines, clock, isHome: membership.isHome.bind(membership), push }),
   );
-  controls.add(configuration);
-  controls.add(summaries);
+  controls.addExtension(configuration);
+  controls.addExtension(summaries);
 
   const peerUrls = (): readonly (readonly string[])[] => {
     const here = directory.all().filter((peer) => peer.dataCentre === dataCentre);
@@ -133,10 +133,10 @@
     configuration,
     listen,
     restored: () => restore?.done ?? Promise.resolve(),
-    askPeers: () => restore?.tryAll() ?? Promise.resolve(),
+    askPeers: () => restore?.askAllPeers() ?? Promise.resolve(),
     applyVms: controls.applyVms,
     isHome: (engine) =>
-      (isLocal(engine) || summaries.isSilent(engine.dataCentre)) && membership.isHome(engine.id),
+      (isLocal(engine) || summaries.isUnreachable(engine.dataCentre)) && membership.isHome(engine.id),
     isLocal,
     leave: controls.leave,
     traffic: () => server?.traffic() ?? { received: 0, sent: 0 },
--- a/src/daemons/routerView.ts
+++ b/src/daemons/routerView.ts
@@ -81,8 +81,8 @@
       longPoll: settings.configurationLongPoll,
       retryInterval,
       clock,
-      turn: peers.configuration.turn,
-      onVersion: peers.configuration.noteRead,
+      readMode: peers.configuration.logReadMode,
+      onVersion: peers.configuration.noteLogVersion,
     }),
   );
 
@@ -97,7 +97,7 @@
         peers.applyVms(vms);
       },
       isHome: peers.isHome,
-      isNear: peers.isLocal,
+      isLocal: peers.isLocal,
       vmListInterval: settings.vmListInterval,
       loadInterval: settings.loadInterval,
       loadTimeout: settings.loadTimeout,
@@ -119,14 +119,14 @@
     if (routerCountCache?.vms !== vms) {
       routerCountCache = { vms, count: vms.filter(({ role }) => role === "router").length };
     }
-    return 1 / Math.max(1, routerCountCache.count, peers.membership.livePeers().length);
+    return 1 / Math.max(1, routerCountCache.count, peers.membership.liveMembers().length);
   };
 
   const start = async (): Promise<string> => {
     const url = await peers.listen();
     await Promise.race([Promise.all([follower.started, monitor.started]), peers.restored()]);
     if (history.current() === undefined) await peers.askPeers();
-    await monitor.confirmed();
+    await monitor.waitForFirstReports();
     return url;
   };
 
--- a/src/daemons/storeFollowing.test.ts
+++ b/src/daemons/storeFollowing.test.ts
@@ -15,7 +15,7 @@
 import { followStore } from "./storeFollowing.ts";
 import { createStoreEpochs } from "../state/storeEpochs.ts";
 import { positionAt } from "../../tests/support/positions.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 
 /** A store whose history expires at once: mostly only the newest record of each key can be read. */
 const createForgetfulStore = (entries: () => readonly ReplicaEntry[]) => {
@@ -89,7 +89,7 @@
       while (!isDone()) await sleep(5);
       await sleep(40);
       listener(encodeProofMessage({ kind: "question", number: 7 }), { address: "10.0.0.1", port: 2 });
-      return answers.at(-1)?.replicas.position.offsetIn(unnamedEpoch);
+      return answers.at(-1)?.replicas.position.offsetIn(defaultEpoch);
     };
     const first = await queryPositionAfter(() => state.wholeReads >= 3);
     const later = await queryPositionAfter(() => state.wholeReads >= 6);
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -5,25 +5,25 @@
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationState } from "../coordination/forwarding/configurationState.ts";
 import {
-  configurationWaitShare,
-  readsBeforeStandingDown,
-  registryPaceShare,
+  configurationLongPollShare,
+  maxReadAgeFactor,
+  registryReadIntervalShare,
 } from "../coordination/forwarding/constants.ts";
 import { followFeed } from "../coordination/forwarding/feedFollower.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import {
-  longestReadAgeOfMany,
-  longHeldRead,
-  longRegistryPace,
-  readerRegistryPaceShare,
-  retryStretchOfMany,
+  largeFleetMaxReadAge,
+  largeFleetLongPoll,
+  delegatedRegistryInterval,
+  readerRegistryIntervalShare,
+  delegatedRetryFactor,
 } from "../coordination/storeReading/constants.ts";
 import {
   epochReadInterval,
   longestRereadDelay,
-  registryRereadStretch,
-  rereadSpread,
+  registryRereadFactor,
+  rereadSpreadPerRouter,
   timerSlack,
 } from "../coordination/storeEpochs/constants.ts";
 import { createOperatorRecovery } from "../coordination/storeEpochs/operatorRecovery.ts";
@@ -72,26 +72,28 @@
     registryConfirmedAt = Math.max(registryConfirmedAt, at);
   };
 
-  const smallFleetLongPoll = (): number => bounds.keyRevocation * configurationWaitShare;
+  const smallFleetLongPoll = (): number => bounds.keyRevocation * configurationLongPollShare;
 
   // A router in a large fleet that knows it can't reach the store takes no duties.
   const maxReadAge = (): number => {
-    if (!peers.isLarge()) return smallFleetLongPoll() * readsBeforeStandingDown;
-    return storeReading.reachesStore() ? longestReadAgeOfMany : 0;
+    if (!peers.isLarge()) return smallFleetLongPoll() * maxReadAgeFactor;
+    return storeReading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
   const delegatesReads = (): boolean => peers.isLarge() && !peers.isReader();
 
   const registryReadInterval = (): number => {
-    if (delegatesReads()) return longRegistryPace;
-    return bounds.drain * (peers.isLarge() ? readerRegistryPaceShare : registryPaceShare);
+    if (delegatesReads()) return delegatedRegistryInterval;
+    return bounds.drain * (peers.isLarge() ? readerRegistryIntervalShare : registryReadIntervalShare);
   };
 
-  const retryFactor = (): number => (delegatesReads() ? retryStretchOfMany : 1);
+  const retryFactor = (): number => (delegatesReads() ? delegatedRetryFactor : 1);
 
   // Routers that delegate reads are notified of changes by the readers, so they can wait and spread the load.
   const rereadDelay = (): number =>
-    delegatesReads() ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpread) : 0;
+    delegatesReads()
+      ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpreadPerRouter)
+      : 0;
 
   const recovery = resources.use(
     createOperatorRecovery({
@@ -111,9 +113,9 @@
       feed: platform.operator,
       epochs: platform.epochs,
       clock,
-      wait: () => (peers.isLarge() ? longHeldRead : smallFleetLongPoll()),
-      retryStretch: retryFactor,
-      pace: () => 0,
+      longPollTimeout: () => (peers.isLarge() ? largeFleetLongPoll : smallFleetLongPoll()),
+      retryDelayFactor: retryFactor,
+      readInterval: () => 0,
       rereadDelay,
       replace: (page) => {
         configuration.apply(page);
@@ -135,10 +137,10 @@
       feed: platform.replicas,
       epochs: platform.epochs,
       clock,
-      wait: () => 0,
-      retryStretch: retryFactor,
-      pace: registryReadInterval,
-      rereadDelay: () => rereadDelay() * registryRereadStretch,
+      longPollTimeout: () => 0,
+      retryDelayFactor: retryFactor,
+      readInterval: registryReadInterval,
+      rereadDelay: () => rereadDelay() * registryRereadFactor,
       replace: registry.replace,
       apply: registry.apply,
       confirm: (at) => {
@@ -153,19 +155,19 @@
       link: dependencies.link,
       clock,
       bounds,
-      isNeeded: peers.isLarge,
+      isEnabled: peers.isLarge,
       isReader: peers.isReader,
       readers: peers.readers,
       readAge: configuration.readAge,
       operator: {
         feed: operatorFeed,
-        changedAt: operatorFeed.position,
+        lastChangePosition: operatorFeed.position,
         age: configuration.age,
         confirm: configuration.prove,
       },
       replicas: {
         feed: registryFeed,
-        changedAt: registry.changedAt,
+        lastChangePosition: registry.lastChangePosition,
         age: () => clock.monotonic() - registryConfirmedAt,
         confirm: confirmRegistry,
       },
@@ -201,7 +203,7 @@
     maxReadAge,
     requestRead: () => {
       recovery.readCopies();
-      if (peers.isLarge()) storeReading.readOn();
+      if (peers.isLarge()) storeReading.requestRead();
       else operatorFeed.hurry();
     },
     readEpoch,
--- a/src/state/constants.ts
+++ b/src/state/constants.ts
@@ -13,7 +13,7 @@
   withheld: "requests_withheld",
   turnedAwayUnavailable: "turned_away_unavailable",
   underLimit: "sent_under_limit",
-  limitedAway: "turned_away_by_limits",
+  rejectedByLimits: "turned_away_by_limits",
   attempts: "attempts",
   retries: "retries",
   retriesDenied: "retries_denied",
--- a/src/state/peerDirectory.ts
+++ b/src/state/peerDirectory.ts
@@ -58,7 +58,7 @@
 }
 
 /** Times by which peers are judged. */
-export interface PeerPatience {
+export interface PeerTimeouts {
   /** A peer is suspect when it is silent for this many of its promised intervals. */
   readonly missedIntervals: number;
   /** A suspect is dead after this many more of its promised intervals. */
@@ -82,7 +82,7 @@
    */
   readonly admit: (identity: PeerIdentity, now: number) => number | undefined;
   /** Notes a message. @returns False if it is of an incarnation that is out of date. */
-  readonly hear: (
+  readonly noteMessage: (
     name: string,
     incarnation: number,
     nextWithin: number,
@@ -90,14 +90,14 @@
     now: number,
   ) => boolean;
   /** Notes that somebody else heard a peer `at` that time. */
-  readonly sight: (name: string, incarnation: number, at: number, now: number) => void;
+  readonly noteSighting: (name: string, incarnation: number, at: number, now: number) => void;
   readonly noteConfiguration: (name: string, configuration: PeerConfiguration) => void;
   /** Notes that a connection broke. */
   readonly markBroken: (name: string, now: number) => void;
   /** Judges all peers anew. */
-  readonly judge: (now: number) => void;
+  readonly updateStates: (now: number) => void;
   /** Gives all peers time as though nothing had been missed: this process itself stood still. */
-  readonly forgive: (now: number) => void;
+  readonly resetTimeouts: (now: number) => void;
   /** @returns A function that ends the subscription. */
   readonly subscribe: (listener: (change: PeerChange) => void) => () => void;
 }
@@ -123,7 +123,7 @@
  *
  * @param self - This router's name; it is never its own peer.
  */
-export const createPeerDirectory = (self: string, patience: PeerPatience): PeerDirectory => {
+export const createPeerDirectory = (self: string, patience: PeerTimeouts): PeerDirectory => {
   const peers = new Map<string, Entry>();
   const listeners = new Set<(change: PeerChange) => void>();
 
@@ -190,7 +190,7 @@
     return undefined;
   };
 
-  const hear: PeerDirectory["hear"] = (name, incarnation, nextWithin, leaving, now) => {
+  const hear: PeerDirectory["noteMessage"] = (name, incarnation, nextWithin, leaving, now) => {
     const peer = peers.get(name);
     if (peer === undefined || isOutOfDate(peer, incarnation)) return false;
     peer.incarnation = incarnation;
@@ -204,7 +204,7 @@
 
   const patienceFor = (peer: Peer): number => peer.nextWithin * patience.missedIntervals + patience.slack;
 
-  const sight: PeerDirectory["sight"] = (name, incarnation, at, now) => {
+  const sight: PeerDirectory["noteSighting"] = (name, incarnation, at, now) => {
     const peer = peers.get(name);
     if (peer === undefined || peer.state === "dead" || isOutOfDate(peer, incarnation)) return;
     if (at <= peer.seenAt) return;
@@ -230,18 +230,18 @@
     all: () => [...peers.values()],
     applyVms,
     admit,
-    hear,
-    sight,
+    noteMessage: hear,
+    noteSighting: sight,
     noteConfiguration: (name, configuration) => {
       const peer = peers.get(name);
       if (peer !== undefined) peer.configuration = configuration;
     },
     markBroken,
-    judge: (now) => {
+    updateStates: (now) => {
       for (const peer of peers.values()) judgeOne(peer, now);
       forget(now);
     },
-    forgive: (now) => {
+    resetTimeouts: (now) => {
       for (const peer of peers.values()) {
         peer.seenAt = now;
         if (peer.state === "suspect") peer.changedAt = now;
