--- a/src/commandLine/askRouters.ts
+++ b/src/commandLine/queryRouters.ts
@@ -46,7 +46,7 @@
  *
  * @returns The answers, in the order of `routers`.
  */
-export const askRouters = async <Value>(
+export const queryRouters = async <Value>(
   routers: readonly ListedVm[],
   ask: (url: string) => Promise<Value>,
 ): Promise<readonly RouterAnswer<Value>[]> => {
--- a/src/coordination/forwarding/applyAnnouncedHolders.ts
+++ b/src/coordination/forwarding/applyAnnouncedHolders.ts
@@ -31,6 +31,6 @@
   const stores = cacheStores();
   for (const { part, replica, isReady } of announced) {
     const holder = holderIdOf(replicas, stores, replica);
-    if (holder !== undefined) holders.noteKey(part, holder, isReady);
+    if (holder !== undefined) holders.notePart(part, holder, isReady);
   }
 };
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -80,7 +80,7 @@
     return storeReading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
-  const delegatesReads = (): boolean => peers.isLarge() && !peers.isReader();
+  const delegatesReads = (): boolean => peers.isLarge() && !peers.isStoreReader();
 
   const registryReadInterval = (): number => {
     if (delegatesReads()) return delegatedRegistryInterval;
@@ -156,8 +156,8 @@
       clock,
       bounds,
       isEnabled: peers.isLarge,
-      isReader: peers.isReader,
-      readers: peers.readers,
+      isReader: peers.isStoreReader,
+      readers: peers.otherStoreReaders,
       readAge: configuration.readAge,
       operator: {
         feed: operatorFeed,
@@ -204,7 +204,7 @@
     requestRead: () => {
       recovery.readCopies();
       if (peers.isLarge()) storeReading.requestRead();
-      else operatorFeed.hurry();
+      else operatorFeed.readNow();
     },
     readEpoch,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
