--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -86,8 +86,7 @@
     const stopper = createStopper(run.stopper);
     run.noteChoice(choice);
     const timeout = attemptTimeout(run);
-    const cancelTimeout =
-      timeout === undefined ? undefined : clock.after(timeout, () => stopper.stop("silent"));
+    const stopTimer = timeout === undefined ? undefined : clock.after(timeout, () => stopper.stop("silent"));
     metrics.count(metricNames.attempts);
     // A grant expires: if this process was paused since, the capacity may be granted to another request by now.
     const sendBefore = Math.min(deadline, grant?.until ?? deadline);
@@ -100,7 +99,7 @@
       const plan = { request, admission, choice, deadline, lastEventId, maySend, abandon };
       return await dependencies.attempt(plan, stopper.signal);
     } finally {
-      cancelTimeout?.();
+      stopTimer?.();
     }
   };
 
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -211,9 +211,8 @@
     const now = clock.monotonic();
     guard.detectPause(now);
     if (!guard.isTrusted(from)) return false;
-    const { nextWithin, leaving: isSenderLeaving, sightings } = message;
-    if (!directory.noteMessage(from.name, message.incarnation, nextWithin, isSenderLeaving, now))
-      return false;
+    const { nextWithin, leaving: isLeaving, sightings } = message;
+    if (!directory.noteMessage(from.name, message.incarnation, nextWithin, isLeaving, now)) return false;
     for (const { name: sightedName, incarnation: sightedIncarnation, age } of sightings) {
       directory.noteSighting(sightedName, sightedIncarnation, now - age, now);
     }
