--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -195,7 +195,7 @@
         coordination: keeping,
         replicas,
         clock,
-        announce: peers.tellLimit,
+        announce: peers.announceLimit,
         random,
       }),
       quarantine: noQuarantine,
--- a/src/coordination/forwarding/applyAnnouncedHolders.ts
+++ b/src/coordination/forwarding/applyAnnouncedHolders.ts
@@ -7,7 +7,7 @@
 
 export interface HolderDependencies {
   readonly replicas: Pick<ReplicaTable, "getByKey">;
-  readonly holders: Pick<CacheHolders, "noteKey">;
+  readonly holders: Pick<CacheHolders, "notePart">;
   /** @returns The configured cache stores. */
   readonly cacheStores: () => readonly CacheStore[];
 }
@@ -31,6 +31,6 @@
   const stores = cacheStores();
   for (const { part, replica, isReady } of announced) {
     const holder = holderIdOf(replicas, stores, replica);
-    if (holder !== undefined) holders.noteKey(part, holder, isReady);
+    if (holder !== undefined) holders.notePart(part, holder, isReady);
   }
 };
--- a/src/coordination/forwarding/applyPeerMessage.ts
+++ b/src/coordination/forwarding/applyPeerMessage.ts
@@ -15,7 +15,7 @@
   readonly clock: Clock;
   readonly replicas: ReplicaTable;
   readonly configuration: ConfigurationState;
-  readonly holders: Pick<CacheHolders, "noteKey">;
+  readonly holders: Pick<CacheHolders, "notePart">;
   /** Called when a peer knows of a newer configuration, or of newer wanted weights. */
   readonly onNewerConfiguration: () => void;
   /** Called when a peer knows of a newer epoch of the store. */
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -31,7 +31,7 @@
   readonly requestAdmission: RequestAdmission;
   readonly placement: Placement;
   readonly availability: Availability;
-  readonly owners: Pick<ReplicaOwners, "isNeeded" | "ask">;
+  readonly owners: Pick<ReplicaOwners, "isEnabled" | "query">;
   readonly attempt: ForwardAttempt;
   readonly grants: LimitGrants;
   readonly retryShare: RetryShare;
@@ -123,7 +123,7 @@
       search.limitedChoice(),
     );
     const askedAt = clock.monotonic();
-    const known = await owners.ask(replicas, keys);
+    const known = await owners.query(replicas, keys);
     run.noteOwnerQuery(replicas.length, known.length, Math.round(clock.monotonic() - askedAt));
     return known.length > 0 ? known : replicas;
   };
@@ -151,7 +151,7 @@
     if (search.wasLimited()) return grants.refuse(run);
     const retryAfter = availability.retryAfter(run.admission.service.name);
     if (retryAfter !== undefined) {
-      metrics.count(metricNames.turnedAwayUnavailable);
+      metrics.count(metricNames.rejectedUnavailable);
       return failures.unavailable(retryAfter, failure);
     }
     return failures.notRun(run.deadline - clock.monotonic(), failure);
@@ -173,7 +173,7 @@
     // crashes replicas.
     while (!quarantine.isQuarantined(run.request) && !search.isExhausted()) {
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
-      const known = owners.isNeeded() ? await queryOwners(run, excluded, isWide, search) : undefined;
+      const known = owners.isEnabled() ? await queryOwners(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
       run.noteSkipped(availability.describeSkipped(run.admission.service.name));
       if (typeof choice === "string") {
@@ -187,7 +187,7 @@
         continue;
       }
       const comeBackAfter = load.comeBackAfter(run, choice);
-      if (comeBackAfter !== undefined && owners.isNeeded() && !isWide) {
+      if (comeBackAfter !== undefined && owners.isEnabled() && !isWide) {
         isWide = true;
         continue;
       }
--- a/src/coordination/replicaLimits/coordinatedLimit.test.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.test.ts
@@ -5,11 +5,11 @@
 import { missingLimitsToEnd } from "./constants.ts";
 import { createCoordinatedLimit } from "./coordinatedLimit.ts";
 
-const span = (askedAt: number, heardAt: number): AnswerSpan => ({ askedAt, receivedAt: heardAt });
+const span = (askedAt: number, receivedAt: number): AnswerSpan => ({ askedAt, receivedAt });
 
-const reported = (perSecond: number, askedAt: number, heardAt: number) => ({
+const reported = (perSecond: number, askedAt: number, receivedAt: number) => ({
   perSecond,
-  ...span(askedAt, heardAt),
+  ...span(askedAt, receivedAt),
 });
 
 const start = () => createCoordinatedLimit(createManualClock(1_000), reported(2, 100, 200));
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -57,7 +57,7 @@
    * @param maxWait - The longest time for which the request may wait, milliseconds.
    * @returns The grant, or `undefined` if there is none; no promise where the replica has no limit.
    */
-  readonly take: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
+  readonly acquire: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
   /** An answer reported a limit. */
   readonly observeLimit: (replica: ReplicaState, reported: ReportedLimit) => void;
   /** An answer reported no limit. */
@@ -170,7 +170,7 @@
   };
 
   return {
-    take: (replica, maxWait) =>
+    acquire: (replica, maxWait) =>
       replica.limit === undefined ? undefined : requestGrant(replica, replica.limit, maxWait),
     observeLimit: (replica, reported) => {
       const known = replica.limit;
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -13,7 +13,7 @@
 import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { workWithout } from "../../state/forwarding/replicaState.ts";
+import { workExcluding } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
 import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
@@ -23,7 +23,7 @@
 
 export interface OwnedReplicasDependencies {
   readonly replicas: ReplicaTable;
-  readonly holders: Pick<CacheHolders, "noteKey" | "holdersOf">;
+  readonly holders: Pick<CacheHolders, "notePart" | "holdersOf">;
   /** @returns The configured cache stores, which keep prompt parts. */
   readonly cacheStores: () => readonly CacheStore[];
   readonly clock: Clock;
@@ -102,7 +102,7 @@
   const reportOn = (state: ReplicaState, asker: string): ReplicaReport => {
     // Answers of an earlier owner would otherwise be passed on forever, and keep all routers away from the replica.
     replicas.noteWorkAt(ownerAnswersSource, replicaKeyOf(state.entry.id), noWork);
-    const work = workWithout(state, reportSourceOf(asker));
+    const work = workExcluding(state, reportSourceOf(asker));
     return {
       replica: replicaKeyOf(state.entry.id),
       requests: work.requests,
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -24,14 +24,14 @@
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
   /** @returns Whether there are enough routers for work to be reported to owners instead of all peers. */
-  readonly isNeeded: () => boolean;
+  readonly isEnabled: () => boolean;
 }
 
 export interface WorkReports extends AsyncDisposable {
   /** Reports that a request of this router has just been sent to a replica. */
-  readonly noteBegin: (replica: ReplicaState) => void;
+  readonly noteRequestSent: (replica: ReplicaState) => void;
   /** Reports that a prompt was computed or a request has ended. */
-  readonly noteChange: (replica: ReplicaState) => void;
+  readonly noteWorkChanged: (replica: ReplicaState) => void;
   /**
    * Reports that a replica or a cache store computes or keeps a prompt part.
    *
@@ -58,7 +58,7 @@
 
 /** Starts to report to owners until it is disposed of. */
 export const createWorkReports = (dependencies: WorkReportsDependencies): WorkReports => {
-  const { name, incarnation, link, owners, replicas, clock, isNeeded } = dependencies;
+  const { name, incarnation, link, owners, replicas, clock, isEnabled } = dependencies;
   const pending = new Map<string, Pending>();
   let sequence = 0;
   let cancelFlush: (() => void) | undefined;
@@ -105,7 +105,7 @@
   /** Repeats reports for new owners, and in case earlier reports got lost. */
   const repeat = (): void => {
     cancelRepeat = clock.after(reportRepeatInterval, repeat);
-    if (!isNeeded()) return;
+    if (!isEnabled()) return;
     const busy = replicas.all().filter(({ requests, isUnreachable }) => requests > 0 || isUnreachable);
     busy.forEach(addPending);
     if (pending.size > 0) flush();
@@ -113,13 +113,13 @@
   let cancelRepeat = clock.after(reportRepeatInterval, repeat);
 
   return {
-    noteBegin: (replica) => {
-      if (!isNeeded()) return;
+    noteRequestSent: (replica) => {
+      if (!isEnabled()) return;
       addPending(replica);
       flush();
     },
-    noteChange: (replica) => {
-      if (!isNeeded()) return;
+    noteWorkChanged: (replica) => {
+      if (!isEnabled()) return;
       addPending(replica);
       flushSoon();
     },
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -51,7 +51,7 @@
       state.readAt = Math.max(state.readAt, askedAt);
       return true;
     };
-    const hurry = (): void => {
+    const readNow = (): void => {
       const askedAt = clock.monotonic();
       void read().then((end) => {
         if (end !== undefined) state.registryProvenAt = Math.max(state.registryProvenAt, askedAt);
@@ -71,7 +71,7 @@
       readers,
       readAge: () => clock.monotonic() - state.readAt,
       operator: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow },
         lastChangePosition: () => new StorePosition(state.epoch, state.offset),
         age: () => clock.monotonic() - state.provenAt,
         confirm: (moment) => {
@@ -79,7 +79,7 @@
         },
       },
       replicas: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow },
         lastChangePosition: () => new StorePosition(state.epoch, 0),
         age: () => clock.monotonic() - state.registryProvenAt,
         confirm: (moment) => {
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -29,7 +29,7 @@
 
 /** A router's state of one kind of records: the operator's, or the registry. */
 export interface FollowedRecords {
-  readonly feed: Pick<FeedFollower, "position" | "check" | "hurry">;
+  readonly feed: Pick<FeedFollower, "position" | "check" | "readNow">;
   /**
    * @returns The position after the last record that may change a decision; `undefined` before the first read of an
    * epoch.
@@ -89,7 +89,7 @@
   let mayCheckAt = Number.NEGATIVE_INFINITY;
   let failures = 0;
   let failedAt = Number.NEGATIVE_INFINITY;
-  let hurriedAt = Number.NEGATIVE_INFINITY;
+  let registryReadAt = Number.NEGATIVE_INFINITY;
 
   const check = async (): Promise<void> => {
     if (isChecking || clock.monotonic() < mayCheckAt) return;
@@ -126,7 +126,7 @@
     const since = question.askedAt;
     question = undefined;
     if (!applyProof(operator, answer.operator, since)) void check();
-    if (!applyProof(replicas, answer.replicas, since)) replicas.feed.hurry();
+    if (!applyProof(replicas, answer.replicas, since)) replicas.feed.readNow();
   };
 
   const progressOf = ({ lastChangePosition: changedAt, age }: FollowedRecords): ReadProgress | undefined => {
@@ -163,9 +163,9 @@
   const readRegistry = (): void => {
     // If the router's own reads of the operator's records fail, a read of the registry would fail too.
     const interval = failures > 0 ? ownReadRetryDelays.longest : ownRegistryReadInterval;
-    if (clock.monotonic() - hurriedAt < interval) return;
-    hurriedAt = clock.monotonic();
-    replicas.feed.hurry();
+    if (clock.monotonic() - registryReadAt < interval) return;
+    registryReadAt = clock.monotonic();
+    replicas.feed.readNow();
   };
 
   const checkFreshness = (): void => {
--- a/src/daemons/forwardingDaemon.ts
+++ b/src/daemons/forwardingDaemon.ts
@@ -1,7 +1,7 @@
 /** Runs a forwarding router as a process: settings, signals and shutdown. */
 import { statSync } from "node:fs";
 import { createBoundedLogSink } from "../state/boundedLogSink.ts";
-import { createLogger, directLogs } from "../state/log.ts";
+import { createLogger, setLogSink } from "../state/log.ts";
 import { FileError } from "../protocol/errors.ts";
 import type { ConnectPlatform } from "../protocol/forwarding/ForwardingPlatform.ts";
 import { startForwardingRouter } from "./forwardingRouter.ts";
@@ -14,7 +14,7 @@
 /** Enough for a line for each request of a busy router. Lines beyond this rate are dropped. */
 const linesPerSecond = 200;
 /** Lines are also dropped while more bytes than this wait for the log reader. */
-const mostBytesWaiting = 256 * 1024;
+const maxBufferedBytes = 256 * 1024;
 
 /** How often the settings file is checked for changes made without a signal, milliseconds. */
 const settingsCheckInterval = 2_000;
@@ -85,16 +85,16 @@
 export const runForwardingDaemon = async (file: string, connect: ConnectPlatform): Promise<number> => {
   const now = (): number => performance.now();
   const output = process.stdout;
-  directLogs(createBoundedLogSink({ output, fields: {}, now, linesPerSecond, mostBytesWaiting }));
+  setLogSink(createBoundedLogSink({ output, fields: {}, now, linesPerSecond, maxBufferedBytes }));
   const settings = readSettings(file);
   if (settings === undefined) return exitCodes.badSettings;
-  directLogs(
+  setLogSink(
     createBoundedLogSink({
       output,
       fields: { router: settings.name },
       now,
       linesPerSecond,
-      mostBytesWaiting,
+      maxBufferedBytes,
     }),
   );
   reportFaults();
--- a/src/daemons/forwardingView.ts
+++ b/src/daemons/forwardingView.ts
@@ -164,7 +164,7 @@
     coordination: keyCoordination,
     replicas,
     clock,
-    announce: peers.tellLimit,
+    announce: peers.announceLimit,
     random: Math.random,
   });
 
--- a/src/daemons/storeFollowing.test.ts
+++ b/src/daemons/storeFollowing.test.ts
@@ -79,9 +79,9 @@
       peers: {
         countServing: () => 10,
         isLarge: () => true,
-        isReader: () => true,
+        isStoreReader: () => true,
         live: () => [],
-        readers: () => [],
+        otherStoreReaders: () => [],
       },
       onConfiguration: () => undefined,
     });
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -45,7 +45,10 @@
   readonly bounds: ForwardingBounds;
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
-  readonly peers: Pick<RouterPeers, "countServing" | "isLarge" | "isReader" | "live" | "readers">;
+  readonly peers: Pick<
+    RouterPeers,
+    "countServing" | "isLarge" | "isStoreReader" | "live" | "otherStoreReaders"
+  >;
   /** Called when a configuration was received; its limits may differ. */
   readonly onConfiguration: () => void;
 }
@@ -80,7 +83,7 @@
     return storeReading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
-  const delegatesReads = (): boolean => peers.isLarge() && !peers.isReader();
+  const delegatesReads = (): boolean => peers.isLarge() && !peers.isStoreReader();
 
   const registryReadInterval = (): number => {
     if (delegatesReads()) return delegatedRegistryInterval;
@@ -156,8 +159,8 @@
       clock,
       bounds,
       isEnabled: peers.isLarge,
-      isReader: peers.isReader,
-      readers: peers.readers,
+      isReader: peers.isStoreReader,
+      readers: peers.otherStoreReaders,
       readAge: configuration.readAge,
       operator: {
         feed: operatorFeed,
@@ -204,7 +207,7 @@
     requestRead: () => {
       recovery.readCopies();
       if (peers.isLarge()) storeReading.requestRead();
-      else operatorFeed.hurry();
+      else operatorFeed.readNow();
     },
     readEpoch,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
