--- a/src/coordination/claims/partitionReader.ts
+++ b/src/coordination/claims/partitionReader.ts
@@ -39,7 +39,7 @@
   position: number;
 }
 
-/** Creates a reader, which reads nothing until the first look-up. */
+/** Creates a reader, which reads nothing until the first lookup. */
 export const createPartitionReader = (log: LogService, stream: string): PartitionReader => {
   let open: OpenIndex | undefined;
   let reading: Promise<unknown> = Promise.resolve();
--- a/src/coordination/configurationIndex.ts
+++ b/src/coordination/configurationIndex.ts
@@ -1,4 +1,4 @@
-/** Look-up tables by name for one version of the configuration, built once for each version. */
+/** Lookup tables by name for one version of the configuration, built once for each version. */
 import type {
   ClassConfiguration,
   Configuration,
@@ -8,7 +8,7 @@
   ServiceConfiguration,
 } from "../protocol/configuration/schema.ts";
 
-/** One version of the configuration with its look-up tables. */
+/** One version of the configuration with its lookup tables. */
 export interface ConfigurationIndex {
   /** Log offset of the configuration. */
   readonly version: number;
@@ -27,7 +27,7 @@
   new Map(items.map((item) => [item.name, item]));
 
 /**
- * Builds the look-up tables.
+ * Builds the lookup tables.
  *
  * @param version - Log offset of the configuration.
  */
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -45,7 +45,7 @@
   readonly holdersOf: (key: number) => readonly PartHolder[];
   /** @returns The keys of a prompt's reusable parts. */
   readonly keysOf: (salt: string, prompt: Prompt) => readonly number[];
-  /** Records that a store of prompt parts reports a part as saved or dropped. */
+  /** Records that a cache store reports a part as saved or dropped. */
   readonly noteStoreChange: (store: string, change: CacheChange) => void;
   /** Records a part that a peer announced. */
   readonly notePart: (key: number, holder: string, isReady: boolean) => void;
--- a/src/coordination/forwarding/cacheStoreFollower.test.ts
+++ b/src/coordination/forwarding/cacheStoreFollower.test.ts
@@ -53,7 +53,7 @@
   return { follower, pollOnce, saved, sinceNumbers };
 };
 
-describe("following a store of prompt parts", () => {
+describe("following a cache store", () => {
   it("keeps what the store has reported, however much time passes", async () => {
     const { follower, pollOnce, saved, sinceNumbers } = create();
     expect(follower.findStore(1)).toEqual(undefined);
@@ -84,7 +84,7 @@
   });
 });
 
-describe("following several stores of prompt parts", () => {
+describe("following several cache stores", () => {
   const stores = ["10.0.0.8:8000", "10.0.0.9:8000"].map((address) => ({ ...store, address }));
   const parts = Array.from({ length: 1_000 }, (_, index) => Math.imul(index + 1, 0x9e3779b1) >>> 0);
 
--- a/src/coordination/forwarding/cacheStoreFollower.ts
+++ b/src/coordination/forwarding/cacheStoreFollower.ts
@@ -1,5 +1,5 @@
 /**
- * Polls the stores of prompt parts for their contents, and assigns each part to one of the stores.
+ * Polls the cache stores, which keep prompt parts for engines, for their contents, and assigns each part to one of the stores.
  *
  * A store reports the parts that it saves and drops, so its contents need not be estimated from its memory size. After
  * a restart, which loses everything, it answers with another incarnation, and its entries are removed. While a store
--- a/src/coordination/forwarding/constants.ts
+++ b/src/coordination/forwarding/constants.ts
@@ -114,16 +114,16 @@
 export const holderTtl = 60_000;
 
 /**
- * Interval between two polls of a store of prompt parts. A restart, which loses the store's contents, is detected
+ * Interval between two polls of a cache store. A restart, which loses the store's contents, is detected
  * within it, and a saved part can be found after it. Grows with the number of routers, so that the store's polling
  * load stays constant.
  */
 export const cacheStorePollInterval = 1_000;
 
-/** Up to this number of routers, each polls the store of prompt parts at the shortest interval. */
+/** Up to this number of routers, each polls the cache store at the shortest interval. */
 export const cacheStorePollersAtShortestInterval = 12;
 
-/** A store of prompt parts that takes longer to answer counts as down or cut off, and no parts are copied from it. */
+/** A cache store that takes longer to answer counts as down or cut off, and no parts are copied from it. */
 export const cacheStoreTimeout = 400;
 
 /** Smoothing factor of the average share of parts that were lost before they were used again. */
--- a/src/coordination/forwarding/enginePlacement.test.ts
+++ b/src/coordination/forwarding/enginePlacement.test.ts
@@ -32,7 +32,7 @@
 /**
  * @param isShortlisted - Whether only the shortlist is compared instead of all engines.
  * @param lossShare - Share of parts that were lost before they were used again.
- * @param store - The store of prompt parts, if there is one.
+ * @param store - The cache store, if there is one.
  */
 const create = (
   ids: readonly string[],
--- a/src/coordination/forwarding/partSaving.ts
+++ b/src/coordination/forwarding/partSaving.ts
@@ -1,5 +1,5 @@
 /**
- * Decides which prompts have their parts saved in a store of prompt parts.
+ * Decides which prompts have their parts saved in a cache store.
  *
  * Handles memory pressure: the engines' memory holds less than prompts share, so a part is evicted before its next use
  * and no engine has it any more. Saving uses the links of the engine and the store, which copies between engines need
--- a/src/coordination/forwarding/promptView.ts
+++ b/src/coordination/forwarding/promptView.ts
@@ -13,7 +13,7 @@
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
   readonly holders: CacheHolders;
-  /** @returns The store of prompt parts for a part hash; `undefined` if none answers. */
+  /** @returns The cache store for a part hash; `undefined` if none answers. */
   readonly findStore: (part: number) => CacheStore | undefined;
 }
 
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -112,7 +112,7 @@
     expect(second.configuration.provenAt() > provenAt - 1_000).toEqual(true);
   });
 
-  it("take no proof that was told to the process that ran here before", () => {
+  it("accept no proof that was sent to the process that ran here before", () => {
     const { first, second, run, entries, clock, network, restart } = create(["a", "b"]);
     second.peers.add(entries);
     first.configuration.confirm(clock.monotonic());
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -303,8 +303,7 @@
       return peers.all().filter(({ name }) => names.has(name));
     },
     countServing: () => 1 + peers.all().filter(peers.mayServe).length,
-    announceWeights: (replica, model, version) =>
-      announceSoon(() => updates.addWeights(replica, model, version)),
+    announceWeights: (id, model, version) => announceSoon(() => updates.addWeights(id, model, version)),
     announceChanging: (replica, until) => announceSoon(() => updates.addChanging(replica, until)),
     announceLeaving: (replica) => announceSoon(() => updates.addLeaving(replica)),
     announceWork,
--- a/src/coordination/orders/retryDelays.ts
+++ b/src/coordination/orders/retryDelays.ts
@@ -1,4 +1,4 @@
-/** Exponential back-off for engines that failed. */
+/** Exponential backoff for engines that failed. */
 import type { Clock } from "../clock.ts";
 import { initialRetryDelay, maxRetryDelay } from "./constants.ts";
 
--- a/src/coordination/replicaOwners/constants.ts
+++ b/src/coordination/replicaOwners/constants.ts
@@ -1,6 +1,6 @@
-/** Limits of asking the owners of replicas. Durations are milliseconds. */
+/** Limits of querying the owners of replicas. Durations are milliseconds. */
 
-/** Candidates for the owner of a replica, in rank order; with all of them unreachable no owner is asked. */
+/** Candidates for the owner of a replica, in rank order; with all of them unreachable no owner is queried. */
 export const maxOwnerCandidates = 3;
 
 /** Interval of reading the list of live routers: a lost owner is noticed earlier, by its missing answers. */
@@ -25,16 +25,16 @@
 export const answerTimeWeight = 0.1;
 
 /**
- * Replicas that are asked about for one request: homes of its deepest shared part, known holders, and random others.
+ * Replicas that are queried for one request: homes of its deepest shared part, known holders, and random others.
  * The wide number of random others is used before a request is shed, since another replica may be able to answer it
  * in time.
  */
 export const queriedReplicas = { homes: 2, holders: 1, others: 1, wide: 8 } as const;
 
-/** Number of weights versions, newest first, whose replicas are asked about: during a roll-out few run the newest. */
+/** Number of weights versions, newest first, whose replicas are queried: during a roll-out few run the newest. */
 export const queriedVersions = 2;
 
-/** Replicas that are asked about for plain services, whose replicas cache nothing: near ones, and random others. */
+/** Replicas that are queried for plain services, whose replicas cache nothing: near ones, and random others. */
 export const queriedPlainReplicas = { near: 1, others: 2 } as const;
 
 /** Prompts computed and requests ended within this interval share a report. */
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -1,4 +1,4 @@
-/** The state of replicas at their owner: aggregates the work that routers report, and answers their questions. */
+/** The state of replicas at their owner: aggregates the work that routers report, and answers their queries. */
 import type {
   AnswerMessage,
   AskMessage,
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the owners of a few replicas for their current state, right before a request is placed.
+ * Queries the owners of a few replicas for their current state, right before a request is placed.
  *
  * The load pattern behind it: where two hundred routers each have two or three requests a second, periodic updates
  * between them are seconds old, and each router sends its work where others have just sent theirs. Without the
@@ -39,29 +39,29 @@
   readonly receiveAnswer: (answer: AnswerMessage) => void;
 }
 
-/** What one owner is asked for a question. */
-interface OwnerQuestion {
+/** The part of a query that is sent to one owner. */
+interface OwnerQuery {
   readonly owner: LiveRouter;
   readonly replicas: readonly ReplicaState[];
 }
 
-/** One question about several replicas, asked of each of their owners. */
+/** One query about several replicas, sent to each of their owners. */
 interface Question {
   readonly askedAt: number;
   /** The owners that have not answered yet, by message number. */
-  readonly waiting: Map<number, OwnerQuestion>;
+  readonly waiting: Map<number, OwnerQuery>;
   readonly known: ReplicaState[];
   readonly finish: () => void;
 }
 
-/** Number of timed-out questions whose late answers are still recognised. */
+/** Number of timed-out queries whose late answers are still recognised. */
 const maxTimedOut = 100;
 
 /** Creates the queries of one router. */
 export const createOwnerQueries = (dependencies: OwnerQueriesDependencies): OwnerQueries => {
   const { name, link, owners, clock } = dependencies;
   const open = new Map<number, Question>();
-  /** Timed-out questions by number: a late answer shows that the owner is reachable. */
+  /** Timed-out queries by number: a late answer shows that the owner is reachable. */
   const timedOut = new Map<number, LiveRouter>();
   let number = 0;
   const times = createAdaptiveTimeout({
@@ -81,8 +81,8 @@
     return byOwner;
   };
 
-  const expire = (question: Question): void => {
-    for (const [key, { owner, replicas }] of question.waiting) {
+  const expire = (query: Question): void => {
+    for (const [key, { owner, replicas }] of query.waiting) {
       dependencies.invalidate(replicas);
       open.delete(key);
       timedOut.set(key, owner);
@@ -90,10 +90,10 @@
     }
     const oldest = timedOut.size > maxTimedOut ? timedOut.keys().next().value : undefined;
     if (oldest !== undefined) timedOut.delete(oldest);
-    question.finish();
+    query.finish();
   };
 
-  const ask: OwnerQueries["query"] = (replicas, keys) =>
+  const startQuery: OwnerQueries["query"] = (replicas, keys) =>
     new Promise((resolve) => {
       const known: ReplicaState[] = [];
       const byOwner = groupByOwner(replicas, known);
@@ -106,12 +106,12 @@
         cancel();
         resolve(known);
       };
-      const question: Question = { askedAt: clock.monotonic(), waiting: new Map(), known, finish };
-      const cancel = clock.after(times.timeout(), () => expire(question));
+      const query: Question = { askedAt: clock.monotonic(), waiting: new Map(), known, finish };
+      const cancel = clock.after(times.timeout(), () => expire(query));
       for (const [owner, owned] of byOwner) {
         number += 1;
-        question.waiting.set(number, { owner, replicas: owned });
-        open.set(number, question);
+        query.waiting.set(number, { owner, replicas: owned });
+        open.set(number, query);
         const keysOfReplicas = owned.map(({ entry }) => replicaKeyOf(entry.id));
         link.send(
           owner.at,
@@ -121,17 +121,17 @@
     });
 
   const receiveAnswer = (answer: AnswerMessage): void => {
-    const question = open.get(answer.number);
-    const owner = question?.waiting.get(answer.number)?.owner ?? timedOut.get(answer.number);
+    const query = open.get(answer.number);
+    const owner = query?.waiting.get(answer.number)?.owner ?? timedOut.get(answer.number);
     timedOut.delete(answer.number);
     if (owner !== undefined) owners.noteAnswer(owner.name);
-    if (question === undefined) return;
+    if (query === undefined) return;
     open.delete(answer.number);
-    question.waiting.delete(answer.number);
-    times.observe(clock.monotonic() - question.askedAt);
-    question.known.push(...dependencies.applyAnswer(answer));
-    if (question.waiting.size === 0) question.finish();
+    query.waiting.delete(answer.number);
+    times.observe(clock.monotonic() - query.askedAt);
+    query.known.push(...dependencies.applyAnswer(answer));
+    if (query.waiting.size === 0) query.finish();
   };
 
-  return { query: ask, receiveAnswer };
+  return { query: startQuery, receiveAnswer };
 };
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -101,7 +101,7 @@
 const mayContinue = ({ dependencies, job, state }: RunScope): boolean =>
   !dependencies.quarantine.isQuarantined(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
 
-/** Waits for the back-off delay of the next attempt; throws `RequestError` if there is to be no retry. */
+/** Waits for the backoff delay of the next attempt; throws `RequestError` if there is to be no retry. */
 const waitBeforeRetry = async (scope: RunScope, error: unknown): Promise<void> => {
   const { dependencies, state, stopper, retries } = scope;
   const delay = retries.decide(error, toProgress(scope), state.excluded);
--- a/src/coordination/requests/constants.ts
+++ b/src/coordination/requests/constants.ts
@@ -6,11 +6,11 @@
 /** `Retry-After` of a refusal for which no better estimate is known. */
 export const defaultRetryAfterSeconds = 1;
 
-/** Maximum back-off before the first retry; doubled for each further one. */
-export const initialBackOff = 20;
+/** Maximum backoff before the first retry; doubled for each further one. */
+export const initialBackoff = 20;
 
-/** Upper bound of the back-off before any retry. */
-export const maxBackOff = 500;
+/** Upper bound of the backoff before any retry. */
+export const maxBackoff = 500;
 
 /** Retries that a class can accumulate; also the number by which continuations of streams can overdraw the budget. */
 export const maxRetryBalance = 50;
--- a/src/coordination/scheduling/homeConfidence.ts
+++ b/src/coordination/scheduling/homeConfidence.ts
@@ -7,7 +7,7 @@
 export interface HomeConfidence {
   /**
    * @param rate - Requests of all routers for the prefix, per millisecond; 0 if this router has seen it at most once.
-   * @param knownFor - Milliseconds since the engine's current incarnation and weights were first seen.
+   * @param identityAge - Milliseconds since the engine's current incarnation and weights were first seen.
    * @returns The confidence, 0 to 1.
    */
   readonly of: (organisation: string, rate: number, identityAge: number) => number;
--- a/src/coordination/storeReading/constants.ts
+++ b/src/coordination/storeReading/constants.ts
@@ -16,16 +16,16 @@
 export const freshnessCheckInterval = 250;
 
 /**
- * Between two questions to readers, which answer at once. At most a share of the time in which a draining replica may
+ * Between two queries to readers, which answer at once. At most a share of the time in which a draining replica may
  * still get work.
  */
 export const proofInterval = { longest: 900, drainShare: 0.2 } as const;
 
-/** A question without an answer after this time is put to the next reader at the next freshness check. */
+/** A query without an answer after this time is sent to the next reader at the next freshness check. */
 export const proofTimeout = 200;
 
 /**
- * Share of the time in which a key may be served after its end, after which a reader reads again. With a question every
+ * Share of the time in which a key may be served after its end, after which a reader reads again. With a query every
  * 0.9 s the proofs of other routers are at most half of that time old.
  */
 export const readerReadAgeShare = 0.25;
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -1,8 +1,8 @@
 /**
  * In a large deployment a few routers of each data centre, the readers, read the platform's store for the others,
- * which ask them how far they have read and how long ago. A router without a timely answer reads for itself.
+ * which query them how far they have read and how long ago. A router without a timely answer reads for itself.
  *
- * An answer is a proof that nothing newer had been published at a given time: the time at which the question was
+ * An answer is a proof that nothing newer had been published at a given time: the time at which the query was
  * sent, less the age that the reader reports. It is valid only for a router that has itself applied all records up to
  * the reader's position.
  */
@@ -64,7 +64,7 @@
   readonly askedAt: number;
 }
 
-/** Each process numbers its questions from a random start below this bound. */
+/** Each process numbers its queries from a random start below this bound. */
 const firstNumberBound = 2 ** 40;
 
 export interface StoreReading extends AsyncDisposable {
@@ -82,7 +82,7 @@
 export const startStoreReading = (dependencies: StoreReadingDependencies): StoreReading => {
   const { link, clock, bounds, operator, replicas, random } = dependencies;
   let number = Math.floor(random() * firstNumberBound);
-  let question: Question | undefined;
+  let pending: Question | undefined;
   let askedAt = Number.NEGATIVE_INFINITY;
   let readerIndex = 0;
   let isChecking = false;
@@ -103,13 +103,13 @@
     mayCheckAt = clock.monotonic() + delay;
   };
 
-  const ask = (): void => {
+  const sendQuery = (): void => {
     const readers = dependencies.readers();
     const reader = readers[readerIndex % Math.max(1, readers.length)];
     if (reader === undefined) return;
     number += 1;
     askedAt = clock.monotonic();
-    question = { number, askedAt };
+    pending = { number, askedAt };
     link.send(reader.at, encodeProofMessage({ kind: "question", number }));
   };
 
@@ -122,9 +122,9 @@
   };
 
   const applyAnswer = (answer: ProofAnswer): void => {
-    if (question?.number !== answer.number) return;
-    const since = question.askedAt;
-    question = undefined;
+    if (pending?.number !== answer.number) return;
+    const since = pending.askedAt;
+    pending = undefined;
     if (!applyProof(operator, answer.operator, since)) void check();
     if (!applyProof(replicas, answer.replicas, since)) replicas.feed.readNow();
   };
@@ -152,12 +152,12 @@
     if (reply !== undefined) link.send(from, reply);
   });
 
-  const askIfDue = (): void => {
+  const queryIfDue = (): void => {
     const since = clock.monotonic() - askedAt;
-    const isTimedOut = question !== undefined && since >= proofTimeout;
+    const isTimedOut = pending !== undefined && since >= proofTimeout;
     if (isTimedOut) readerIndex += 1;
     const interval = Math.min(proofInterval.longest, bounds.drain * proofInterval.drainShare);
-    if (isTimedOut || since >= interval) ask();
+    if (isTimedOut || since >= interval) sendQuery();
   };
 
   const readRegistry = (): void => {
@@ -178,7 +178,7 @@
       if (dependencies.readAge() > bounds.keyRevocation * readerReadAgeShare) void check();
       return;
     }
-    askIfDue();
+    queryIfDue();
     if (operator.age() > bounds.keyRevocation * ownReadAgeShare) void check();
   };
   let cancel = clock.after(random() * freshnessCheckInterval, checkFreshness);
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/peerExchanges.ts
@@ -22,7 +22,7 @@
 import type { RouterSettings } from "./routerSettings.ts";
 
 /** The state that a router exchanges with its peers. */
-export interface RouterPeersDependencies {
+export interface PeerExchangesDependencies {
   readonly settings: RouterSettings;
   readonly history: ConfigurationHistory;
   readonly engines: EngineDirectory;
@@ -35,7 +35,7 @@
 }
 
 /** A router's membership and exchanges, until it is disposed of. */
-export interface RouterPeers extends AsyncDisposable {
+export interface PeerExchanges extends AsyncDisposable {
   readonly membership: Membership;
   readonly configuration: ConfigurationExchange;
   /**
@@ -63,7 +63,7 @@
 }
 
 /** Creates the exchanges; nothing is sent or received before `listen`. */
-export const createRouterPeers = (dependencies: RouterPeersDependencies): RouterPeers => {
+export const createPeerExchanges = (dependencies: PeerExchangesDependencies): PeerExchanges => {
   const resources = createResourceStack();
   const { settings, history, engines, clock, metrics } = dependencies;
   const { name, dataCentre, peers } = settings;
--- a/src/state/peerDirectory.ts
+++ b/src/state/peerDirectory.ts
@@ -146,7 +146,7 @@
     if (vm.state === "leaving") setState(peer, "leaving", now);
   };
 
-  /** True for a peer that left the VM list before it sent a message, or that has been dead or leaving for `memory`. */
+  /** True for a peer that left the VM list before it sent a message, or that has been dead or leaving for `retention`. */
   const isExpired = (peer: Peer, now: number): boolean => {
     if (peer.listed) return false;
     if (peer.state === "listed") return true;
