--- a/src/commandLine/commands/configurationCheck.ts
+++ b/src/commandLine/commands/configurationCheck.ts
@@ -12,7 +12,7 @@
   static override usage = Command.Usage({
     category: "Configuration",
     description: "Check a configuration file without publishing it",
-    details: "Names everything that is wrong with the file at once. Talks to nobody.",
+    details: "Lists all problems of the file at once. Connects to nothing.",
     examples: [["Check a file", "$0 configuration check examples/levant.json"]],
   });
 
--- a/src/commandLine/commands/configurationHistory.ts
+++ b/src/commandLine/commands/configurationHistory.ts
@@ -32,7 +32,7 @@
 
   static override usage = Command.Usage({
     category: "Configuration",
-    description: "List the last publications and what became of each",
+    description: "List the last publications with their outcomes",
     details: "Reads the log as routers do. A version's number is the offset of its publication.",
   });
 
--- a/src/commandLine/commands/configurationPublish.ts
+++ b/src/commandLine/commands/configurationPublish.ts
@@ -53,14 +53,14 @@
 
   static override usage = Command.Usage({
     category: "Configuration",
-    description: "Publish a complete configuration file and read back what became of it",
+    description: "Publish a complete configuration file and read back the outcome",
     details: `
       The file is checked, compared with the version in force, and appended to the log as a whole change.
       If somebody else published in between, nothing changes and the winning version is named (exit code 3).
       A lost answer is resolved by reading the log.
 
       Exit codes: 0 in force; 2 the file or a setting is wrong; 3 another publication was first; 4 void for
-      another reason; 5 nobody could be asked what became of it; 6 the log did not answer and nothing
+      another reason; 5 the outcome could not be read; 6 the log did not answer and nothing
       changed; 7 the log no longer tells which version is in force.
     `,
     examples: [
--- a/src/commandLine/commands/explain.ts
+++ b/src/commandLine/commands/explain.ts
@@ -21,9 +21,9 @@
 
   static override usage = Command.Usage({
     category: "Failures",
-    description: "Tell what became of a request, from the logs of the routers",
+    description: "Reconstruct what happened to a request from the logs of the routers",
     details:
-      "Reads the log lines of any number of routers, from files or from standard input, and puts in order what was decided about one request, what was believed then, and how old that was.",
+      "Reads the log lines of any number of routers, from files or from standard input, and puts in order what was decided about one request, what the router knew then, and how old that was.",
     examples: [["From files", "$0 explain 9c41d07be2a35f68 router-1.log router-2.log"]],
   });
 
--- a/src/commandLine/askRouters.ts
+++ b/src/commandLine/queryRouters.ts
@@ -29,12 +29,12 @@
   throw commandError(`The VM list has no router "${router}"`, "notFound");
 };
 
-const askRouter = async <Value>(
+const queryRouter = async <Value>(
   vm: ListedVm,
-  ask: (url: string) => Promise<Value>,
+  query: (url: string) => Promise<Value>,
 ): Promise<RouterAnswer<Value>> => {
   try {
-    return { reached: true, vm, value: await ask(vm.url) };
+    return { reached: true, vm, value: await query(vm.url) };
   } catch (error) {
     if (error instanceof PlatformError) return { reached: false, vm, cause: error.message };
     throw error;
@@ -46,15 +46,15 @@
  *
  * @returns The answers, in the order of `routers`.
  */
-export const askRouters = async <Value>(
+export const queryRouters = async <Value>(
   routers: readonly ListedVm[],
-  ask: (url: string) => Promise<Value>,
+  query: (url: string) => Promise<Value>,
 ): Promise<readonly RouterAnswer<Value>[]> => {
   const answers = new Array<RouterAnswer<Value>>(routers.length);
   const pending = routers.entries();
-  const askNext = async (): Promise<void> => {
-    for (const [index, vm] of pending) answers[index] = await askRouter(vm, ask);
+  const queryNext = async (): Promise<void> => {
+    for (const [index, vm] of pending) answers[index] = await queryRouter(vm, query);
   };
-  await Promise.all(Array.from({ length: concurrency }, askNext));
+  await Promise.all(Array.from({ length: concurrency }, queryNext));
   return answers;
 };
--- a/src/commandLine/requestTimeline.ts
+++ b/src/commandLine/requestTimeline.ts
@@ -164,7 +164,7 @@
   },
   {
     applies: (_, requestLines) => requestLines.some((line) => fieldOf(line, "fault") === "wrong_weights"),
-    text: "the replica ran other weights than the router believed",
+    text: "the replica ran other weights than the router assumed",
   },
   {
     applies: (end, requestLines) =>
@@ -196,7 +196,7 @@
     applies: (end) =>
       (numberOf(end, "milliseconds") ?? 0) >
       latePredictionFactor * (numberOf(end, "predictedWait") ?? Infinity),
-    text: "it took far longer than predicted: the router did not know of work that stood before it",
+    text: "it took far longer than predicted: the router did not know of work that was queued before it",
   },
 ];
 
--- a/src/coordination/coordinators/constants.ts
+++ b/src/coordination/coordinators/constants.ts
@@ -1,7 +1,7 @@
 /** Constants for the coordination of keys. Durations are milliseconds. */
 
 /** Interval at which each router checks which keys it coordinates. */
-export const pollInterval = 250;
+export const roleCheckInterval = 250;
 
 /**
  * A router from which nothing was received for this long coordinates nothing any more: its successor takes over. It is
@@ -23,17 +23,17 @@
 /** Successors ask a coordinator for a heartbeat when nothing was received from it for this long. */
 export const probeAfter = 700;
 
-/** Successors stop monitoring a key that nobody has asked about for this long. */
+/** Successors stop monitoring a key that no query has concerned for this long. */
 export const monitorRetention = 30_000;
 
 /**
- * The number of routers, from the first of a key's order on, that monitor the key, and that one request asks one after
+ * The number of routers, from the first of a key's order on, that monitor the key, and that one request queries one after
  * another. Later routers follow where all of these are unreachable.
  */
 export const maxCandidates = 3;
 
 /** A process whose own timer fires this late was paused: its view of the other routers is out of date. */
-export const processPause = 1_000;
+export const minProcessPause = 1_000;
 
 /** Timeout of a query: a multiple of the average answer time, between two bounds. */
 export const answerTimeout = { factor: 4, shortest: 15, longest: 80 } as const;
@@ -42,7 +42,7 @@
 export const initialAnswerTime = 5;
 
 /** Weight of a new sample in the moving average of answer times. */
-export const answerTimeGain = 0.1;
+export const answerTimeSmoothing = 0.1;
 
-/** A router that did not answer, or does not coordinate the key it was asked about, is skipped for this long. */
+/** A router that did not answer, or does not coordinate the key it was queried for, is skipped for this long. */
 export const skipDuration = 400;
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -5,7 +5,7 @@
 import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
-import { answerTimeGain, answerTimeout, initialAnswerTime } from "./constants.ts";
+import { answerTimeSmoothing, answerTimeout, initialAnswerTime } from "./constants.ts";
 
 export interface CoordinatorQueriesDependencies {
   readonly link: DatagramLink;
@@ -21,7 +21,7 @@
    *
    * @returns The answer of that router, or `undefined` if none arrives within the timeout.
    */
-  readonly ask: (to: LiveRouter, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  readonly query: (to: LiveRouter, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
   /** Asks for a heartbeat: any answer counts as one. */
   readonly probe: (to: LiveRouter) => void;
   /** Resolves the query that an answer belongs to. */
@@ -39,7 +39,7 @@
  */
 const firstNumberBound = 2 ** 32;
 
-/** A question without an organisation asks for a heartbeat only. */
+/** A query without an organisation asks for a heartbeat only. */
 const heartbeatQuery: LimitQuestion = {
   kind: "question",
   number: 0,
@@ -59,12 +59,12 @@
   let lastNumber = Math.floor(random() * firstNumberBound);
   const times = createAdaptiveTimeout({
     initialLatency: initialAnswerTime,
-    smoothingFactor: answerTimeGain,
+    smoothingFactor: answerTimeSmoothing,
     timeoutRange: answerTimeout,
   });
 
   return {
-    ask: ({ at }, query) =>
+    query: ({ at }, query) =>
       new Promise((resolve) => {
         lastNumber += 1;
         const number = lastNumber;
--- a/src/coordination/coordinators/monitors.ts
+++ b/src/coordination/coordinators/monitors.ts
@@ -1,4 +1,4 @@
-/** The keys that a router monitors, since it may have to coordinate them or has been asked about them. */
+/** The keys that a router monitors, since it may have to coordinate them or has been queried for them. */
 import type { Clock } from "../clock.ts";
 import { monitorRetention, takeoverTimeout } from "./constants.ts";
 
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -104,9 +104,9 @@
   };
 
   /**
-   * Asks the owners of replicas for their current state.
+   * Queries the owners of replicas for their current state.
    *
-   * @returns The replicas whose owners answered in time; all that were asked about if none did.
+   * @returns The replicas whose owners answered in time; all that were queried if none did.
    */
   const queryOwners = async (
     run: ForwardRun,
--- a/src/coordination/forwarding/forwardRun.ts
+++ b/src/coordination/forwarding/forwardRun.ts
@@ -9,9 +9,9 @@
 import type { PlacementChoice } from "./placementTypes.ts";
 import type { Admission } from "./types.ts";
 
-/** Result of asking the owners of replicas for their state, for the log. */
+/** Result of querying the owners of replicas for their state, for the log. */
 export interface OwnerQueryStats {
-  /** Number of replicas asked about. */
+  /** Number of replicas queried. */
   readonly asked: number;
   /** Number of those for which an answer came in time. */
   readonly known: number;
@@ -41,7 +41,7 @@
   readonly noteWait: (milliseconds: number) => void;
   /** @returns Milliseconds that it has waited for prompt parts. */
   readonly waited: () => number;
-  /** Records the result of asking owners of replicas. */
+  /** Records the result of querying owners of replicas. */
   readonly noteOwnerQuery: (asked: number, known: number, milliseconds: number) => void;
   /** @returns The result of the last query to owners; `undefined` if there was none. */
   readonly ownerQuery: () => OwnerQueryStats | undefined;
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -117,7 +117,7 @@
   ): Promise<void> => {
     const unnamed = missing === undefined ? undefined : toReportedSpan(missing, clock.monotonic());
     const query = createQuery(replica, reported, { unnamed, isAsked: false, patience: 0 });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer?.verdict === "unlimited") endLimit(replica);
   };
 
@@ -152,7 +152,7 @@
       isAsked: true,
       patience: Math.max(0, Math.floor(maxWait)),
     });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer === undefined) return grantLocally(replica, reported);
     localBuckets.delete(replica.entry.id);
     if (answer.verdict === "unlimited") endLimit(replica);
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -12,7 +12,7 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
-import { answerTimeout, answerTimeWeight, initialAnswerTime } from "./constants.ts";
+import { answerTimeout, answerTimeSmoothing, initialAnswerTime } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
 
 export interface OwnerQueriesDependencies {
@@ -66,7 +66,7 @@
   let number = 0;
   const times = createAdaptiveTimeout({
     initialLatency: initialAnswerTime,
-    smoothingFactor: answerTimeWeight,
+    smoothingFactor: answerTimeSmoothing,
     timeoutRange: answerTimeout,
   });
 
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -1,9 +1,9 @@
 /**
  * Every replica has an owner, a router that aggregates the work of all routers there. A router that places a request
- * first asks the owners of a few replicas. Placement therefore knows the current work at each of them, however many
+ * first queries the owners of a few replicas. Placement therefore knows the current work at each of them, however many
  * routers there are, and the number of messages grows with the requests, not with the square of the routers.
  *
- * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is asked.
+ * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is queried.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { AnswerMessage } from "../../protocol/forwarding/ownerMessage.ts";
@@ -41,7 +41,7 @@
   /** @returns Whether this router is the owner of a replica. */
   readonly isOwnerOf: (replica: ReplicaState) => boolean;
   /**
-   * Asks the owners of replicas for their state.
+   * Queries the owners of replicas for their state.
    *
    * @param keys - Keys of the prompt's parts.
    * @returns The replicas whose state is known now.
--- a/src/coordination/requests/deliveredAnswer.ts
+++ b/src/coordination/requests/deliveredAnswer.ts
@@ -24,8 +24,8 @@
 });
 
 /** @returns Whether any piece has been delivered. */
-export const hasBegun = ({ tokens, textlessPieces: others }: DeliveredAnswer): boolean =>
-  tokens > 0 || others > 0;
+export const hasBegun = ({ tokens, textlessPieces }: DeliveredAnswer): boolean =>
+  tokens > 0 || textlessPieces > 0;
 
 /** Adds a piece to the delivered part. */
 export const notePiece = (answer: DeliveredAnswer, frame: AnswerFrame): void => {
--- a/src/coordination/requests/relay.ts
+++ b/src/coordination/requests/relay.ts
@@ -43,10 +43,10 @@
   };
 
   const createBatch = (received: readonly AnswerFrame[]): AnswerBatch => {
-    const { tokens: firstOffset, textlessPieces: firstOthers } = answer;
+    const { tokens: firstOffset, textlessPieces: precedingTextlessPieces } = answer;
     const frames = received.map((frame) => processPiece(frame, attempt.origin));
     retries.noteProgress();
-    return { frames, firstOffset, precedingTextlessPieces: firstOthers, ...attempt.origin };
+    return { frames, firstOffset, precedingTextlessPieces, ...attempt.origin };
   };
 
   /** A caller that has received part of a stream may reconnect to resume it. */
--- a/src/coordination/usageLimits/constants.ts
+++ b/src/coordination/usageLimits/constants.ts
@@ -2,7 +2,7 @@
 
 /**
  * An organisation is far from its limit if at least this share of its burst is left, in percent. Its requests are then
- * forwarded while the coordinator is asked, so that asking adds no latency.
+ * forwarded while the coordinator is queried, so that the query adds no latency.
  */
 export const optimisticThreshold = 50;
 
@@ -17,7 +17,7 @@
  * - `initial`: the level with which a coordinator that takes over starts.
  * - `ungranted`: for routers that can't reach the coordinator.
  *
- * The rest is for requests that are forwarded while the coordinator is asked.
+ * The rest is for requests that are forwarded while the coordinator is queried.
  */
 export const overshootShares = { coordinator: 0.4, initial: 0.15, ungranted: 0.3 } as const;
 
--- a/src/coordination/usageLimits/usageAccount.ts
+++ b/src/coordination/usageLimits/usageAccount.ts
@@ -24,7 +24,7 @@
   spent: number;
   /** Granted and not run, to be reported with the next query. */
   returned: number;
-  /** Forwarded while the coordinator is being asked. */
+  /** Forwarded while the coordinator is being queried. */
   inFlight: number;
   /** Until when the organisation counts as far from its limit, milliseconds on the monotonic clock. */
   optimisticUntil: number;
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -5,7 +5,7 @@
  * The load that this is built for: an organisation sends several times its limit, to all routers at once. An even part of
  * the limit for each router would refuse a small organisation's long prompts (36,000 tokens a second over 58 routers are
  * 620, one prompt is 12,000). If routers only notified one another afterwards, they would learn of the flood when it is
- * over. One coordinator knows the total, and asking it adds latency only near the limit. A router that can't reach it
+ * over. One coordinator knows the total, and querying it adds latency only near the limit. A router that can't reach it
  * stays within a part of what may be forwarded beyond the limit, so that the total holds during any partition.
  */
 import type { LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
@@ -89,7 +89,7 @@
     account.spent = 0;
     account.returned = 0;
     const query = { kind: "question", number: 0, organisation, amount, spent, returned } as const;
-    const answer = await coordination.ask(organisation, query);
+    const answer = await coordination.query(organisation, query);
     if (answer !== undefined) return answer;
     account.spent += spent;
     account.returned += returned;
