--- a/src/coordination/coordinators/constants.ts
+++ b/src/coordination/coordinators/constants.ts
@@ -33,7 +33,7 @@
 export const maxCandidates = 3;
 
 /** A process whose own timer fires this late was paused: its view of the other routers is out of date. */
-export const minProcessPause = 1_000;
+export const processPauseThreshold = 1_000;
 
 /** Timeout of a query: a multiple of the average answer time, between two bounds. */
 export const answerTimeout = { factor: 4, shortest: 15, longest: 80 } as const;
--- a/src/coordination/coordinators/coordinators.ts
+++ b/src/coordination/coordinators/coordinators.ts
@@ -14,7 +14,7 @@
   maxCandidates,
   roleCheckInterval,
   probeAfter,
-  minProcessPause,
+  processPauseThreshold,
   successorsToConfirm,
   takeoverTimeout,
 } from "./constants.ts";
@@ -98,7 +98,7 @@
 
   const detectPause = (): void => {
     const now = clock.monotonic();
-    if (now - polledAt > minProcessPause) runningSince = now;
+    if (now - polledAt > processPauseThreshold) runningSince = now;
     polledAt = now;
   };
 
--- a/src/coordination/forwarding/constants.ts
+++ b/src/coordination/forwarding/constants.ts
@@ -135,7 +135,7 @@
  */
 export const lossWorthSaving = 0.1;
 
-/** Share of a prompt part store's link that the saves of all routers take; copies out of it queue behind them. */
+/** Share of a cache store's link that the saves of all routers take; copies out of it queue behind them. */
 export const saveLinkShare = 0.5;
 
 /**
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -149,7 +149,7 @@
       if (owners.isEnabled()) owners.reports.noteHolder(replica, key, holder, isReady);
       else peers.announceHolder(key, holder, isReady);
     },
-    announceToDirectory: (home, key, holder, isReady) => {
+    announceToHomeOwner: (home, key, holder, isReady) => {
       if (owners.isEnabled()) owners.reports.noteHolder(home, key, holder, isReady);
     },
     announcesSaves: owners.isEnabled,
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -1,6 +1,6 @@
 /**
  * Enforces organisations' limits, in tokens or requests, over all routers: the coordinator of an organisation's usage is
- * asked before a request is forwarded.
+ * queried before a request is forwarded.
  *
  * The load that this is built for: an organisation sends several times its limit, to all routers at once. An even part of
  * the limit for each router would refuse a small organisation's long prompts (36,000 tokens a second over 58 routers are
@@ -83,7 +83,7 @@
   };
 
   /** @returns The answer of the organisation's coordinator; `undefined` if no router answers as such. */
-  const askCoordinator = async (organisation: string, amount: number): Promise<LimitAnswer | undefined> => {
+  const queryCoordinator = async (organisation: string, amount: number): Promise<LimitAnswer | undefined> => {
     const account = accountOf(organisation);
     const { spent, returned } = account;
     account.spent = 0;
@@ -119,7 +119,7 @@
     limit: OrganisationLimit,
   ): Promise<number | undefined> => {
     const account = accountOf(organisation);
-    const answer = await askCoordinator(organisation, amount);
+    const answer = await queryCoordinator(organisation, amount);
     noteAnswer(organisation, answer);
     if (answer?.verdict === "refused") return addJitter(answer.wait);
     if (answer === undefined) {
@@ -135,7 +135,7 @@
     const account = accountOf(organisation);
     account.inFlight += amount;
     account.used.add(amount);
-    const answer = await askCoordinator(organisation, amount);
+    const answer = await queryCoordinator(organisation, amount);
     account.inFlight -= amount;
     noteAnswer(organisation, answer);
     if (answer?.verdict === "granted") return;
--- a/src/state/heatSketch.ts
+++ b/src/state/heatSketch.ts
@@ -28,7 +28,7 @@
 export interface HeatSketchLimits {
   readonly maximumKeys: number;
   /** Time constant of the exponential decay, milliseconds. */
-  readonly memory: number;
+  readonly decayTime: number;
   /** Shortest window over which a rate is computed, milliseconds, so that a new key gets no excessive rate. */
   readonly shortestWindow: number;
 }
@@ -42,19 +42,23 @@
 /** Least recently seen keys that are compared when one is evicted. */
 const evictionCandidates = 8;
 
-export const createHeatSketch = ({ maximumKeys, memory, shortestWindow }: HeatSketchLimits): HeatSketch => {
+export const createHeatSketch = ({
+  maximumKeys,
+  decayTime,
+  shortestWindow,
+}: HeatSketchLimits): HeatSketch => {
   /** The least recently seen keys come first. */
   const counters = new Map<string, Counter>();
 
   const countAt = (counter: Counter, now: number): number =>
-    counter.count * Math.exp((counter.updatedAt - now) / memory);
+    counter.count * Math.exp((counter.updatedAt - now) / decayTime);
 
   /** The first occurrence starts the window and is not counted in it. */
   const rateOf = (counter: Counter, now: number): number => {
     const window = Math.max(shortestWindow, now - counter.firstAt);
-    const first = Math.exp((counter.firstAt - now) / memory);
+    const first = Math.exp((counter.firstAt - now) / decayTime);
     const others = Math.max(0, countAt(counter, now) - first);
-    return others / (memory * (1 - Math.exp(-window / memory)));
+    return others / (decayTime * (1 - Math.exp(-window / decayTime)));
   };
 
   const evict = (now: number): void => {
