--- a/src/coordination/coordinators/constants.ts
+++ b/src/coordination/coordinators/constants.ts
@@ -23,11 +23,11 @@
 /** Successors ask a coordinator for a heartbeat when nothing was received from it for this long. */
 export const probeAfter = 700;
 
-/** Successors stop monitoring a key that nobody has asked about for this long. */
+/** Successors stop monitoring a key that no query has concerned for this long. */
 export const monitorRetention = 30_000;
 
 /**
- * The number of routers, from the first of a key's order on, that monitor the key, and that one request asks one after
+ * The number of routers, from the first of a key's order on, that monitor the key, and that one request queries one after
  * another. Later routers follow where all of these are unreachable.
  */
 export const maxCandidates = 3;
@@ -44,5 +44,5 @@
 /** Weight of a new sample in the moving average of answer times. */
 export const answerTimeSmoothing = 0.1;
 
-/** A router that did not answer, or does not coordinate the key it was asked about, is skipped for this long. */
+/** A router that did not answer, or does not coordinate the key it was queried for, is skipped for this long. */
 export const skipDuration = 400;
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -39,7 +39,7 @@
  */
 const firstNumberBound = 2 ** 32;
 
-/** A question without an organisation asks for a heartbeat only. */
+/** A query without an organisation asks for a heartbeat only. */
 const heartbeatQuery: LimitQuestion = {
   kind: "question",
   number: 0,
--- a/src/coordination/coordinators/keyCoordination.ts
+++ b/src/coordination/coordinators/keyCoordination.ts
@@ -1,5 +1,5 @@
 /**
- * Coordination of keys by one router: asks the coordinator of a key, answers as the coordinator, and monitors the routers
+ * Coordination of keys by one router: queries the coordinator of a key, answers as the coordinator, and monitors the routers
  * that precede this one. The limits of organisations and of replicas are enforced this way.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
@@ -48,7 +48,7 @@
   readonly countRouters: () => number;
 }
 
-/** @returns The answer of a router that does not coordinate the key it was asked about. */
+/** @returns The answer of a router that does not coordinate the key it was queried for. */
 export const answerElsewhere = (number: number): LimitAnswer => ({
   kind: "answer",
   number,
@@ -65,7 +65,7 @@
   const { nearestDataCentre = () => undefined } = dependencies;
   const coordinators = createCoordinators({ self, others, nearestDataCentre, clock });
   const queries = createCoordinatorQueries({ link, clock, random });
-  /** By name of a router: the time until which it is not asked. */
+  /** By name of a router: the time until which it is not queried. */
   const skippedUntil = new Map<string, number>();
   const roles: { [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> } = {};
 
--- a/src/coordination/forwarding/applyAnnouncedHolders.ts
+++ b/src/coordination/forwarding/applyAnnouncedHolders.ts
@@ -7,7 +7,7 @@
 
 export interface HolderDependencies {
   readonly replicas: Pick<ReplicaTable, "getByKey">;
-  readonly holders: Pick<CacheHolders, "noteKey">;
+  readonly holders: Pick<CacheHolders, "notePart">;
   /** @returns The configured cache stores. */
   readonly cacheStores: () => readonly CacheStore[];
 }
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -31,7 +31,7 @@
   readonly requestAdmission: RequestAdmission;
   readonly placement: Placement;
   readonly availability: Availability;
-  readonly owners: Pick<ReplicaOwners, "isNeeded" | "ask">;
+  readonly owners: Pick<ReplicaOwners, "isEnabled" | "query">;
   readonly attempt: ForwardAttempt;
   readonly grants: LimitGrants;
   readonly retryShare: RetryShare;
@@ -86,8 +86,7 @@
     const stopper = createStopper(run.stopper);
     run.noteChoice(choice);
     const timeout = attemptTimeout(run);
-    const cancelTimeout =
-      timeout === undefined ? undefined : clock.after(timeout, () => stopper.stop("silent"));
+    const stopTimer = timeout === undefined ? undefined : clock.after(timeout, () => stopper.stop("silent"));
     metrics.count(metricNames.attempts);
     // A grant expires: if this process was paused since, the capacity may be granted to another request by now.
     const sendBefore = Math.min(deadline, grant?.until ?? deadline);
@@ -100,14 +99,14 @@
       const plan = { request, admission, choice, deadline, lastEventId, maySend, abandon };
       return await dependencies.attempt(plan, stopper.signal);
     } finally {
-      cancelTimeout?.();
+      stopTimer?.();
     }
   };
 
   /**
-   * Asks the owners of replicas for their current state.
+   * Queries the owners of replicas for their current state.
    *
-   * @returns The replicas whose owners answered in time; all that were asked about if none did.
+   * @returns The replicas whose owners answered in time; all that were queried if none did.
    */
   const queryOwners = async (
     run: ForwardRun,
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -50,9 +50,9 @@
   readonly holders: CacheHolders;
   readonly peers: Pick<
     RouterPeers,
-    "countServing" | "tellHolder" | "tellWork" | "tellLeaving" | "broadcastBackoff"
+    "countServing" | "announceHolder" | "announceWork" | "announceLeaving" | "broadcastBackoff"
   >;
-  readonly owners: Pick<ReplicaOwners, "isNeeded" | "isOwn" | "ask" | "reports">;
+  readonly owners: Pick<ReplicaOwners, "isEnabled" | "isOwnerOf" | "query" | "reports">;
   readonly cacheStore: Pick<CacheStoreFollower, "findStore">;
   readonly limits: UsageLimits;
   readonly replicaLimits: ReplicaLimits;
--- a/src/coordination/forwarding/limitGrants.ts
+++ b/src/coordination/forwarding/limitGrants.ts
@@ -11,7 +11,7 @@
 import type { PlacementChoice } from "./placementTypes.ts";
 
 export interface LimitGrantsDependencies {
-  readonly limits: Pick<ReplicaLimits, "take" | "comeBackAfter">;
+  readonly limits: Pick<ReplicaLimits, "acquire" | "comeBackAfter">;
   readonly metrics: Metrics;
   readonly clock: Clock;
 }
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -50,7 +50,7 @@
   readonly all: () => readonly Peer[];
   /** Adds a router that is registered in the store. */
   readonly add: (entry: RouterEntry) => void;
-  /** Whether a message is the first one of its process; to be asked before the message is observed. */
+  /** Whether a message is the first one of its process; to be called before the message is observed. */
   readonly isFirstMessage: (message: Pick<RouterMessage, "name" | "incarnation">) => boolean;
   /**
    * Records a message that has just arrived.
@@ -121,7 +121,7 @@
       dataCentre,
       isNear: dataCentre === here,
       at,
-      lastSeenAt: lastMessageAt,
+      lastMessageAt,
       addedAt: clock.monotonic(),
       lastTimestamp: undefined,
       proofAge: Number.POSITIVE_INFINITY,
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -257,7 +257,7 @@
   };
 
   /** Where there are many routers, the work of one is too small a part to be announced to the others at once. */
-  const tellWork = (): void => {
+  const announceWork = (): void => {
     if (!peers.isLarge()) sendAll();
   };
 
@@ -303,11 +303,10 @@
       return peers.all().filter(({ name }) => names.has(name));
     },
     countServing: () => 1 + peers.all().filter(peers.mayServe).length,
-    announceWeights: (replica, model, version) =>
-      announceSoon(() => updates.addWeights(replica, model, version)),
+    announceWeights: (id, model, version) => announceSoon(() => updates.addWeights(id, model, version)),
     announceChanging: (replica, until) => announceSoon(() => updates.addChanging(replica, until)),
     announceLeaving: (replica) => announceSoon(() => updates.addLeaving(replica)),
-    announceWork: tellWork,
+    announceWork,
     broadcastBackoff,
     announceLimit: ({ entry, limit }) => {
       if (limit !== undefined && !peers.isLarge()) announceSoon(() => updates.addLimit(entry.id, limit));
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -32,7 +32,7 @@
   readonly replicas: ReplicaTable;
   readonly configuration: ConfigurationState;
   readonly client: ReplicaClient;
-  readonly peers: Pick<RouterPeers, "tellChanging" | "tellWeights">;
+  readonly peers: Pick<RouterPeers, "announceChanging" | "announceWeights">;
   readonly bounds: Pick<ForwardingBounds, "weights">;
   readonly clock: Clock;
   readonly metrics: Metrics;
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -1,4 +1,4 @@
-/** The state of replicas at their owner: aggregates the work that routers report, and answers their questions. */
+/** The state of replicas at their owner: aggregates the work that routers report, and answers their queries. */
 import type {
   AnswerMessage,
   AskMessage,
@@ -23,7 +23,7 @@
 
 export interface OwnedReplicasDependencies {
   readonly replicas: ReplicaTable;
-  readonly holders: Pick<CacheHolders, "noteKey" | "holdersOf">;
+  readonly holders: Pick<CacheHolders, "notePart" | "holdersOf">;
   /** @returns The configured cache stores, which keep prompt parts. */
   readonly cacheStores: () => readonly CacheStore[];
   readonly clock: Clock;
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -1,9 +1,9 @@
 /**
  * Every replica has an owner, a router that aggregates the work of all routers there. A router that places a request
- * first asks the owners of a few replicas. Placement therefore knows the current work at each of them, however many
+ * first queries the owners of a few replicas. Placement therefore knows the current work at each of them, however many
  * routers there are, and the number of messages grows with the requests, not with the square of the routers.
  *
- * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is asked.
+ * In a small deployment every router announces its work to all others (see `routerPeers.ts`), and no owner is queried.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { AnswerMessage } from "../../protocol/forwarding/ownerMessage.ts";
@@ -29,19 +29,19 @@
   readonly link: DatagramLink;
   readonly clock: Clock;
   readonly replicas: ReplicaTable;
-  readonly holders: Pick<CacheHolders, "noteKey" | "holdersOf">;
+  readonly holders: Pick<CacheHolders, "notePart" | "holdersOf">;
   readonly peers: Pick<RouterPeers, "isLarge" | "serving">;
   /** @returns The configured cache stores, which keep prompt parts. */
   readonly cacheStores: () => readonly CacheStore[];
 }
 
 export interface ReplicaOwners extends AsyncDisposable {
-  /** @returns Whether there are enough routers for owners to be asked. */
+  /** @returns Whether there are enough routers for owners to be queried. */
   readonly isEnabled: () => boolean;
   /** @returns Whether this router is the owner of a replica. */
   readonly isOwnerOf: (replica: ReplicaState) => boolean;
   /**
-   * Asks the owners of replicas for their state.
+   * Queries the owners of replicas for their state.
    *
    * @param keys - Keys of the prompt's parts.
    * @returns The replicas whose state is known now.
@@ -50,13 +50,13 @@
     replicas: readonly ReplicaState[],
     keys: readonly number[],
   ) => Promise<readonly ReplicaState[]>;
-  readonly reports: Pick<WorkReports, "noteBegin" | "noteChange" | "noteHolder">;
+  readonly reports: Pick<WorkReports, "noteRequestSent" | "noteWorkChanged" | "noteHolder">;
 }
 
 /** @returns An estimate of the prompt tokens that a replica has computed for all routers. */
 export const countComputedTokens = (
   replica: ReplicaState | undefined,
-  owners: Pick<ReplicaOwners, "isNeeded" | "isOwn">,
+  owners: Pick<ReplicaOwners, "isEnabled" | "isOwnerOf">,
   peers: Pick<RouterPeers, "countLive">,
 ): number => {
   if (replica === undefined) return 0;
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -58,7 +58,7 @@
 
 /** Starts to report to owners until it is disposed of. */
 export const createWorkReports = (dependencies: WorkReportsDependencies): WorkReports => {
-  const { name, incarnation, link, owners, replicas, clock, isEnabled: isNeeded } = dependencies;
+  const { name, incarnation, link, owners, replicas, clock, isEnabled } = dependencies;
   const pending = new Map<string, Pending>();
   let sequence = 0;
   let cancelFlush: (() => void) | undefined;
@@ -105,7 +105,7 @@
   /** Repeats reports for new owners, and in case earlier reports got lost. */
   const repeat = (): void => {
     cancelRepeat = clock.after(reportRepeatInterval, repeat);
-    if (!isNeeded()) return;
+    if (!isEnabled()) return;
     const busy = replicas.all().filter(({ requests, isUnreachable }) => requests > 0 || isUnreachable);
     busy.forEach(addPending);
     if (pending.size > 0) flush();
@@ -114,12 +114,12 @@
 
   return {
     noteRequestSent: (replica) => {
-      if (!isNeeded()) return;
+      if (!isEnabled()) return;
       addPending(replica);
       flush();
     },
     noteWorkChanged: (replica) => {
-      if (!isNeeded()) return;
+      if (!isEnabled()) return;
       addPending(replica);
       flushSoon();
     },
--- a/src/coordination/requests/backoff.ts
+++ b/src/coordination/requests/backoff.ts
@@ -2,7 +2,7 @@
 import { initialBackoff, maxBackoff } from "./constants.ts";
 
 /**
- * Picks a back-off delay with full jitter: at random below a maximum that doubles with each failure.
+ * Picks a backoff delay with full jitter: at random below a maximum that doubles with each failure.
  *
  * @param failures - Consecutive failures, at least 1.
  * @param random - Returns a number from 0 up to but not including 1.
--- a/src/daemons/forwardingDaemon.ts
+++ b/src/daemons/forwardingDaemon.ts
@@ -14,7 +14,7 @@
 /** Enough for a line for each request of a busy router. Lines beyond this rate are dropped. */
 const linesPerSecond = 200;
 /** Lines are also dropped while more bytes than this wait for the log reader. */
-const mostBytesWaiting = 256 * 1024;
+const maxBufferedBytes = 256 * 1024;
 
 /** How often the settings file is checked for changes made without a signal, milliseconds. */
 const settingsCheckInterval = 2_000;
@@ -85,9 +85,7 @@
 export const runForwardingDaemon = async (file: string, connect: ConnectPlatform): Promise<number> => {
   const now = (): number => performance.now();
   const output = process.stdout;
-  setLogSink(
-    createBoundedLogSink({ output, fields: {}, now, linesPerSecond, maxBufferedBytes: mostBytesWaiting }),
-  );
+  setLogSink(createBoundedLogSink({ output, fields: {}, now, linesPerSecond, maxBufferedBytes }));
   const settings = readSettings(file);
   if (settings === undefined) return exitCodes.badSettings;
   setLogSink(
@@ -96,7 +94,7 @@
       fields: { router: settings.name },
       now,
       linesPerSecond,
-      maxBufferedBytes: mostBytesWaiting,
+      maxBufferedBytes,
     }),
   );
   reportFaults();
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -45,7 +45,10 @@
   readonly bounds: ForwardingBounds;
   readonly configuration: ConfigurationState;
   readonly replicas: ReplicaTable;
-  readonly peers: Pick<RouterPeers, "countServing" | "isLarge" | "isReader" | "live" | "readers">;
+  readonly peers: Pick<
+    RouterPeers,
+    "countServing" | "isLarge" | "isStoreReader" | "live" | "otherStoreReaders"
+  >;
   /** Called when a configuration was received; its limits may differ. */
   readonly onConfiguration: () => void;
 }
--- a/src/state/boundedLogSink.ts
+++ b/src/state/boundedLogSink.ts
@@ -17,7 +17,7 @@
   readonly maxBufferedBytes: number;
 }
 
-/** Creates a sink for `directLogs` with a limited rate and a limited buffer. */
+/** Creates a sink for `setLogSink` with a limited rate and a limited buffer. */
 export const createBoundedLogSink = (dependencies: BoundedLogSinkDependencies): LogSink => {
   const { output, now, linesPerSecond } = dependencies;
   let allowance = linesPerSecond;
