--- a/bench/lab/caller.ts
+++ b/bench/lab/caller.ts
@@ -42,7 +42,7 @@
   headers: [],
   body: Buffer.alloc(0),
   arrivedAt,
-  patience: left,
+  timeout: left,
   key: undefined,
   prompt,
   countedTokens: undefined,
--- a/bench/lab/fleet.ts
+++ b/bench/lab/fleet.ts
@@ -119,7 +119,7 @@
   const tell = ({ kind, key }: UnitEvent): void => {
     const separator = key.lastIndexOf(" ");
     const isKept = kind === "stored";
-    changes.push({ isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
+    changes.push({ isStored: isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
   };
   const megabits = store?.linkMegabits ?? engines.linkMegabits;
   const keeper: PartKeeper = {
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -157,7 +157,7 @@
       ),
     keysOf,
     wasUsed: (key) => beliefs.has(key),
-    noteChange: (store, { isKept: isKeptThere, salt, part }) => {
+    noteChange: (store, { isStored: isKeptThere, salt, part }) => {
       const key = keyOf(salt, part);
       if (isKeptThere) noteTold(key, store);
       else beliefs.get(key)?.delete(store);
--- a/src/coordination/forwarding/configurationState.ts
+++ b/src/coordination/forwarding/configurationState.ts
@@ -4,7 +4,7 @@
  * Freshness is proved by reads that were sent at a moment and found nothing newer, by this router or, for the
  * same version, by a peer. It is counted on this process's monotonic clock.
  */
-import type { ToldTarget } from "../../protocol/forwarding/peerMessage.ts";
+import type { AnnouncedTarget } from "../../protocol/forwarding/peerMessage.ts";
 import type { OperatorRecord, FeedPage } from "../../protocol/forwarding/types.ts";
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
@@ -37,7 +37,7 @@
    */
   readonly supersededBy: (model: string, version: number) => WantedWeights | undefined;
   /** @returns The newest weights wanted, with how long this router has known of them. */
-  readonly wantedAges: () => readonly ToldTarget[];
+  readonly wantedAges: () => readonly AnnouncedTarget[];
   /** A peer has known for some time that a version is wanted; this router may have started since. */
   readonly noteWantedAge: (model: string, version: number, age: number) => void;
   /** Milliseconds since a moment at which nothing newer had been published. */
--- a/src/coordination/forwarding/enginePlacement.test.ts
+++ b/src/coordination/forwarding/enginePlacement.test.ts
@@ -178,7 +178,7 @@
     expect(keys.length).toEqual(2);
     holders.forget("a");
     for (const part of ["opening", "subject"]) {
-      holders.noteChange(store.address, { isKept: true, salt: "m/1/", part });
+      holders.noteChange(store.address, { isStored: true, salt: "m/1/", part });
     }
     const copied = choose(shared(200));
     expect([copied.fetchFrom, copied.shared?.isSaved, copied.shared?.wasUsed]).toEqual([
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -160,8 +160,8 @@
       peer.at = from;
       peer.heardAt = clock.monotonic();
       peer.proofAge = message.configuration?.age ?? Number.POSITIVE_INFINITY;
-      peer.standsDown = message.standsDown;
-      peer.ends = message.ends;
+      peer.standsDown = message.hasSteppedDown;
+      peer.ends = message.isShuttingDown;
       return peer;
     },
     isHeard,
--- a/src/coordination/forwarding/routerNews.ts
+++ b/src/coordination/forwarding/routerNews.ts
@@ -2,8 +2,8 @@
 import type {
   ReplicaKey,
   RouterMessage,
-  ToldHolder,
-  ToldWeights,
+  AnnouncedHolder,
+  AnnouncedWeights,
 } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { LimitWord } from "../../state/forwarding/limitWord.ts";
@@ -30,7 +30,7 @@
   readonly addChanging: (replica: string, until: number) => void;
   readonly addLeaving: (replica: string) => void;
   /** A replica names a limit. */
-  readonly addLimit: (replica: string, word: LimitWord) => void;
+  readonly addLimit: (replica: string, reportedLimit: LimitWord) => void;
   /**
    * A replica computes or keeps a prompt part. Told at each use and not repeated: a copy that is not found for want
    * of it costs little.
@@ -44,11 +44,11 @@
 
 /** Creates news of nothing. */
 export const createRouterNews = (clock: Clock): RouterNews => {
-  const weights = createNews<ToldWeights>(clock, newsRepetition);
+  const weights = createNews<AnnouncedWeights>(clock, newsRepetition);
   const changing = createNews<number>(clock, newsRepetition);
   const leaving = createNews<true>(clock, newsRepetition);
   const limited = createNews<LimitWord>(clock, newsRepetition);
-  const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
+  const holders: Record<Audience, Map<string, AnnouncedHolder>> = { near: new Map(), far: new Map() };
 
   return {
     addWeights: (replica, model, version) =>
@@ -73,9 +73,9 @@
         })),
         leaving: leaving.entries().map(([id]) => replicaKeyOf(id)),
         holders: told,
-        limited: limited.entries().map(([id, word]) => ({
+        limited: limited.entries().map(([id, reportedLimit]) => ({
           replica: replicaKeyOf(id),
-          word: tellWord(word, now),
+          reportedLimit: tellWord(reportedLimit, now),
         })),
       };
     },
@@ -105,13 +105,13 @@
     if (replica !== undefined) replica.changingUntil = now + remaining;
   }
   takeHolders(message.holders, takers);
-  for (const { model, version, age } of message.wanted) {
+  for (const { model, version, age } of message.weightsTargets) {
     if (version > (configuration.wantedWeights(model)?.version ?? 0)) onNewerConfiguration();
     configuration.noteWantedAge(model, version, age);
   }
-  for (const { replica: key, word } of message.limited) {
+  for (const { replica: key, reportedLimit: reportedLimit } of message.limited) {
     const replica = replicas.getByKey(key);
-    if (replica !== undefined) noteToldLimit(replica, word, now);
+    if (replica !== undefined) noteToldLimit(replica, reportedLimit, now);
   }
   for (const key of message.leaving) {
     const id = idOf(key);
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -5,7 +5,7 @@
  * A router finds the others in the platform's store when it starts; they learn of it from its first message.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
+import type { RouterMessage, AnnouncedWork } from "../../protocol/forwarding/peerMessage.ts";
 import {
   decodeRouterMessage,
   encodeRouterMessage,
@@ -106,7 +106,7 @@
 });
 
 /** The work of this router's own requests. */
-const ownWorkIn = (replicas: ReplicaTable): readonly ToldWork[] =>
+const ownWorkIn = (replicas: ReplicaTable): readonly AnnouncedWork[] =>
   replicas
     .all()
     .filter(({ requests }) => requests > 0)
@@ -196,15 +196,15 @@
       configuration: proofOf(configuration),
       work,
       ...news.take(audience),
-      wanted: configuration.wantedAges(),
+      weightsTargets: configuration.wantedAges(),
       ...describeState(parts),
-      standsDown: !takesDuties(),
-      ends,
+      hasSteppedDown: !takesDuties(),
+      isShuttingDown: ends,
     };
   };
 
   /** Where there are many routers the owners of replicas are told instead, and asked. */
-  const toldWork = (): readonly ToldWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
+  const toldWork = (): readonly AnnouncedWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
 
   const sendTo = (group: PeerGroup): void => {
     const work = toldWork();
--- a/src/coordination/forwarding/takenMessages.ts
+++ b/src/coordination/forwarding/takenMessages.ts
@@ -1,5 +1,5 @@
 /** What a router takes from the messages of its peers, and what it forgets of those that are silent. */
-import type { ReplicaKey, RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, RouterMessage, AnnouncedWork } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaWork } from "../../state/forwarding/replicaState.ts";
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
@@ -29,7 +29,7 @@
 /** A router that is not heard has no work that counts. */
 const noWork = new Map<ReplicaKey, ReplicaWork>();
 
-const byReplica = (work: readonly ToldWork[]): ReadonlyMap<ReplicaKey, ReplicaWork> =>
+const byReplica = (work: readonly AnnouncedWork[]): ReadonlyMap<ReplicaKey, ReplicaWork> =>
   new Map(work.map(({ replica, requests, promptTokens }) => [replica, { requests, promptTokens }]));
 
 /** Forgets what routers that are silent had told of their work, and in time the routers. */
--- a/src/coordination/forwarding/toldHolders.ts
+++ b/src/coordination/forwarding/toldHolders.ts
@@ -1,5 +1,5 @@
 /** Takes what messages say of who keeps prompt parts. */
-import type { ReplicaKey, ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -26,7 +26,7 @@
 
 /** Takes word of prompt parts; holders that this router doesn't know yet are left out. */
 export const takeHolders = (
-  told: readonly ToldHolder[],
+  told: readonly AnnouncedHolder[],
   { replicas, holders, cacheStores }: HolderTakers,
 ): void => {
   const stores = cacheStores();
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -7,7 +7,7 @@
  * among them. If routers only notified one another afterwards, they would have sent many times the limit by then.
  * Replicas without a limit cost nothing.
  */
-import type { ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type { ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
 import { supersedes, tellSpan, tellWord } from "../../state/forwarding/limitWord.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -91,12 +91,12 @@
   const createQuery = (
     { entry }: ReplicaState,
     reported: LimitWord,
-    fields: Pick<ReplicaQuestion, "unnamed" | "isAsked" | "patience">,
-  ): ReplicaQuestion => ({
+    fields: Pick<ReplicaLimitQuery, "unnamed" | "isAsked" | "patience">,
+  ): ReplicaLimitQuery => ({
     kind: "replicaQuestion",
     number: 0,
     replica: entry.id,
-    word: tellWord(reported, clock.monotonic()),
+    reportedLimit: tellWord(reported, clock.monotonic()),
     ...fields,
   });
 
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -2,13 +2,13 @@
 import type {
   AnswerMessage,
   AskMessage,
-  ReplicaReport,
+  ReplicaLoadReport,
   WorkMessage,
   WorkReport,
 } from "../../protocol/forwarding/ownerMessage.ts";
-import type { ReplicaKey, ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import type { ToldWord } from "../../protocol/forwarding/toldWord.ts";
+import type { ReportedLimitMessage } from "../../protocol/forwarding/reportedLimitMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -51,7 +51,7 @@
 export const answersTeller = "as answered";
 
 /** Whoever asks hears the limit from the replica itself if nobody has for long. */
-const tellRecentLimit = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
+const tellRecentLimit = ({ limit }: ReplicaState, now: number): ReportedLimitMessage | undefined =>
   limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
 
 /** A teller that has none at a replica any more. */
@@ -97,7 +97,7 @@
   };
   let callOff = clock.after(reportMemory / 2, forgetOld);
 
-  const describe = (state: ReplicaState, asker: string): ReplicaReport => {
+  const describe = (state: ReplicaState, asker: string): ReplicaLoadReport => {
     // What an owner before this one had answered would be told on for good, and keep everybody away.
     replicas.noteWorkAt(answersTeller, replicaKeyOf(state.entry.id), noWork);
     const work = workWithout(state, tellerOf(asker));
@@ -122,7 +122,7 @@
         const state = replicas.getByKey(key);
         return state === undefined ? [] : [describe(state, name)];
       }),
-      holders: wanted.flatMap((part): readonly ToldHolder[] =>
+      holders: wanted.flatMap((part): readonly AnnouncedHolder[] =>
         holders
           .holdersOf(part)
           .slice(0, holdersNamed)
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -5,7 +5,7 @@
 import type { WorkMessage, WorkReport } from "../../protocol/forwarding/ownerMessage.ts";
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
 import { tellWord } from "../../state/forwarding/limitWord.ts";
@@ -40,7 +40,7 @@
 
 interface Pending {
   readonly replica: ReplicaState;
-  readonly holders: ToldHolder[];
+  readonly holders: AnnouncedHolder[];
 }
 
 const reportOf = (replica: ReplicaState, now: number): WorkReport => ({
--- a/src/protocol/forwarding/limitMessage.test.ts
+++ b/src/protocol/forwarding/limitMessage.test.ts
@@ -9,7 +9,7 @@
 
 const count = fc.nat({ max: 2 ** 40 });
 const name = fc.string({ maxLength: 20 });
-const span = { askedAge: count, heardAge: count };
+const span = { askedAge: count, receivedAge: count };
 
 const message: fc.Arbitrary<LimitMessage> = fc.oneof(
   record({
@@ -24,7 +24,7 @@
     kind: fc.constant("replicaQuestion" as const),
     number: count,
     replica: name,
-    word: record({ perThousandSeconds: count, ...span }),
+    reportedLimit: record({ perThousandSeconds: count, ...span }),
     unnamed: fc.option(record(span), { nil: undefined }),
     isAsked: fc.boolean(),
     patience: count,
@@ -34,7 +34,7 @@
     number: count,
     verdict: fc.constantFrom<LimitVerdict>("granted", "refused", "elsewhere", "unlimited"),
     wait: count,
-    room: fc.nat({ max: 100 }),
+    remainingPercent: fc.nat({ max: 100 }),
   }),
 );
 
--- a/src/protocol/forwarding/ownerMessage.test.ts
+++ b/src/protocol/forwarding/ownerMessage.test.ts
@@ -15,7 +15,7 @@
 const promptTokens = fc.array(count, { maxLength: 10 });
 const holders = fc.array(record({ part: count, replica: key, isReady: fc.boolean() }), { maxLength: 5 });
 
-const limit = fc.option(record({ perThousandSeconds: count, askedAge: count, heardAge: count }), {
+const limit = fc.option(record({ perThousandSeconds: count, askedAge: count, receivedAge: count }), {
   nil: undefined,
 });
 
--- a/src/state/forwarding/limitWord.ts
+++ b/src/state/forwarding/limitWord.ts
@@ -1,5 +1,5 @@
 /** What a replica's answer named as its limit, and what this router believes of it. */
-import type { ToldSpan, ToldWord } from "../../protocol/forwarding/toldWord.ts";
+import type { ReportedSpan, ReportedLimitMessage } from "../../protocol/forwarding/reportedLimitMessage.ts";
 import type { ReplicaState } from "./replicaState.ts";
 
 /** When an answer was asked for and when its head came, milliseconds on the monotonic clock. */
@@ -17,25 +17,25 @@
 const perThousand = 1_000;
 
 /** @returns The span in ages, as other routers are told of it. */
-export const tellSpan = ({ askedAt, heardAt }: AnswerSpan, now: number): ToldSpan => ({
+export const tellSpan = ({ askedAt, heardAt }: AnswerSpan, now: number): ReportedSpan => ({
   askedAge: Math.max(0, Math.round(now - askedAt)),
-  heardAge: Math.max(0, Math.round(now - heardAt)),
+  receivedAge: Math.max(0, Math.round(now - heardAt)),
 });
 
 /** @returns The span on this router's clock. */
-export const takeSpan = ({ askedAge, heardAge }: ToldSpan, now: number): AnswerSpan => ({
+export const takeSpan = ({ askedAge, receivedAge: heardAge }: ReportedSpan, now: number): AnswerSpan => ({
   askedAt: now - askedAge,
   heardAt: now - heardAge,
 });
 
 /** @returns The word as other routers are told of it. */
-export const tellWord = (word: LimitWord, now: number): ToldWord => ({
+export const tellWord = (word: LimitWord, now: number): ReportedLimitMessage => ({
   perThousandSeconds: Math.round(word.perSecond * perThousand),
   ...tellSpan(word, now),
 });
 
 /** @returns A word that another router told. */
-export const takeWord = (told: ToldWord, now: number): LimitWord => ({
+export const takeWord = (told: ReportedLimitMessage, now: number): LimitWord => ({
   perSecond: told.perThousandSeconds / perThousand,
   ...takeSpan(told, now),
 });
@@ -50,7 +50,7 @@
 };
 
 /** Takes what another router told of a replica's limit, unless something newer is known here. */
-export const noteToldLimit = (replica: ReplicaState, told: ToldWord, now: number): void => {
+export const noteToldLimit = (replica: ReplicaState, told: ReportedLimitMessage, now: number): void => {
   const word = takeWord(told, now);
   if (word.heardAt <= replica.limitEndedAt) return;
   if (replica.limit === undefined || word.heardAt > replica.limit.heardAt) replica.limit = word;
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -4,7 +4,7 @@
 import { upstreamError } from "../../protocol/errors.ts";
 import { collectBody } from "../../protocol/forwarding/collectBody.ts";
 import type { ForwardingWire } from "../../protocol/forwarding/ForwardingWire.ts";
-import type { ConnectionTrial } from "../../protocol/forwarding/ReplicaClient.ts";
+import type { ConnectionProbeResult } from "../../protocol/forwarding/ReplicaClient.ts";
 import { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { ReplicaAnswer, ReplicaCall, ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { RawAnswer } from "./answerReader.ts";
@@ -54,7 +54,7 @@
   }
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
-    const { request, replica, mayLeave } = call;
+    const { request, replica, maySend: mayLeave } = call;
     const reader = createAnswerReader(mayLeave, signal, this.resets.isResetting);
     this.poolOf(replica).dispatch(
       {
@@ -71,11 +71,11 @@
     return { head: this.wire.decodeAnswer(status, headers), body };
   }
 
-  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionTrial> {
+  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const [host, port] = address.split(":");
     return new Promise((resolve) => {
       const socket = connect({ host, port: Number(port), timeout });
-      const end = (trial: ConnectionTrial): void => {
+      const end = (trial: ConnectionProbeResult): void => {
         socket.destroy();
         resolve(trial);
       };
@@ -109,7 +109,7 @@
     const guarded = this.guard(replica, undefined);
     const observe = ({ status, headers }: RawAnswer): void =>
       guarded.observe(this.wire.decodeAnswer(status, headers));
-    return guarded.run(() => this.exchangeAt(replica, call, signal, guarded.mayLeave, observe));
+    return guarded.run(() => this.exchangeAt(replica, call, signal, guarded.maySend, observe));
   }
 
   /** Makes a call of the system's own to something that is no replica. */
