--- a/src/coordination/leases/leaseHistory.ts
+++ b/src/coordination/leases/leaseHistory.ts
@@ -12,7 +12,7 @@
  * The history begins anew with it, only records written in it count, and contenders wait as if records had expired.
  */
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import type { LogPage, LogRecord } from "../../protocol/types.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
@@ -24,7 +24,7 @@
 const writeLog = createLogger("leases");
 
 /** What a record turned out to be. */
-export type LeaseVerdict = "valid" | "void" | "undecided";
+export type RecordValidity = "valid" | "void" | "undecided";
 
 /** The stream of leases as one process has read it. */
 export interface LeaseHistory {
@@ -33,7 +33,7 @@
   /** The offset to read from next. */
   readonly readTo: () => number;
   /** When records were last found to be lost unread, by expiry or a new epoch, milliseconds on the monotonic clock. */
-  readonly lostAt: () => number | undefined;
+  readonly recordsLostAt: () => number | undefined;
   readonly state: (lease: string) => LeaseState;
   readonly states: () => ReadonlyMap<string, LeaseState>;
   /** Takes a page; repeated pages, pages out of order and pages of earlier epochs do no harm. */
@@ -44,7 +44,10 @@
    * @param epoch - In which its offset was given out.
    * @returns Nothing if it is not, or is no record of a lease.
    */
-  readonly apply: (record: Pick<LogRecord, "offset" | "data">, epoch: StoreEpoch) => LeaseVerdict | undefined;
+  readonly apply: (
+    record: Pick<LogRecord, "offset" | "data">,
+    epoch: StoreEpoch,
+  ) => RecordValidity | undefined;
 }
 
 interface Entry {
@@ -54,7 +57,7 @@
   lastUndecided: number;
 }
 
-const epochOf = ({ epoch = unnamedEpoch }: LeaseRecord): StoreEpoch => epoch;
+const epochOf = ({ epoch = defaultEpoch }: LeaseRecord): StoreEpoch => epoch;
 
 const headOf = (offset: number, record: LeaseRecord, before: LeaseHead | undefined): LeaseHead => ({
   offset,
@@ -68,7 +71,7 @@
 /** Creates a history that has read nothing. */
 export const createLeaseHistory = (clock: Clock): LeaseHistory => {
   const leases = new Map<string, Entry>();
-  let epoch: StoreEpoch = unnamedEpoch;
+  let epoch: StoreEpoch = defaultEpoch;
   let readTo = 0;
   /** Records below this offset may have expired unread. */
   let lostTo = 0;
@@ -82,12 +85,12 @@
     return entry;
   };
 
-  const judge = (entry: Entry, offset: number, record: LeaseRecord): LeaseVerdict => {
+  const judge = (entry: Entry, offset: number, record: LeaseRecord): RecordValidity => {
     if (record.readTo > offset || entry.lastValid >= record.readTo) return "void";
     return record.readTo < lostTo || entry.lastUndecided >= record.readTo ? "undecided" : "valid";
   };
 
-  const decide = (offset: number, record: LeaseRecord): LeaseVerdict => {
+  const decide = (offset: number, record: LeaseRecord): RecordValidity => {
     if (epochOf(record) !== epoch) return "void";
     const entry = entryOf(record.lease);
     const verdict = judge(entry, offset, record);
@@ -138,7 +141,7 @@
   return {
     epoch: () => epoch,
     readTo: () => readTo,
-    lostAt: () => lostAt,
+    recordsLostAt: () => lostAt,
     state: (lease) => {
       const { head, freeAt } = entryOf(lease);
       return { head, freeAt };
--- a/src/coordination/leases/leaseLog.ts
+++ b/src/coordination/leases/leaseLog.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from "node:crypto";
 import { logStreams } from "../../protocol/constants.ts";
 import type { LogService } from "../../protocol/LogService.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
@@ -13,7 +13,7 @@
 import type { LeaseHead } from "./types.ts";
 
 /** What reading and writing works with. */
-export interface LeaseLogParts {
+export interface LeaseLogDependencies {
   readonly name: string;
   /** Tells this process from every other, and from this VM's earlier processes. */
   readonly holder: string;
@@ -47,7 +47,7 @@
 }
 
 /** Creates the log side of a lease. */
-export const createLeaseLog = (parts: LeaseLogParts): LeaseLog => {
+export const createLeaseLog = (parts: LeaseLogDependencies): LeaseLog => {
   const { name, holder, log, history, clock, metrics } = parts;
   /** Own appends, whatever became of them, by their ids. */
   const sent = new Map<string, SentAppend>();
@@ -92,7 +92,7 @@
       holder,
       id: randomUUID(),
       readTo: history.readTo(),
-      ...(history.epoch() === unnamedEpoch ? {} : { epoch: history.epoch() }),
+      ...(history.epoch() === defaultEpoch ? {} : { epoch: history.epoch() }),
     }),
     readToEnd,
     append: async (record) => {
--- a/src/coordination/membership/Membership.ts
+++ b/src/coordination/membership/Membership.ts
@@ -20,7 +20,7 @@
   abstract self(): Member;
 
   /** Routers of this data centre that take part, this one among them, sorted by name. */
-  abstract livePeers(): readonly Member[];
+  abstract liveMembers(): readonly Member[];
 
   /** Whether a key (an engine's id, say) falls to this router, by rendezvous over the live peers. */
   abstract isHome(key: string): boolean;
--- a/src/coordination/membership/PeerFeature.ts
+++ b/src/coordination/membership/PeerMessageExtension.ts
@@ -2,19 +2,19 @@
 import type { PeerMessage, Router } from "../../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 
 /** One matter that peers tell each other about. Everything but `receive` fills in the message handed over. */
-export abstract class PeerFeature {
+export abstract class PeerMessageExtension {
   /** Adds what is new for every peer of the data centre. */
-  readonly contribute: (message: PeerMessage) => void = () => undefined;
+  readonly addToHeartbeat: (message: PeerMessage) => void = () => undefined;
 
   /** Adds what a peer needs whose stream has just been opened. */
-  readonly introduce: (message: PeerMessage) => void = () => undefined;
+  readonly addToFirstMessage: (message: PeerMessage) => void = () => undefined;
 
   /** Adds what another data centre is told. */
-  readonly represent: (message: PeerMessage) => void = () => undefined;
+  readonly addToRemoteMessage: (message: PeerMessage) => void = () => undefined;
 
   /** Takes a message of a peer of this data centre, or of another one's representative. */
   abstract readonly receive: (sender: Router, message: PeerMessage) => void;
 
   /** This process has a new incarnation: peers forget what they were told under the old one. */
-  readonly restart: () => void = () => undefined;
+  readonly onNewIncarnation: () => void = () => undefined;
 }
--- a/src/coordination/membership/configurationExchange.test.ts
+++ b/src/coordination/membership/configurationExchange.test.ts
@@ -24,7 +24,7 @@
   const before = node.history.current()?.version;
   readAll(node.history, log);
   node.noteLogRead();
-  if (node.history.current()?.version !== before) node.exchange.noteRead();
+  if (node.history.current()?.version !== before) node.exchange.noteLogVersion();
 };
 
 /** Moves time on; nodes whose turn it is read the log, unless they are cut from it. */
@@ -33,7 +33,7 @@
     await nodes.advance(250);
     for (const name of all) {
       const node = nodes.node(name);
-      if (!cutOff.includes(name) && node.exchange.turn() !== "learn") readLog(node, log);
+      if (!cutOff.includes(name) && node.exchange.logReadMode() !== "learn") readLog(node, log);
     }
   }
 };
@@ -68,12 +68,12 @@
   it("is read from the log by two routers of a data centre, and learnt by the others at once", async () => {
     await using system = await start();
     const { nodes, log } = system;
-    const turns = here.map((name) => nodes.node(name).exchange.turn()).sort();
+    const turns = here.map((name) => nodes.node(name).exchange.logReadMode()).sort();
     expect(turns).toEqual(["follow", "follow", "learn", "learn"]);
     const version = publish(log, 2);
     for (const name of all) {
       const node = nodes.node(name);
-      if (node.exchange.turn() === "follow") readLog(node, log);
+      if (node.exchange.logReadMode() === "follow") readLog(node, log);
     }
     await nodes.advance(25);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
@@ -83,7 +83,7 @@
     await using system = await start();
     const { nodes, log } = system;
     for (const left of here) for (const right of elsewhere) nodes.cut(left, right);
-    const readers = here.filter((name) => nodes.node(name).exchange.turn() === "follow");
+    const readers = here.filter((name) => nodes.node(name).exchange.logReadMode() === "follow");
     const version = publish(log, 2);
     await run(nodes, log, readers, inForceWithin);
     expect(versionsOf(nodes)).toEqual(everywhere(version));
--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -15,13 +15,13 @@
 import { decodeConfigurationState, encodeConfigurationState } from "../../state/peerConfiguration.ts";
 import type { Peer, PeerDirectory } from "../../state/peerDirectory.ts";
 import type { Clock } from "../clock.ts";
-import type { LogTurn } from "../configurationFollower.ts";
+import type { LogReadMode } from "../configurationFollower.ts";
 import { spreading } from "./constants.ts";
 import type { Membership } from "./Membership.ts";
-import { PeerFeature } from "./PeerFeature.ts";
+import { PeerMessageExtension } from "./PeerMessageExtension.ts";
 
 /** What the exchange works with. */
-export interface ConfigurationExchangeParts {
+export interface ConfigurationExchangeDependencies {
   readonly history: ConfigurationHistory;
   readonly membership: Membership;
   readonly directory: PeerDirectory;
@@ -46,8 +46,8 @@
 const isSame = (left: number | undefined, right: number | undefined): boolean => left === right;
 
 /** The exchange, one matter of the messages between peers. */
-export class ConfigurationExchange extends PeerFeature {
-  private readonly parts: ConfigurationExchangeParts;
+export class ConfigurationExchange extends PeerMessageExtension {
+  private readonly parts: ConfigurationExchangeDependencies;
   /** The version that this router last sent to its peers, or saw another send. */
   private spreadVersion: number | undefined;
   /** When this router took the version in force. */
@@ -60,14 +60,14 @@
   /** The version in force came from another data centre: nobody else here may have it. */
   private cameFromAbroad = false;
 
-  constructor(parts: ConfigurationExchangeParts) {
+  constructor(parts: ConfigurationExchangeDependencies) {
     super();
     this.parts = parts;
     this.versionSince = parts.clock.monotonic();
   }
 
   /** Whose turn it is to read the log. */
-  readonly turn = (): LogTurn => {
+  readonly logReadMode = (): LogReadMode => {
     const { membership } = this.parts;
     const readers = membership.representatives(readersMatter, spreading.readers);
     if (readers.includes(membership.self().name)) return "follow";
@@ -78,7 +78,7 @@
   };
 
   /** The log gave a new version. */
-  readonly noteRead = (): void => {
+  readonly noteLogVersion = (): void => {
     this.noteVersion("log");
     this.cameFromAbroad = false;
     if (this.isFirstReader()) this.parts.push();
@@ -108,23 +108,23 @@
       knownTo: history.readTo(),
       certain: history.isCertain(),
       source: this.source,
-      turn: this.turn(),
+      turn: this.logReadMode(),
       logReadMillisecondsAgo: readAt === undefined ? null : Math.round(clock.monotonic() - readAt),
     };
   };
 
-  override readonly contribute = (message: PeerMessage): void => {
+  override readonly addToHeartbeat = (message: PeerMessage): void => {
     const now = this.parts.clock.monotonic();
     message.configuration = this.standing(now);
     this.spread(message, now);
     this.catchUp(now);
   };
 
-  override readonly introduce = (message: PeerMessage): void => {
+  override readonly addToFirstMessage = (message: PeerMessage): void => {
     message.configuration = this.standing(this.parts.clock.monotonic());
   };
 
-  override readonly represent = (message: PeerMessage): void => {
+  override readonly addToRemoteMessage = (message: PeerMessage): void => {
     message.configuration = this.standing(this.parts.clock.monotonic());
   };
 
--- a/src/coordination/membership/constants.ts
+++ b/src/coordination/membership/constants.ts
@@ -1,5 +1,5 @@
 /** Times of the membership, milliseconds unless named otherwise. */
-import type { PeerPatience } from "../../state/peerDirectory.ts";
+import type { PeerTimeouts } from "../../state/peerDirectory.ts";
 
 /** How often a router speaks to its peers. */
 export const heartbeats = {
@@ -14,11 +14,11 @@
 } as const;
 
 /** How long a silent peer is waited for. */
-export const patience: PeerPatience = {
+export const peerTimeouts: PeerTimeouts = {
   missedIntervals: 2.5,
   suspectIntervals: 1.5,
   slack: 250,
-  memory: 600_000,
+  retention: 600_000,
 };
 
 /** How streams to peers are opened. */
--- a/src/coordination/membership/heartbeatSender.ts
+++ b/src/coordination/membership/heartbeatSender.ts
@@ -6,16 +6,16 @@
 import type { Peer } from "../../state/peerDirectory.ts";
 import { heartbeats } from "./constants.ts";
 import type { Member } from "./Membership.ts";
-import type { PeerFeature } from "./PeerFeature.ts";
+import type { PeerMessageExtension } from "./PeerMessageExtension.ts";
 import type { PeerLinks } from "./peerLinks.ts";
 
 /** What messages are made from. */
-export interface HeartbeatSenderParts {
+export interface HeartbeatSenderDependencies {
   readonly self: () => Member;
   readonly isLeaving: () => boolean;
   /** Number of live routers of the data centre, this one among them. */
   readonly countLive: () => number;
-  readonly features: readonly PeerFeature[];
+  readonly features: readonly PeerMessageExtension[];
   readonly links: () => Pick<PeerLinks, "near" | "far" | "linkTo">;
 }
 
@@ -44,7 +44,7 @@
 };
 
 /** Makes a sender. */
-export const createHeartbeatSender = (parts: HeartbeatSenderParts): HeartbeatSender => {
+export const createHeartbeatSender = (parts: HeartbeatSenderDependencies): HeartbeatSender => {
   const { features } = parts;
   let pushPending = false;
   let stopped = false;
@@ -65,21 +65,21 @@
 
   const representation = (): PeerMessage => {
     const message = newMessage(heartbeats.representedInterval);
-    for (const feature of features) feature.represent(message);
+    for (const feature of features) feature.addToRemoteMessage(message);
     return message;
   };
 
   const introduction = (peer: Peer): Uint8Array => {
     if (peer.dataCentre !== parts.self().dataCentre) return encode(representation());
     const message = newMessage();
-    for (const feature of features) feature.introduce(message);
+    for (const feature of features) feature.addToFirstMessage(message);
     return encode(message);
   };
 
   const sendNear = (): void => {
     if (stopped) return;
     const message = newMessage();
-    for (const feature of features) feature.contribute(message);
+    for (const feature of features) feature.addToHeartbeat(message);
     sendEach(parts.links().near(), message);
   };
 
--- a/src/coordination/membership/listedMembership.ts
+++ b/src/coordination/membership/listedMembership.ts
@@ -35,7 +35,7 @@
     return this.me;
   }
 
-  override livePeers(): readonly Member[] {
+  override liveMembers(): readonly Member[] {
     return this.peers;
   }
 
--- a/src/coordination/membership/liveMembers.ts
+++ b/src/coordination/membership/liveMembers.ts
@@ -4,7 +4,7 @@
 import { rendezvousFirst, rendezvousOrder } from "./rendezvous.ts";
 
 /** What the list is made from. */
-export interface LiveMembersParts {
+export interface LiveMembersDependencies {
   readonly directory: PeerDirectory;
   readonly self: () => Member;
   /** True once this router takes no more work. */
@@ -27,7 +27,7 @@
 const isCounted = (peer: Peer): boolean => peer.state === "live" || peer.state === "suspect";
 
 /** Makes the list. */
-export const createLiveMembers = ({ directory, self, isLeaving }: LiveMembersParts): LiveMembers => {
+export const createLiveMembers = ({ directory, self, isLeaving }: LiveMembersDependencies): LiveMembers => {
   const listeners = new Set<MembershipListener>();
   /** Asked for every engine again and again, so remembered while the list stays the same. */
   const homes = new Map<string, boolean>();
--- a/src/coordination/membership/loadExchange.ts
+++ b/src/coordination/membership/loadExchange.ts
@@ -12,10 +12,10 @@
 import { maximumReports } from "./constants.ts";
 import type { ReportedEngine } from "./engineReports.ts";
 import { describeEngine, hasReported, joinReport, reportEngine } from "./engineReports.ts";
-import { PeerFeature } from "./PeerFeature.ts";
+import { PeerMessageExtension } from "./PeerMessageExtension.ts";
 
 /** What the exchange works with. */
-export interface LoadExchangeParts {
+export interface LoadExchangeDependencies {
   readonly directory: EngineDirectory;
   readonly clock: Clock;
   /** Whether this router asks the engine itself. */
@@ -44,21 +44,21 @@
   [load.running, load.waiting, load.pendingPromptTokens, load.cachedTokens, load.leaving].join();
 
 /** The reports of the engines that this router is home of, out and in. */
-export class LoadExchange extends PeerFeature {
-  private readonly parts: LoadExchangeParts;
+export class LoadExchange extends PeerMessageExtension {
+  private readonly parts: LoadExchangeDependencies;
   private readonly told = new Map<string, Told>();
   private readonly heard = new Map<string, Heard>();
   private readonly leaving = new Set<string>();
   private applying = false;
   private nextNumber = 0;
 
-  constructor(parts: LoadExchangeParts) {
+  constructor(parts: LoadExchangeDependencies) {
     super();
     this.parts = parts;
     parts.directory.subscribe(this.noteChange);
   }
 
-  override readonly contribute = (message: PeerMessage): void => {
+  override readonly addToHeartbeat = (message: PeerMessage): void => {
     const now = this.parts.clock.monotonic();
     this.forgetStrangers();
     for (const engine of this.chooseEngines()) this.tell(message, engine, now);
@@ -66,7 +66,7 @@
     this.leaving.clear();
   };
 
-  override readonly introduce = (message: PeerMessage): void => {
+  override readonly addToFirstMessage = (message: PeerMessage): void => {
     const now = this.parts.clock.monotonic();
     for (const engine of this.homeEngines()) {
       const { number } = this.toldOf(engine);
@@ -86,7 +86,7 @@
     }
   };
 
-  override readonly restart = (): void => {
+  override readonly onNewIncarnation = (): void => {
     for (const told of this.told.values()) told.description = "";
   };
 
--- a/src/coordination/membership/peerLinks.ts
+++ b/src/coordination/membership/peerLinks.ts
@@ -14,7 +14,7 @@
 import { rendezvousOrder } from "./rendezvous.ts";
 
 /** What the streams need of the membership. */
-export interface PeerLinksParts {
+export interface PeerLinksDependencies {
   readonly network: PeerNetwork;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
@@ -48,7 +48,7 @@
   peer.state !== "leaving" && (peer.state !== "dead" || peer.listed);
 
 /** Starts with no stream. */
-export const createPeerLinks = (parts: PeerLinksParts): PeerLinks => {
+export const createPeerLinks = (parts: PeerLinksDependencies): PeerLinks => {
   const { network, directory, clock, dataCentre } = parts;
   const stop = new AbortController();
   const near = new Map<string, PeerLink>();
--- a/src/coordination/membership/peerMembership.test.ts
+++ b/src/coordination/membership/peerMembership.test.ts
@@ -111,7 +111,7 @@
     const { incarnation } = nodes.node("b").membership.self();
     expect(nodes.node("a").peers.get("b")?.incarnation).toEqual(incarnation);
     const old = predecessor.membership.self().incarnation;
-    expect(nodes.node("a").peers.hear("b", old, 250, false, nodes.now())).toEqual(false);
+    expect(nodes.node("a").peers.noteMessage("b", old, 250, false, nodes.now())).toEqual(false);
   });
 
   it("tells at once that it leaves", async () => {
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -25,13 +25,13 @@
 import { createLiveMembers } from "./liveMembers.ts";
 import type { Member, MembershipListener } from "./Membership.ts";
 import { Membership } from "./Membership.ts";
-import type { PeerFeature } from "./PeerFeature.ts";
+import type { PeerMessageExtension } from "./PeerMessageExtension.ts";
 import { createPeerLinks } from "./peerLinks.ts";
-import { createStallGuard } from "./stallGuard.ts";
+import { createStallGuard } from "./processPauseGuard.ts";
 import { createSuspicions } from "./suspicions.ts";
 
 /** What the membership works with. */
-export interface PeerMembershipParts {
+export interface PeerMembershipDependencies {
   readonly name: string;
   readonly dataCentre: string;
   /** The first incarnation; milliseconds since 1970 do, since a VM's name is not started twice in one. */
@@ -51,7 +51,7 @@
   /** What the peer server hands on. */
   readonly handler: PeerHandler;
   /** Adds a matter to the messages; before `start`. */
-  readonly add: (feature: PeerFeature) => void;
+  readonly addExtension: (feature: PeerMessageExtension) => void;
   /** @param url - Where this router's peer server listens. */
   readonly start: (url: string) => void;
   readonly applyVms: (vms: readonly ListedVm[]) => void;
@@ -80,7 +80,7 @@
   dataCentre: peer.dataCentre,
   state: peer.state,
   incarnation: peer.incarnation,
-  lastHeardMillisecondsAgo: peer.heardAt === 0 ? null : Math.round(now - peer.heardAt),
+  lastHeardMillisecondsAgo: peer.lastMessageAt === 0 ? null : Math.round(now - peer.lastMessageAt),
   configurationVersion: peer.configuration?.version ?? null,
   stream: hasStream,
 });
@@ -119,7 +119,7 @@
     return this.me();
   }
 
-  override livePeers(): readonly Member[] {
+  override liveMembers(): readonly Member[] {
     return this.members.current();
   }
 
@@ -137,9 +137,9 @@
 }
 
 /** Starts nothing yet: see `start`. */
-export const createPeerMembership = (parts: PeerMembershipParts): PeerMembership => {
+export const createPeerMembership = (parts: PeerMembershipDependencies): PeerMembership => {
   const { name, dataCentre, network, directory, clock, metrics } = parts;
-  const features: PeerFeature[] = [];
+  const features: PeerMessageExtension[] = [];
   let incarnation = parts.incarnation;
   let leaving = false;
   let url = "";
@@ -148,7 +148,7 @@
 
   const self = (): Member => ({ name, dataCentre, incarnation });
   const identity = (): RouterFields => ({ name, dataCentre, incarnation, peerUrl: url });
-  const guard = createStallGuard(clock.monotonic(), directory.forgive);
+  const guard = createStallGuard(clock.monotonic(), directory.resetTimeouts);
   const members = createLiveMembers({ directory, self, isLeaving: () => leaving });
 
   const sender = createHeartbeatSender({
@@ -164,7 +164,7 @@
     if (known < incarnation) return;
     incarnation = known + 1;
     writeLog("incarnation_raised", { incarnation });
-    for (const feature of features) feature.restart();
+    for (const feature of features) feature.onNewIncarnation();
     members.refresh();
   };
 
@@ -185,7 +185,7 @@
     const now = clock.monotonic();
     guard.check(now);
     guard.noteTick(now, sender.interval());
-    directory.judge(now);
+    directory.updateStates(now);
     suspicions.askAll();
     links.reconcile();
     sender.sendNear();
@@ -208,9 +208,9 @@
     guard.check(now);
     if (!guard.isTrusted(from)) return false;
     const { nextWithin, leaving: fromLeaves, sightings } = message;
-    if (!directory.hear(from.name, message.incarnation, nextWithin, fromLeaves, now)) return false;
+    if (!directory.noteMessage(from.name, message.incarnation, nextWithin, fromLeaves, now)) return false;
     for (const { name: seen, incarnation: seenIncarnation, age } of sightings) {
-      directory.sight(seen, seenIncarnation, now - age, now);
+      directory.noteSighting(seen, seenIncarnation, now - age, now);
     }
     if (message.suspicions.length > 0) suspicions.answer(from.name, message.suspicions);
     for (const feature of features) feature.receive(from, message);
@@ -238,7 +238,7 @@
     answer: (question) =>
       question.body.case === "join" ? admit(question.body.value) : parts.answer(question),
     receive,
-    lost: (from) => {
+    streamEnded: (from) => {
       if (guard.isTrusted(from)) directory.markBroken(from.name, clock.monotonic());
     },
   };
@@ -255,7 +255,7 @@
     membership: new HeartbeatMembership(self, members),
     handler,
     push: sender.push,
-    add: (feature) => features.push(feature),
+    addExtension: (feature) => features.push(feature),
     start: (listeningUrl) => {
       url = listeningUrl;
       tick();
--- a/src/coordination/membership/peerAnswers.ts
+++ b/src/coordination/membership/questionHandler.ts
@@ -11,7 +11,7 @@
 import { describeEngine, hasReported, reportEngine } from "./engineReports.ts";
 
 /** What answers are made from. */
-export interface PeerAnswersParts {
+export interface QuestionHandlerDependencies {
   readonly history: ConfigurationHistory;
   readonly engines: EngineDirectory;
   readonly clock: Clock;
@@ -20,7 +20,9 @@
 }
 
 /** @returns A function that answers; it throws `PeerError` for what it does not know. */
-export const createPeerAnswers = (parts: PeerAnswersParts): ((question: Question) => Answer) => {
+export const createQuestionHandler = (
+  parts: QuestionHandlerDependencies,
+): ((question: Question) => Answer) => {
   const { history, engines, clock } = parts;
   let wholeVersion: number | undefined;
   let whole = "";
--- a/src/coordination/membership/restore.ts
+++ b/src/coordination/membership/restore.ts
@@ -13,7 +13,7 @@
 import { joinReport } from "./engineReports.ts";
 
 /** What a restore works with. */
-export interface RestoreParts {
+export interface RestoreDependencies {
   readonly network: PeerNetwork;
   readonly engines: EngineDirectory;
   readonly clock: Clock;
@@ -32,7 +32,7 @@
   /** Resolves when a peer has given a configuration, or there is one already. */
   readonly done: Promise<void>;
   /** Asks every peer known by now, and resolves when it is done or none has helped. */
-  readonly tryAll: () => Promise<void>;
+  readonly askAllPeers: () => Promise<void>;
 }
 
 const askTimeout = 1_000;
@@ -58,7 +58,7 @@
     .map(({ url }) => url);
 
 /** Starts asking. */
-export const startRestore = (parts: RestoreParts): Restore => {
+export const startRestore = (parts: RestoreDependencies): Restore => {
   const { network, engines, clock } = parts;
   const stop = new AbortController();
 
@@ -108,7 +108,7 @@
   const done = run();
   return {
     done,
-    tryAll: askAll,
+    askAllPeers: askAll,
     [Symbol.asyncDispose]: async () => {
       stop.abort();
       await done;
--- a/src/coordination/membership/summaryExchange.ts
+++ b/src/coordination/membership/summaryExchange.ts
@@ -15,10 +15,10 @@
 import type { ReportedEngine } from "./engineReports.ts";
 import { describeEngine, hasReported, joinReport, reportEngine } from "./engineReports.ts";
 import type { Membership } from "./Membership.ts";
-import { PeerFeature } from "./PeerFeature.ts";
+import { PeerMessageExtension } from "./PeerMessageExtension.ts";
 
 /** What the exchange works with. */
-export interface SummaryExchangeParts {
+export interface SummaryExchangeDependencies {
   readonly engines: EngineDirectory;
   readonly membership: Membership;
   readonly clock: Clock;
@@ -43,29 +43,29 @@
 };
 
 /** The summaries, out and in. */
-export class SummaryExchange extends PeerFeature {
-  private readonly parts: SummaryExchangeParts;
+export class SummaryExchange extends PeerMessageExtension {
+  private readonly parts: SummaryExchangeDependencies;
   /** When each other data centre was last heard of, milliseconds on the monotonic clock. */
   private readonly heardAt = new Map<string, number>();
   /** Heard from abroad and not yet told here. */
   private untold: Summary[] = [];
 
-  constructor(parts: SummaryExchangeParts) {
+  constructor(parts: SummaryExchangeDependencies) {
     super();
     this.parts = parts;
   }
 
   /** Whether nothing has been heard of a data centre's engines for long. */
-  readonly isSilent = (dataCentre: string): boolean =>
+  readonly isUnreachable = (dataCentre: string): boolean =>
     this.parts.clock.monotonic() - (this.heardAt.get(dataCentre) ?? Number.NEGATIVE_INFINITY) >
     summaryPatience;
 
-  override readonly contribute = (message: PeerMessage): void => {
+  override readonly addToHeartbeat = (message: PeerMessage): void => {
     message.summaries.push(...this.untold);
     this.untold = [];
   };
 
-  override readonly represent = (message: PeerMessage): void => {
+  override readonly addToRemoteMessage = (message: PeerMessage): void => {
     const { engines, membership, clock } = this.parts;
     const { dataCentre } = membership.self();
     const here = engines
--- a/src/coordination/membership/suspicions.ts
+++ b/src/coordination/membership/suspicions.ts
@@ -11,7 +11,7 @@
 import { rendezvousOrder } from "./rendezvous.ts";
 
 /** What questions about suspects need. */
-export interface SuspicionsParts {
+export interface SuspicionsDependencies {
   readonly name: string;
   readonly directory: PeerDirectory;
   readonly clock: Clock;
@@ -39,10 +39,10 @@
 const hears = (peer: Peer, incarnation: number, now: number): boolean =>
   peer.state === "live" &&
   peer.incarnation >= incarnation &&
-  now - peer.heardAt <= heardIntervals * peer.nextWithin;
+  now - peer.lastMessageAt <= heardIntervals * peer.nextWithin;
 
 /** Makes the two halves. */
-export const createSuspicions = (parts: SuspicionsParts): Suspicions => {
+export const createSuspicions = (parts: SuspicionsDependencies): Suspicions => {
   const { name, directory, clock } = parts;
 
   const ask = (suspect: Peer): void => {
@@ -68,7 +68,7 @@
     for (const suspicion of suspicions) {
       const peer = directory.get(suspicion.name);
       if (peer === undefined || !hears(peer, suspicion.incarnation, now)) continue;
-      const { name: heard, incarnation, heardAt } = peer;
+      const { name: heard, incarnation, lastMessageAt: heardAt } = peer;
       const age = Math.round(now - heardAt);
       message.sightings.push(create(SightingSchema, { name: heard, incarnation, age }));
     }
--- a/src/coordination/orders/capacity.ts
+++ b/src/coordination/orders/capacity.ts
@@ -6,10 +6,11 @@
  * @returns Engines of the pool that have to go on serving; none for a pool of one, which can't be changed
  * otherwise.
  */
-export const enginesToKeep = (listed: number): number => Math.floor(listed * keptShare);
+export const minServingEngines = (listed: number): number => Math.floor(listed * keptShare);
 
 /**
  * @param serving - Engines of the pool that take work now.
  * @returns Whether one of those may be taken out.
  */
-export const mayTakeOut = (listed: number, serving: number): boolean => serving - 1 >= enginesToKeep(listed);
+export const mayTakeOut = (listed: number, serving: number): boolean =>
+  serving - 1 >= minServingEngines(listed);
--- a/src/coordination/orders/deploymentOrders.ts
+++ b/src/coordination/orders/deploymentOrders.ts
@@ -1,17 +1,17 @@
 /** Keeps a lease and an order holder for each deployment that the configuration names. */
 import type { LogService } from "../../protocol/LogService.ts";
 import { pause } from "../clock.ts";
-import { orderLease } from "../leases/constants.ts";
+import { orderLeaseName } from "../leases/constants.ts";
 import { startLease } from "../leases/lease.ts";
 import type { LeaseHistory } from "../leases/leaseHistory.ts";
 import type { LeaseView } from "../leases/types.ts";
-import type { EngineSurveyParts } from "./engineSurvey.ts";
-import { startOrderHolder } from "./orderHolder.ts";
+import type { EngineSurveyParts } from "./engineLoadCache.ts";
+import { startOrderHolder } from "./rollOutController.ts";
 import type { RollOutParts } from "./rollOut.ts";
 import type { RollOutView } from "./types.ts";
 
 /** What the orders of all deployments work with. */
-export interface DeploymentOrdersParts extends Omit<RollOutParts, "deployment">, EngineSurveyParts {
+export interface DeploymentOrdersDependencies extends Omit<RollOutParts, "deployment">, EngineSurveyParts {
   readonly log: LogService;
   readonly history: LeaseHistory;
   /** Names this process among all holders. */
@@ -30,13 +30,13 @@
 const fallbackDuration = 10_000;
 
 /** Starts with no deployment and follows the configuration. */
-export const startDeploymentOrders = (parts: DeploymentOrdersParts): DeploymentOrders => {
+export const startDeploymentOrders = (parts: DeploymentOrdersDependencies): DeploymentOrders => {
   const stop = new AbortController();
   const duration = (): number =>
     parts.configuration()?.configuration.limits.leaseDuration ?? fallbackDuration;
 
   const startOne = (deployment: string) => {
-    const name = orderLease(deployment);
+    const name = orderLeaseName(deployment);
     const lease = startLease({ ...parts, name, duration, isCandidate: () => parts.isCandidate(name) });
     const holder = startOrderHolder({ ...parts, deployment, lease });
     const end = async (): Promise<void> => {
--- a/src/coordination/orders/rollOut.test.ts
+++ b/src/coordination/orders/rollOut.test.ts
@@ -11,7 +11,7 @@
 import { createConfigurationIndex } from "../configurationIndex.ts";
 import type { Tenure } from "../leases/types.ts";
 import { createManualClock } from "../manualClock.ts";
-import { createEngineSurvey } from "./engineSurvey.ts";
+import { createEngineSurvey } from "./engineLoadCache.ts";
 import { createRollOut } from "./rollOut.ts";
 
 const longestOrder = 15_000;
--- a/src/coordination/orders/rollOutMembers.ts
+++ b/src/coordination/orders/rollOutMembers.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 import { mayTakeOut } from "./capacity.ts";
 import { desiredStateOf, nextChange } from "./desiredState.ts";
-import type { EngineSurvey } from "./engineSurvey.ts";
+import type { EngineSurvey } from "./engineLoadCache.ts";
 
 /** An engine with its pool and its last report. */
 export interface RollOutMember {
--- a/src/coordination/replicaLimits/coordinatedLimit.test.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.test.ts
@@ -1,11 +1,11 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import type { AnswerSpan } from "../../state/forwarding/limitWord.ts";
+import type { AnswerSpan } from "../../state/forwarding/reportedLimit.ts";
 import { createManualClock } from "../manualClock.ts";
 import { missingLimitsToEnd } from "./constants.ts";
 import { createCoordinatedLimit } from "./coordinatedLimit.ts";
 
-const span = (askedAt: number, heardAt: number): AnswerSpan => ({ askedAt, heardAt });
+const span = (askedAt: number, heardAt: number): AnswerSpan => ({ askedAt, receivedAt: heardAt });
 
 const reported = (perSecond: number, askedAt: number, heardAt: number) => ({
   perSecond,
--- a/src/coordination/replicaLimits/coordinatedLimit.ts
+++ b/src/coordination/replicaLimits/coordinatedLimit.ts
@@ -2,8 +2,8 @@
  * What is left of one replica's limit, as the limit's coordinator counts it: by the newest limit that the replica has
  * reported to any router.
  */
-import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
-import { supersedes } from "../../state/forwarding/limitWord.ts";
+import type { AnswerSpan, ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
+import { supersedes } from "../../state/forwarding/reportedLimit.ts";
 import type { Clock } from "../clock.ts";
 import type { BucketParameters } from "../coordinators/tokenBucket.ts";
 import { createTokenBucket } from "../coordinators/tokenBucket.ts";
@@ -18,7 +18,7 @@
 /** A replica's limit, in force until enough consecutive answers report none. */
 export interface CoordinatedLimit {
   /** An answer reported a limit. */
-  readonly observeLimit: (reported: LimitWord) => void;
+  readonly observeLimit: (reported: ReportedLimit) => void;
   /** An answer reported no limit. */
   readonly observeNoLimit: (span: AnswerSpan) => void;
   /** @returns When the limit ended, by consecutive answers without one; `undefined` while it is in force. */
@@ -37,7 +37,7 @@
 const millisecondsPerSecond = 1_000;
 
 /** Creates a limit with an empty bucket: the previous coordinator may have granted all that there is just now. */
-export const createCoordinatedLimit = (clock: Clock, first: LimitWord): CoordinatedLimit => {
+export const createCoordinatedLimit = (clock: Clock, first: ReportedLimit): CoordinatedLimit => {
   const bucket = createTokenBucket(clock, 0);
   let newest = first;
   /** Consecutive answers without a limit, each requested after the one before had arrived. */
@@ -57,8 +57,8 @@
 
   return {
     observeLimit: (reported) => {
-      const isNew = reported.heardAt > newest.heardAt;
-      const isAfterMissing = missingSpan === undefined || reported.heardAt > missingSpan.askedAt;
+      const isNew = reported.receivedAt > newest.receivedAt;
+      const isAfterMissing = missingSpan === undefined || reported.receivedAt > missingSpan.askedAt;
       if (isNew && isAfterMissing) {
         missing = 0;
         missingSpan = undefined;
@@ -66,13 +66,13 @@
       if (supersedes(reported, newest)) newest = reported;
     },
     observeNoLimit: (span) => {
-      const last = missingSpan?.heardAt ?? newest.heardAt;
+      const last = missingSpan?.receivedAt ?? newest.receivedAt;
       // An answer that was in flight together with the last one may be older; one that is reported twice counts once.
       if (span.askedAt < last) return;
       missing += 1;
       missingSpan = span;
     },
-    endedAt: () => (missing >= missingLimitsToEnd ? missingSpan?.heardAt : undefined),
+    endedAt: () => (missing >= missingLimitsToEnd ? missingSpan?.receivedAt : undefined),
     rate,
     acquire: (maxWait) => {
       const grantedWait = bucket.reserve(1, parameters(), maxWait);
--- a/src/coordination/replicaLimits/grantSearch.ts
+++ b/src/coordination/replicaLimits/grantSearch.ts
@@ -1,5 +1,5 @@
 /** One request's search for a replica that can take it, where replicas report limits. */
-import type { LimitedChoice, PlacementFailure } from "../forwarding/placementTypes.ts";
+import type { LimitedCandidates, PlacementFailure } from "../forwarding/placementTypes.ts";
 import { maxRefusals, maxReservations, reservationWaitShare } from "./constants.ts";
 
 /**
@@ -8,7 +8,7 @@
  */
 export interface GrantSearch {
   /** @returns Which of the replicas with a limit are candidates now. */
-  readonly limitedChoice: () => LimitedChoice;
+  readonly limitedChoice: () => LimitedCandidates;
   /** @returns Replicas to exclude: those that the request was sent to, and those that had no grant for it. */
   readonly excluded: (sentTo: ReadonlySet<string>) => ReadonlySet<string>;
   /**
@@ -30,7 +30,7 @@
 /** Creates the search of a request that was not refused yet. */
 export const createGrantSearch = (): GrantSearch => {
   const withoutReservation = new Set<string>();
-  let limitedChoice: LimitedChoice = "open";
+  let limitedChoice: LimitedCandidates = "open";
   let refusals = 0;
   let wasLimited = false;
 
--- a/src/coordination/replicaLimits/limitCoordinator.ts
+++ b/src/coordination/replicaLimits/limitCoordinator.ts
@@ -1,7 +1,7 @@
 /** The replica limits that this router coordinates: it grants requests to the replicas for all routers. */
 import type { LimitAnswer, LimitVerdict, ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
-import { takeSpan, takeWord } from "../../state/forwarding/limitWord.ts";
+import { fromReportedSpan, fromReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
 import type { Coordinators } from "../coordinators/coordinators.ts";
@@ -44,7 +44,7 @@
     }
     const known = limits.get(id);
     if (known !== undefined) return known;
-    const reported = takeWord(word, clock.monotonic());
+    const reported = fromReportedLimitMessage(word, clock.monotonic());
     const created = createCoordinatedLimit(clock, reported);
     limits.set(id, created);
     writeLog("limit_kept", { replica: id, perSecond: reported.perSecond });
@@ -53,8 +53,8 @@
 
   const observe = (limit: CoordinatedLimit, { reportedLimit: word, unnamed }: ReplicaLimitQuery): void => {
     const now = clock.monotonic();
-    limit.observeLimit(takeWord(word, now));
-    if (unnamed !== undefined) limit.observeNoLimit(takeSpan(unnamed, now));
+    limit.observeLimit(fromReportedLimitMessage(word, now));
+    if (unnamed !== undefined) limit.observeNoLimit(fromReportedSpan(unnamed, now));
   };
 
   const createAnswer = (number: number, verdict: LimitVerdict, wait = 0): LimitAnswer => ({
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -8,8 +8,8 @@
  * Replicas without a limit cost nothing.
  */
 import type { ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
-import type { AnswerSpan, LimitWord } from "../../state/forwarding/limitWord.ts";
-import { supersedes, tellSpan, tellWord } from "../../state/forwarding/limitWord.ts";
+import type { AnswerSpan, ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
+import { supersedes, toReportedSpan, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createLogger } from "../../state/log.ts";
@@ -17,8 +17,8 @@
 import type { KeyCoordination } from "../coordinators/keyCoordination.ts";
 import type { TokenBucket } from "../coordinators/tokenBucket.ts";
 import { createTokenBucket } from "../coordinators/tokenBucket.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
   grantLifetime,
   localGrantShare,
@@ -57,9 +57,9 @@
    * @param maxWait - The longest time for which the request may wait, milliseconds.
    * @returns The grant, or `undefined` if there is none; no promise where the replica has no limit.
    */
-  readonly take: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
+  readonly acquire: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
   /** An answer reported a limit. */
-  readonly observeLimit: (replica: ReplicaState, reported: LimitWord) => void;
+  readonly observeLimit: (replica: ReplicaState, reported: ReportedLimit) => void;
   /** An answer reported no limit. */
   readonly observeNoLimit: (replica: ReplicaState, span: AnswerSpan) => void;
   /** @returns Milliseconds after which to retry a request for which the limits of a service's replicas leave no room. */
@@ -82,7 +82,7 @@
   /** By id of a replica. */
   const localBuckets = new Map<string, TokenBucket>();
   /** By service: requests that were refused. */
-  const refusedRequests = new Map<string, SlidingCount>();
+  const refusedRequests = new Map<string, SlidingWindowCounter>();
 
   replicas.subscribe(({ id }, departure) => {
     if (departure !== undefined && departure !== "draining") localBuckets.delete(id);
@@ -90,13 +90,13 @@
 
   const createQuery = (
     { entry }: ReplicaState,
-    reported: LimitWord,
+    reported: ReportedLimit,
     fields: Pick<ReplicaLimitQuery, "unnamed" | "isAsked" | "patience">,
   ): ReplicaLimitQuery => ({
     kind: "replicaQuestion",
     number: 0,
     replica: entry.id,
-    reportedLimit: tellWord(reported, clock.monotonic()),
+    reportedLimit: toReportedLimitMessage(reported, clock.monotonic()),
     ...fields,
   });
 
@@ -110,10 +110,14 @@
   };
 
   /** Reports an observation to the coordinator, which may know that the limit has ended. */
-  const report = async (replica: ReplicaState, reported: LimitWord, missing?: AnswerSpan): Promise<void> => {
-    const unnamed = missing === undefined ? undefined : tellSpan(missing, clock.monotonic());
+  const report = async (
+    replica: ReplicaState,
+    reported: ReportedLimit,
+    missing?: AnswerSpan,
+  ): Promise<void> => {
+    const unnamed = missing === undefined ? undefined : toReportedSpan(missing, clock.monotonic());
     const query = createQuery(replica, reported, { unnamed, isAsked: false, patience: 0 });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer?.verdict === "unlimited") endLimit(replica);
   };
 
@@ -127,7 +131,7 @@
   };
 
   /** Used while no coordinator answers: an even part of half the limit stays within the allowed overshoot. */
-  const grantLocally = (replica: ReplicaState, { perSecond }: LimitWord): Grant | undefined => {
+  const grantLocally = (replica: ReplicaState, { perSecond }: ReportedLimit): Grant | undefined => {
     const { id } = replica.entry;
     const bucket = localBuckets.get(id) ?? createLocalBucket(clock);
     localBuckets.set(id, bucket);
@@ -140,7 +144,7 @@
 
   const requestGrant = async (
     replica: ReplicaState,
-    reported: LimitWord,
+    reported: ReportedLimit,
     maxWait: number,
   ): Promise<Grant | undefined> => {
     const query = createQuery(replica, reported, {
@@ -148,7 +152,7 @@
       isAsked: true,
       patience: Math.max(0, Math.floor(maxWait)),
     });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer === undefined) return grantLocally(replica, reported);
     localBuckets.delete(replica.entry.id);
     if (answer.verdict === "unlimited") endLimit(replica);
@@ -158,14 +162,15 @@
   };
 
   const countRefused = (service: string): number => {
-    const count = refusedRequests.get(service) ?? createSlidingCount(clock, refusalWindow, refusalBuckets);
+    const count =
+      refusedRequests.get(service) ?? createSlidingWindowCounter(clock, refusalWindow, refusalBuckets);
     refusedRequests.set(service, count);
     count.add(1);
     return count.sum();
   };
 
   return {
-    take: (replica, maxWait) =>
+    acquire: (replica, maxWait) =>
       replica.limit === undefined ? undefined : requestGrant(replica, replica.limit, maxWait),
     observeLimit: (replica, reported) => {
       const known = replica.limit;
@@ -178,7 +183,7 @@
     },
     observeNoLimit: (replica, span) => {
       const known = replica.limit;
-      if (known !== undefined && span.askedAt >= known.heardAt) void report(replica, known, span);
+      if (known !== undefined && span.askedAt >= known.receivedAt) void report(replica, known, span);
     },
     comeBackAfter: (service) => {
       const limited = replicas.serving(service).filter(({ limit }) => limit !== undefined);
--- a/src/coordination/replicaOwners/constants.ts
+++ b/src/coordination/replicaOwners/constants.ts
@@ -28,13 +28,13 @@
  * Replicas that are asked about for one request: homes of its deepest shared part, holders that are known, others at
  * random; and how many others before a request is turned away, since somewhere else it may not be late.
  */
-export const askedReplicas = { homes: 2, holders: 1, others: 1, wide: 8 } as const;
+export const queriedReplicas = { homes: 2, holders: 1, others: 1, wide: 8 } as const;
 
 /** Versions of the weights of which replicas are asked about: during a roll-out few run the newest. */
-export const askedVersions = 2;
+export const queriedVersions = 2;
 
 /** The same for plain services, whose replicas keep nothing: near ones, and others. */
-export const askedPlain = { near: 1, others: 2 } as const;
+export const queriedPlainReplicas = { near: 1, others: 2 } as const;
 
 /** Ends of prompts and requests that come within so short a time share a report. */
 export const reportGathering = 20;
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -10,13 +10,13 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReportedLimitMessage } from "../../protocol/forwarding/reportedLimitMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit, tellWord } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { workWithout } from "../../state/forwarding/replicaState.ts";
+import { workExcluding } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import { avoidReplica, avoidReplicaUntil } from "../replicaReports/backoff.ts";
 import { announcedLimitMaxAge } from "../replicaLimits/constants.ts";
 import { holdersNamed, reportMemory } from "./constants.ts";
@@ -52,7 +52,9 @@
 
 /** Whoever asks hears the limit from the replica itself if nobody has for long. */
 const tellRecentLimit = ({ limit }: ReplicaState, now: number): ReportedLimitMessage | undefined =>
-  limit === undefined || now - limit.heardAt > announcedLimitMaxAge ? undefined : tellWord(limit, now);
+  limit === undefined || now - limit.receivedAt > announcedLimitMaxAge
+    ? undefined
+    : toReportedLimitMessage(limit, now);
 
 /** A teller that has none at a replica any more. */
 export const noWork = { requests: 0, promptTokens: [] } as const;
@@ -80,7 +82,7 @@
     // Whoever can't reach it may be cut off itself: the owner looks before it believes.
     if (report.isUnreachable) state.isSuspected = true;
     if (report.isBackingOff) avoidReplica(state, clock.monotonic());
-    if (report.limit !== undefined) noteToldLimit(state, report.limit, clock.monotonic());
+    if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, clock.monotonic());
   };
 
   const forgetOld = (): void => {
@@ -100,7 +102,7 @@
   const describe = (state: ReplicaState, asker: string): ReplicaLoadReport => {
     // What an owner before this one had answered would be told on for good, and keep everybody away.
     replicas.noteWorkAt(answersTeller, replicaKeyOf(state.entry.id), noWork);
-    const work = workWithout(state, tellerOf(asker));
+    const work = workExcluding(state, tellerOf(asker));
     return {
       replica: replicaKeyOf(state.entry.id),
       requests: work.requests,
@@ -113,7 +115,7 @@
   return {
     takeWork: (message) => {
       for (const report of message.reports) takeReport(message, report);
-      takeHolders(message.holders, parts);
+      applyAnnouncedHolders(message.holders, parts);
     },
     answer: ({ name, number, replicas: keys, parts: wanted }) => ({
       kind: "answer",
--- a/src/coordination/replicaOwners/consultation.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -10,7 +10,7 @@
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { createAnswerTimes } from "../answerTimes.ts";
+import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import { answerPatience, answerTimeGain, assumedAnswerTime } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
@@ -66,10 +66,10 @@
   /** Asked and given up; a late answer shows that the owner lives. */
   const late = new Map<number, LiveRouter>();
   let number = 0;
-  const times = createAnswerTimes({
-    assumed: assumedAnswerTime,
-    gain: answerTimeGain,
-    patience: answerPatience,
+  const times = createAdaptiveTimeout({
+    initialLatency: assumedAnswerTime,
+    smoothingFactor: answerTimeGain,
+    timeoutRange: answerPatience,
   });
 
   const groupByOwner = (replicas: readonly ReplicaState[], known: ReplicaState[]) => {
@@ -109,7 +109,7 @@
         resolve(known);
       };
       const question: Question = { askedAt: clock.monotonic(), waiting: new Map(), known, finish };
-      const callOff = clock.after(times.patience(), () => giveUp(question));
+      const callOff = clock.after(times.timeout(), () => giveUp(question));
       for (const [owner, owned] of byOwner) {
         number += 1;
         question.waiting.set(number, { owner, replicas: owned });
@@ -127,7 +127,7 @@
     if (question === undefined) return;
     open.delete(answer.number);
     question.waiting.delete(answer.number);
-    times.note(clock.monotonic() - question.askedAt);
+    times.observe(clock.monotonic() - question.askedAt);
     question.known.push(...parts.take(answer));
     if (question.waiting.size === 0) question.finish();
   };
--- a/src/coordination/replicaOwners/owners.ts
+++ b/src/coordination/replicaOwners/owners.ts
@@ -19,7 +19,7 @@
 }
 
 /** What owners are found with. */
-export interface OwnersParts {
+export interface OwnersDependencies {
   readonly self: LiveRouter;
   /** @returns The other routers that may be serving; whether they answer shows when they are asked. */
   readonly others: () => readonly LiveRouter[];
@@ -49,7 +49,7 @@
 const writeLog = createLogger("owners");
 
 /** Creates a view of the owners as one router has it. */
-export const createOwners = ({ self, others, clock }: OwnersParts): Owners => {
+export const createOwners = ({ self, others, clock }: OwnersDependencies): Owners => {
   const silent = new Map<string, Silence>();
   let byDataCentre = new Map<string, readonly Member[]>();
   let everybody: readonly Member[] = [];
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -11,21 +11,21 @@
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { createResourceStack } from "../../protocol/resourceStack.ts";
 import type { CacheStore, RouterEntry } from "../../protocol/forwarding/types.ts";
-import { noteToldLimit } from "../../state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import type { Clock } from "../clock.ts";
 import type { CacheHolders } from "../forwarding/cacheHolders.ts";
-import { takeHolders } from "../forwarding/toldHolders.ts";
+import { applyAnnouncedHolders } from "../forwarding/applyAnnouncedHolders.ts";
 import type { RouterPeers } from "../forwarding/routerPeers.ts";
-import { createConsultation } from "./consultation.ts";
+import { createConsultation } from "./ownerQueries.ts";
 import { answersTeller, createOwnedReplicas, noWork } from "./ownedReplicas.ts";
 import { createOwners } from "./owners.ts";
 import type { WorkReports } from "./workReports.ts";
 import { createWorkReports } from "./workReports.ts";
 
 /** What asking and answering work with. */
-export interface ReplicaOwnersParts {
+export interface ReplicaOwnersDependencies {
   readonly self: RouterEntry;
   readonly link: DatagramLink;
   readonly clock: Clock;
@@ -39,11 +39,11 @@
 /** See {@link createReplicaOwners}. */
 export interface ReplicaOwners extends AsyncDisposable {
   /** Whether there are so many routers that owners are asked. */
-  readonly isNeeded: () => boolean;
+  readonly isEnabled: () => boolean;
   /** Whether this router answers for a replica. */
-  readonly isOwn: (replica: ReplicaState) => boolean;
+  readonly isOwnerOf: (replica: ReplicaState) => boolean;
   /** @returns Those of the replicas whose state is known now. */
-  readonly ask: (
+  readonly query: (
     replicas: readonly ReplicaState[],
     keys: readonly number[],
   ) => Promise<readonly ReplicaState[]>;
@@ -58,13 +58,13 @@
 ): number => {
   if (replica === undefined) return 0;
   const { computedTokens, reportedTokens } = replica;
-  if (owners.isNeeded() && owners.isOwn(replica)) return computedTokens + reportedTokens;
+  if (owners.isEnabled() && owners.isOwnerOf(replica)) return computedTokens + reportedTokens;
   // Other routers compute there as much as this one, on average.
   return computedTokens * peers.countLive();
 };
 
 /** Starts to ask and answer, until it is disposed of. */
-export const createReplicaOwners = (parts: ReplicaOwnersParts): ReplicaOwners => {
+export const createReplicaOwners = (parts: ReplicaOwnersDependencies): ReplicaOwners => {
   const { self, link, clock, replicas, holders, peers } = parts;
   const { name, dataCentre, incarnation, address, port } = self;
   const resources = createResourceStack();
@@ -82,7 +82,7 @@
 
   const take = (answer: AnswerMessage): readonly ReplicaState[] => {
     const now = clock.monotonic();
-    takeHolders(answer.holders, parts);
+    applyAnnouncedHolders(answer.holders, parts);
     return answer.reports.flatMap((report) => {
       const state = replicas.getByKey(report.replica);
       if (state === undefined) return [];
@@ -90,7 +90,7 @@
       // The owner looks after replicas that can't be reached; it has looked since this router found one so.
       if (report.ejectedFor === 0 && now >= state.ejectedUntil) state.isUnreachable = false;
       state.ejectedUntil = Math.max(state.ejectedUntil, now + report.ejectedFor);
-      if (report.limit !== undefined) noteToldLimit(state, report.limit, now);
+      if (report.limit !== undefined) noteAnnouncedLimit(state, report.limit, now);
       return [state];
     });
   };
@@ -109,9 +109,9 @@
   });
 
   return {
-    isNeeded: peers.isLarge,
-    isOwn: (replica) => owners.isSelf(owners.ownerOf(replica)),
-    ask: consultation.ask,
+    isEnabled: peers.isLarge,
+    isOwnerOf: (replica) => owners.isSelf(owners.ownerOf(replica)),
+    query: consultation.ask,
     reports,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -8,7 +8,7 @@
 import type { AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
-import { tellWord } from "../../state/forwarding/limitWord.ts";
+import { toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { wholeTokens } from "../../state/forwarding/replicaState.ts";
@@ -31,9 +31,9 @@
 /** See {@link createWorkReports}. */
 export interface WorkReports extends AsyncDisposable {
   /** A request of this router has just been sent to a replica. */
-  readonly noteBegin: (replica: ReplicaState) => void;
+  readonly noteRequestSent: (replica: ReplicaState) => void;
   /** A prompt was computed, or a request has ended. */
-  readonly noteChange: (replica: ReplicaState) => void;
+  readonly noteWorkChanged: (replica: ReplicaState) => void;
   /** A replica, or a store for the sake of what is sent to a replica, computes or keeps a part. */
   readonly noteHolder: (replica: ReplicaState, part: number, holder: string, isReady: boolean) => void;
 }
@@ -50,7 +50,7 @@
   computedTokens: Math.max(0, Math.round(replica.computedTokens)),
   isUnreachable: replica.isUnreachable,
   isBackingOff: isBackingOff(replica, now),
-  limit: replica.limit && tellWord(replica.limit, now),
+  limit: replica.limit && toReportedLimitMessage(replica.limit, now),
 });
 
 /** Starts to tell owners, until it is disposed of. */
@@ -110,12 +110,12 @@
   let callOffRepeat = clock.after(reportRepetition, repeat);
 
   return {
-    noteBegin: (replica) => {
+    noteRequestSent: (replica) => {
       if (!isNeeded()) return;
       pend(replica);
       flush();
     },
-    noteChange: (replica) => {
+    noteWorkChanged: (replica) => {
       if (!isNeeded()) return;
       pend(replica);
       flushSoon();
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -80,7 +80,7 @@
   };
 
   const observeLimit = (replica: ReplicaState, { limit }: ReplicaReport, askedAt: number): void => {
-    const span = { askedAt, heardAt: clock.monotonic() };
+    const span = { askedAt, receivedAt: clock.monotonic() };
     if (limit === "unreadable") {
       noteUnreadableLimit(replica.entry.id);
       return;
@@ -89,7 +89,7 @@
       limits.observeNoLimit(replica, span);
       return;
     }
-    metrics.count(metricNames.limitsNamed);
+    metrics.count(metricNames.limitsReported);
     limits.observeLimit(replica, { perSecond: limit, ...span });
   };
 
--- a/src/coordination/restatement.test.ts
+++ b/src/coordination/republication.test.ts
@@ -11,7 +11,7 @@
 import { systemClock } from "./clock.ts";
 import { startConfigurationFollower } from "./configurationFollower.ts";
 import { createLeaseHistory } from "./leases/leaseHistory.ts";
-import { startRestatement } from "./restatement.ts";
+import { startRepublication } from "./republication.ts";
 
 const retention = 3_000;
 const longestWait = 10_000;
@@ -31,7 +31,7 @@
     });
     await follower.started;
     const metrics = new MemoryMetrics();
-    await using restatement = startRestatement({
+    await using restatement = startRepublication({
       holder: "router-0",
       log,
       leases: createLeaseHistory(systemClock),
--- a/src/coordination/restatement.ts
+++ b/src/coordination/republication.ts
@@ -8,21 +8,21 @@
 import { metricNames } from "../state/constants.ts";
 import { createLogger } from "../state/log.ts";
 import { pause } from "./clock.ts";
-import { restatementLease } from "./leases/constants.ts";
+import { republicationLeaseName } from "./leases/constants.ts";
 import { startLease } from "./leases/lease.ts";
-import type { LeaseParts } from "./leases/lease.ts";
+import type { LeaseDependencies } from "./leases/lease.ts";
 import type { LeaseView } from "./leases/types.ts";
 
 /** What restating works with. */
-export interface RestatementParts extends Omit<LeaseParts, "name" | "history"> {
-  readonly leases: LeaseParts["history"];
+export interface RepublicationDependencies extends Omit<LeaseDependencies, "name" | "history"> {
+  readonly leases: LeaseDependencies["history"];
   readonly configuration: ConfigurationHistory;
   /** How long the log keeps a record, milliseconds. */
   readonly retention: number;
 }
 
 /** Runs until it is disposed of. */
-export interface Restatement extends AsyncDisposable {
+export interface Republication extends AsyncDisposable {
   readonly view: () => LeaseView;
 }
 
@@ -35,10 +35,10 @@
 const writeLog = createLogger("restatement");
 
 /** Starts to look after the configuration's record. */
-export const startRestatement = (parts: RestatementParts): Restatement => {
+export const startRepublication = (parts: RepublicationDependencies): Republication => {
   const { clock, log, configuration, retention, metrics } = parts;
   const stop = new AbortController();
-  const lease = startLease({ ...parts, name: restatementLease, history: parts.leases });
+  const lease = startLease({ ...parts, name: republicationLeaseName, history: parts.leases });
 
   /** The log service's clock and this one may differ by some minutes; the retention is much longer. */
   const isDue = (): boolean => {
@@ -51,13 +51,13 @@
   const isRecent = (): boolean => clock.monotonic() - restatedAt < retention * (restatedShare / 2);
 
   const restate = async (): Promise<void> => {
-    const record = configuration.restatement();
+    const record = configuration.republication();
     if (record === undefined || isRecent() || !isDue()) return;
     if (lease.tenure()?.isValid() !== true) return;
     // A lost answer does no harm: the next look shows whether the record is there.
     await log.append(logStreams.configuration, [encodeConfigurationRecord(record)]);
     restatedAt = clock.monotonic();
-    metrics.count(metricNames.restatements);
+    metrics.count(metricNames.republications);
     writeLog("restated", { version: record.version });
   };
 
--- a/src/coordination/requests/attempt.ts
+++ b/src/coordination/requests/attempt.ts
@@ -15,15 +15,15 @@
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { Assignment, AttemptReport, Scheduler, Work } from "../scheduling/Scheduler.ts";
-import { blamesRequest, provesNotRun } from "./attemptFailures.ts";
+import { isRequestInvalid, provesNotRun } from "./attemptFailures.ts";
 import type { AttemptCanceller } from "./attemptCanceller.ts";
-import { createStopper, orStopped } from "./stopper.ts";
+import { createStopper, untilStopped } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 
 /** What attempts work with. */
-export interface AttemptParts {
+export interface AttemptDependencies {
   readonly directory: EngineDirectory;
   readonly scheduler: Scheduler;
   readonly metrics: Metrics;
@@ -31,7 +31,7 @@
   /** The connection to an engine. */
   readonly connect: (engine: EngineReplica) => ModelEngine;
   readonly canceller: AttemptCanceller;
-  readonly crashes: EngineCrashWatch;
+  readonly crashes: EngineCrashMonitor;
 }
 
 /** Where pieces come from. */
@@ -71,13 +71,13 @@
 }
 
 /** Notes what a failure says about the engine itself, whoever asked. */
-export const noteEngineFailure = (parts: AttemptParts, engineId: string, error: unknown): void => {
+export const noteEngineFailure = (parts: AttemptDependencies, engineId: string, error: unknown): void => {
   const { directory, metrics, clock } = parts;
   if (!(error instanceof UpstreamError) || error.fault === "cancelled") return;
   metrics.count(metricNames.engineFailures, 1, { fault: error.fault });
   if (error.fault === "crossed") metrics.count(metricNames.crossedAnswers);
   if (error.fault === "leaving") directory.markLeaving(engineId);
-  else if (error.fault !== "overloaded" && !blamesRequest(error))
+  else if (error.fault !== "overloaded" && !isRequestInvalid(error))
     directory.markFailed(engineId, clock.monotonic());
 };
 
@@ -85,7 +85,7 @@
 const createAttemptId = (requestId: string): string => `${requestId}.${randomBytes(4).toString("hex")}`;
 
 /** @returns The id of the request that an attempt was made for. */
-export const requestOfAttempt = (attempt: string): string => attempt.split(".")[0] ?? attempt;
+export const requestIdOfAttempt = (attempt: string): string => attempt.split(".")[0] ?? attempt;
 
 const unstartedReport: Omit<AttemptReport, "ended"> = {
   incarnation: undefined,
@@ -103,7 +103,7 @@
   error instanceof UpstreamError && error.fault !== "cancelled" ? "failed" : "cancelled";
 
 const assignEngine = (scheduler: Scheduler, work: Work, stopper: Stopper): Promise<Assignment> =>
-  orStopped(scheduler.assign(work, stopper.signal), stopper, (late) =>
+  untilStopped(scheduler.assign(work, stopper.signal), stopper, (late) =>
     late.release({ ended: "cancelled", ...unstartedReport }),
   );
 
@@ -130,7 +130,12 @@
 }
 
 /** The steps of one attempt at an engine that has been chosen. */
-const createAttempt = (parts: AttemptParts, plan: AttemptPlan, assignment: Assignment, stopper: Stopper) => {
+const createAttempt = (
+  parts: AttemptDependencies,
+  plan: AttemptPlan,
+  assignment: Assignment,
+  stopper: Stopper,
+) => {
   const { metrics, clock } = parts;
   const { engine } = assignment;
   const attempt = createAttemptId(plan.context.requestId);
@@ -150,7 +155,10 @@
     if (!(error instanceof UpstreamError) || error.fault !== "closed_early") return;
     const incarnation = state.report.incarnation ?? incarnationBefore;
     const hasBegun = state.report.firstTokenAfter !== undefined;
-    await parts.crashes.noteBroken(engine, incarnation, { fingerprint: plan.fingerprint, hasBegun });
+    await parts.crashes.noteBrokenConnection(engine, incarnation, {
+      fingerprint: plan.fingerprint,
+      hasBegun,
+    });
   };
 
   const dispatch = async (): Promise<EngineAnswer> => {
@@ -233,7 +241,7 @@
  * the work or `beforeDispatch` refuses. An attempt that failed has been closed.
  */
 export const openAttempt = async (
-  parts: AttemptParts,
+  parts: AttemptDependencies,
   plan: AttemptPlan,
   parent: Stopper,
   onAssigned: (engineId: string) => void,
--- a/src/coordination/requests/attemptCanceller.ts
+++ b/src/coordination/requests/attemptCanceller.ts
@@ -16,7 +16,7 @@
    *
    * @returns A function that ends the new reading.
    */
-  readonly keep: (attempt: string) => () => void;
+  readonly retain: (attempt: string) => () => void;
 }
 
 /** Makes a canceller. */
@@ -59,5 +59,5 @@
     pending.set(attempt, callOff);
   };
 
-  return { cancel, keep };
+  return { cancel, retain: keep };
 };
--- a/src/coordination/requests/attemptFailures.ts
+++ b/src/coordination/requests/attemptFailures.ts
@@ -29,20 +29,20 @@
   error instanceof UpstreamError && (error.progress === "not_sent" || error.progress === "refused");
 
 /** True if the upstream refused the request for what it asks; any other would, too. */
-export const blamesRequest = (error: unknown): error is UpstreamError =>
+export const isRequestInvalid = (error: unknown): error is UpstreamError =>
   error instanceof UpstreamError &&
   error.progress === "refused" &&
   error.status !== undefined &&
   blamingStatuses.has(error.status);
 
 /** True if a retry adds no load where it failed: the engine is gone or takes nothing any more. */
-export const isFreeToRetry = (error: unknown): boolean =>
+export const isExemptFromRetryBudget = (error: unknown): boolean =>
   error instanceof UpstreamError && (error.progress === "not_sent" || error.fault === "leaving");
 
 /** True if another attempt may be made without running anything twice that may not be. */
-export const mayTryAgain = (error: unknown, progress: RequestProgress): boolean => {
+export const mayRetry = (error: unknown, progress: RequestProgress): boolean => {
   if (!(error instanceof UpstreamError) || finalFaults.has(error.fault)) return false;
-  if (blamesRequest(error)) return false;
+  if (isRequestInvalid(error)) return false;
   if (progress.delivered && !progress.continuable) return false;
   return progress.idempotent || !progress.mayHaveRun;
 };
@@ -50,7 +50,7 @@
 const failureNotRun = (error: unknown, stopped: StopReason | undefined): RequestError => {
   if (stopped === "deadline") return refusals.deadlineExceeded(error);
   if (error instanceof RequestError) return error;
-  if (blamesRequest(error)) return refusals.rejectedByEngine(error.status ?? 400, error.message, error);
+  if (isRequestInvalid(error)) return refusals.rejectedByEngine(error.status ?? 400, error.message, error);
   return refusals.noEngine(defaultRetryAfterSeconds, error);
 };
 
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -1,21 +1,21 @@
 /** Opens the next attempt of a request, with a second one beside it where the class hedges. */
 import { RequestError } from "../../protocol/errors.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
 import { metricNames } from "../../state/constants.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
-import { hasBegun } from "./answerSoFar.ts";
-import { maximumBindings } from "./constants.ts";
+import { hasBegun } from "./deliveredAnswer.ts";
+import { maxWeightBindings } from "./constants.ts";
 import { openAttempt } from "./attempt.ts";
 import type { OpenAttempt } from "./attempt.ts";
 import { raceAttempts } from "./hedge.ts";
 import { refusalCodes } from "./refusals.ts";
 import type { RunScope } from "./runScope.ts";
-import { orStopped } from "./stopper.ts";
+import { untilStopped } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 import { createWork } from "./work.ts";
 
 /** Makes the function that opens one attempt after another. */
-export const createAttemptOpener = ({ parts, job, state, stopper, retries }: RunScope) => {
+export const createAttemptOpener = ({ dependencies: parts, job, state, stopper, retries }: RunScope) => {
   const { clock, metrics, claims, retryBudget } = parts;
   const { context, request } = job;
   const { requestClass } = context;
@@ -25,7 +25,7 @@
   const claimOnce = async (attemptStopper: Stopper): Promise<void> => {
     if (context.idempotent || state.claim !== undefined) return;
     const claiming = claims.claim(context, digestRequest(request));
-    state.claim = await orStopped(claiming, attemptStopper, (late) => {
+    state.claim = await untilStopped(claiming, attemptStopper, (late) => {
       late.release().catch(() => undefined);
     });
   };
@@ -36,7 +36,7 @@
     promptTokens: work.promptTokens + state.answer.tokens,
     maximumTokens: Math.max(1, request.maximumTokens - state.answer.tokens),
     excluded: new Set([...state.excluded, ...asked]),
-    furtherAttempt: state.letIn,
+    alreadyAdmitted: state.wasAdmitted,
   });
 
   /** Nothing is gained by leaving an engine early where no other one may be asked. */
@@ -60,14 +60,14 @@
       beforeDispatch: claimOnce,
       onMayHaveRun: () => {
         state.mayHaveRun = true;
-        state.hasGoneOnHeld ||= parts.quarantine.isHeld(job);
+        state.hasContinuedQuarantined ||= parts.quarantine.isQuarantined(job);
       },
     };
     try {
       return await openAttempt(parts, plan, attemptStopper, (id) => {
         engineId = id;
         asked.add(id);
-        state.letIn = true;
+        state.wasAdmitted = true;
       });
     } catch (error) {
       if (engineId !== undefined) state.excluded.add(engineId);
@@ -81,7 +81,7 @@
    * @returns Whether it is bound to other weights now.
    */
   const rebind = (): boolean => {
-    if (state.mayHaveRun || hasBegun(state.answer) || bindings >= maximumBindings) return false;
+    if (state.mayHaveRun || hasBegun(state.answer) || bindings >= maxWeightBindings) return false;
     bindings += 1;
     const again = createWork(job, parts.bindWeights);
     const isOther = again.weightsVersions.join() !== work.weightsVersions.join();
--- a/src/coordination/requests/backOff.ts
+++ b/src/coordination/requests/backoff.ts
@@ -1,5 +1,5 @@
 /** How long to wait before another attempt, so that many requests that failed together do not return together. */
-import { firstBackOff, longestBackOff } from "./constants.ts";
+import { initialBackoff, maxBackoff } from "./constants.ts";
 
 /**
  * Picks a delay at random below a limit that doubles with each failure ("full jitter").
@@ -8,7 +8,7 @@
  * @param random - A number from 0 up to but not including 1.
  * @returns Milliseconds.
  */
-export const pickBackOff = (failures: number, random: () => number): number => {
-  const limit = Math.min(longestBackOff, firstBackOff * 2 ** (failures - 1));
+export const pickBackoff = (failures: number, random: () => number): number => {
+  const limit = Math.min(maxBackoff, initialBackoff * 2 ** (failures - 1));
   return random() * limit;
 };
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -4,8 +4,8 @@
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
 import { pause } from "../clock.ts";
-import { emptyAnswer, hasBegun } from "./answerSoFar.ts";
-import type { AnswerSoFar } from "./answerSoFar.ts";
+import { emptyAnswer, hasBegun } from "./deliveredAnswer.ts";
+import type { DeliveredAnswer } from "./deliveredAnswer.ts";
 import type { OpenAttempt } from "./attempt.ts";
 import { finalFailure } from "./attemptFailures.ts";
 import type { RequestProgress } from "./attemptFailures.ts";
@@ -13,14 +13,14 @@
 import { refusals } from "./refusals.ts";
 import { relayAttempt } from "./relay.ts";
 import { createRetryDecision } from "./retryDecision.ts";
-import type { CompletionRunParts, RunScope, RunState } from "./runScope.ts";
+import type { CompletionRunDependencies, RunScope, RunState } from "./runScope.ts";
 import { createStopper } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
 
 /** Where a run begins: at the start of the answer, or after what the caller has of it. */
 export interface RunStart {
-  readonly answer: AnswerSoFar;
+  readonly answer: DeliveredAnswer;
   /** Opens the first attempt, where it is under way already. */
   readonly open: ((stopper: Stopper) => Promise<OpenAttempt>) | undefined;
   readonly mayHaveRun: boolean;
@@ -36,9 +36,9 @@
  *
  * @returns A function that ends the watch.
  */
-export const watchRequest = (
+export const stopOnDisconnectOrDeadline = (
   { context }: CompletionJob,
-  { clock }: CompletionRunParts,
+  { clock }: CompletionRunDependencies,
   stopper: Stopper,
   caller: AbortSignal,
 ): (() => void) => {
@@ -54,19 +54,19 @@
   };
 };
 
-const createScope = (parts: CompletionRunParts, job: CompletionJob, start: RunStart): RunScope => {
+const createScope = (parts: CompletionRunDependencies, job: CompletionJob, start: RunStart): RunScope => {
   const stopper = createStopper();
   const state: RunState = {
     answer: start.answer,
     excluded: new Set(),
-    letIn: start.mayHaveRun,
+    wasAdmitted: start.mayHaveRun,
     mayHaveRun: start.mayHaveRun,
     claim: undefined,
-    hasGoneOnHeld: false,
+    hasContinuedQuarantined: false,
     finished: false,
   };
   const retries = createRetryDecision({ ...parts, context: job.context, stopper });
-  return { parts, job, state, stopper, retries };
+  return { dependencies: parts, job, state, stopper, retries };
 };
 
 const progressOf = ({ job, state }: RunScope): RequestProgress => ({
@@ -81,23 +81,23 @@
   finalFailure(error, progressOf(scope), scope.stopper.reason());
 
 /** A request that crashes the engines that run it is turned away at once; costs a look where nothing is held back. */
-const checkQuarantine = async ({ parts, job }: RunScope): Promise<void> => {
-  const wait = await parts.quarantine.ask(job);
+const checkQuarantine = async ({ dependencies: parts, job }: RunScope): Promise<void> => {
+  const wait = await parts.quarantine.admit(job);
   if (wait === undefined) return;
-  parts.metrics.count(metricNames.heldBack);
-  throw refusals.heldBack(wait / millisecondsPerSecond);
+  parts.metrics.count(metricNames.quarantined);
+  throw refusals.quarantined(wait / millisecondsPerSecond);
 };
 
 /**
  * The attempt before may have shown that the request crashes the engines that run it. An answer of which the caller has
  * a part goes on once all the same: whole, it shows that the crashes had another cause.
  */
-const mayGoOn = ({ parts, job, state }: RunScope): boolean =>
-  !parts.quarantine.isHeld(job) || (!state.hasGoneOnHeld && hasBegun(state.answer));
+const mayGoOn = ({ dependencies: parts, job, state }: RunScope): boolean =>
+  !parts.quarantine.isQuarantined(job) || (!state.hasContinuedQuarantined && hasBegun(state.answer));
 
 /** Waits before the next attempt; throws `RequestError` where there is to be none. */
 const prepareRetry = async (scope: RunScope, error: unknown): Promise<void> => {
-  const { parts, state, stopper, retries } = scope;
+  const { dependencies: parts, state, stopper, retries } = scope;
   const delay = retries.decide(error, progressOf(scope), state.excluded);
   if (delay === undefined) throw giveUp(scope, error);
   await pause(parts.clock, delay, stopper.signal);
@@ -118,7 +118,7 @@
  * @returns The pieces; throws `RequestError` where the answer can't be finished.
  */
 export const runCompletion = async function* (
-  parts: CompletionRunParts,
+  parts: CompletionRunDependencies,
   job: CompletionJob,
   start: RunStart,
   caller: AbortSignal,
@@ -126,7 +126,7 @@
   const scope = createScope(parts, job, start);
   const { state } = scope;
   const openNext = createAttemptOpener(scope);
-  const unwatch = watchRequest(job, parts, scope.stopper, caller);
+  const unwatch = stopOnDisconnectOrDeadline(job, parts, scope.stopper, caller);
   let open = start.open ?? openNext;
   try {
     if (start.open === undefined) await checkQuarantine(scope);
--- a/src/coordination/requests/completionRunner.ts
+++ b/src/coordination/requests/completionRunner.ts
@@ -2,8 +2,8 @@
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
-import type { EngineCrashWatch } from "../crashes/engineCrashWatch.ts";
-import { noEngineCrashWatch } from "../crashes/engineCrashWatch.ts";
+import type { EngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
+import { noEngineCrashMonitor } from "../crashes/engineCrashMonitor.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { fingerprintOfJob } from "./fingerprint.ts";
@@ -11,9 +11,9 @@
 import { finalFailure } from "./attemptFailures.ts";
 import { freshStart, runCompletion } from "./completionRun.ts";
 import type { RunStart } from "./completionRun.ts";
-import type { CompletionRunParts } from "./runScope.ts";
+import type { CompletionRunDependencies } from "./runScope.ts";
 import type { OpenAttempt } from "./attempt.ts";
-import { answerBefore, openResumed } from "./resumption.ts";
+import { deliveredBeforeResume, openResumed } from "./resumption.ts";
 import type { ResumeJob } from "./resumption.ts";
 import type { Stopper } from "./stopper.ts";
 import { RatioRetryBudget } from "./retryBudget.ts";
@@ -21,12 +21,12 @@
 import type { CompletionJob, RunningAnswer } from "./types.ts";
 
 /** What the runner works with. */
-export interface CompletionRunnerParts extends Omit<
-  CompletionRunParts,
+export interface CompletionRunnerDependencies extends Omit<
+  CompletionRunDependencies,
   "canceller" | "retryBudget" | "random" | "crashes" | "quarantine" | "fingerprintOf"
 > {
   /** Without these no request is held back. */
-  readonly crashes?: EngineCrashWatch;
+  readonly crashes?: EngineCrashMonitor;
   readonly quarantine?: QuarantineChecks<CompletionJob>;
   /** Without it retries are a share of successes. */
   readonly retryBudget?: RetryBudget;
@@ -71,11 +71,11 @@
 };
 
 /** Makes a runner. */
-export const createCompletionRunner = (given: CompletionRunnerParts): CompletionRunner => {
+export const createCompletionRunner = (given: CompletionRunnerDependencies): CompletionRunner => {
   const { clock, metrics } = given;
-  const parts: CompletionRunParts = {
+  const parts: CompletionRunDependencies = {
     ...given,
-    crashes: given.crashes ?? noEngineCrashWatch,
+    crashes: given.crashes ?? noEngineCrashMonitor,
     quarantine: given.quarantine ?? noQuarantine,
     fingerprintOf: fingerprintOfJob,
     canceller: createAttemptCanceller(clock, given.connect),
@@ -106,7 +106,7 @@
 
   const resume = async (job: ResumeJob, signal: AbortSignal): Promise<RunningAnswer> => {
     metrics.count(metricNames.resumes, 1, { class: job.context.requestClass.name });
-    const answer = answerBefore(job);
+    const answer = deliveredBeforeResume(job);
     const open = (stopper: Stopper): Promise<OpenAttempt> => openResumed(parts, job, answer, stopper);
     const running = await begin(job, { answer, open, mayHaveRun: true }, signal);
     return running ?? { upstream: job.point.engineId, batches: noBatches() };
--- a/src/coordination/requests/answerSoFar.ts
+++ b/src/coordination/requests/deliveredAnswer.ts
@@ -2,12 +2,12 @@
 import type { AnswerFrame, Usage } from "../../protocol/types.ts";
 
 /** Changed only by the task that relays the answer. */
-export interface AnswerSoFar {
+export interface DeliveredAnswer {
   text: string;
   /** Pieces with text. */
   tokens: number;
   /** Pieces without text since the last one with text. */
-  others: number;
+  textlessPieces: number;
   /** False where the caller has text that this router has not seen. */
   textKnown: boolean;
   /** False once a piece has come that another engine could not go on after. */
@@ -15,25 +15,26 @@
 }
 
 /** An answer of which nothing has come. */
-export const emptyAnswer = (): AnswerSoFar => ({
+export const emptyAnswer = (): DeliveredAnswer => ({
   text: "",
   tokens: 0,
-  others: 0,
+  textlessPieces: 0,
   textKnown: true,
   continuable: true,
 });
 
 /** True once the caller has some of it. */
-export const hasBegun = ({ tokens, others }: AnswerSoFar): boolean => tokens > 0 || others > 0;
+export const hasBegun = ({ tokens, textlessPieces: others }: DeliveredAnswer): boolean =>
+  tokens > 0 || others > 0;
 
 /** Notes a piece. */
-export const notePiece = (answer: AnswerSoFar, frame: AnswerFrame): void => {
+export const notePiece = (answer: DeliveredAnswer, frame: AnswerFrame): void => {
   if (frame.text === "") {
-    answer.others += 1;
+    answer.textlessPieces += 1;
   } else {
     answer.text += frame.text;
     answer.tokens += 1;
-    answer.others = 0;
+    answer.textlessPieces = 0;
   }
   if (frame.extra !== undefined) answer.continuable = false;
 };
@@ -45,7 +46,7 @@
  * @param attemptOffset - Tokens that came before the attempt.
  * @param maximumTokens - The caller's limit.
  */
-export const wholeUsage = (usage: Usage, attemptOffset: number, maximumTokens: number): Usage => {
+export const combinedUsage = (usage: Usage, attemptOffset: number, maximumTokens: number): Usage => {
   const promptTokens = Math.max(0, usage.promptTokens - attemptOffset);
   return {
     promptTokens,
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -1,11 +1,11 @@
 /** The ids of a stream's events: resume tokens. */
 import type { AnswerBatch, AnswerPosition } from "../../protocol/FrontEnd.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
-import { resumeTokenAt } from "../../protocol/resumeToken.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
+import { formatResumeToken } from "../../protocol/resumeToken.ts";
 import type { ResumeTokens } from "../../protocol/resumeToken.ts";
 import type { CompletionRequest } from "../../protocol/types.ts";
 import type { Clock } from "../clock.ts";
-import { resumeTokenLife } from "./constants.ts";
+import { resumeTokenLifetime } from "./constants.ts";
 import type { CompletionJob } from "./types.ts";
 
 const shortDigestLength = 16;
@@ -13,7 +13,7 @@
 const secondsOf = (milliseconds: number): number => Math.ceil(milliseconds / 1_000);
 
 /** Enough to notice another body; the token's length counts for every event. */
-export const shortDigest = (request: CompletionRequest): string =>
+export const shortRequestDigest = (request: CompletionRequest): string =>
   digestRequest(request).slice(0, shortDigestLength);
 
 /**
@@ -29,13 +29,13 @@
     const left = Math.max(0, context.completionDeadline - clock.monotonic());
     return tokens.sign({
       organisation: context.organisation.name,
-      digest: shortDigest(request),
+      digest: shortRequestDigest(request),
       idempotent: context.idempotent,
       engineId: batch.engineId,
       incarnation: batch.incarnation,
       attempt: batch.attempt,
       attemptOffset: batch.attemptOffset,
-      expiresAt: secondsOf(clock.wall() + left + resumeTokenLife),
+      expiresAt: secondsOf(clock.wall() + left + resumeTokenLifetime),
     });
   };
 
@@ -44,6 +44,6 @@
       attempt = batch.attempt;
       signed = signFor(batch);
     }
-    return resumeTokenAt(signed, delivered);
+    return formatResumeToken(signed, delivered);
   };
 };
--- a/src/coordination/requests/fingerprint.ts
+++ b/src/coordination/requests/fingerprint.ts
@@ -2,7 +2,7 @@
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import { formatFingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import { hashTexts } from "../../protocol/prefixLevels.ts";
-import { digestRequest } from "../../protocol/requestTexts.ts";
+import { digestRequest } from "../../protocol/serializedBody.ts";
 import type { CompletionJob } from "./types.ts";
 
 const known = new WeakMap<CompletionJob, Fingerprint>();
--- a/src/coordination/requests/hedge.ts
+++ b/src/coordination/requests/hedge.ts
@@ -9,13 +9,13 @@
   error instanceof Error ? error : upstreamError("the attempt failed", "failed", "sent", error);
 
 /** Opens an attempt. */
-export type OpenOne = (stopper: Stopper) => Promise<OpenAttempt>;
+export type StartAttempt = (stopper: Stopper) => Promise<OpenAttempt>;
 
 /** Two attempts that compete. */
 export interface HedgeRace {
   readonly clock: Clock;
-  readonly first: OpenOne;
-  readonly second: OpenOne;
+  readonly first: StartAttempt;
+  readonly second: StartAttempt;
   /** Milliseconds after which the second begins. */
   readonly hedgeAfter: number;
   /** Asked right before the second begins. */
@@ -39,7 +39,7 @@
       for (const loser of running) loser.stop("superseded");
     };
 
-    const start = async (open: OpenOne): Promise<void> => {
+    const start = async (open: StartAttempt): Promise<void> => {
       const stopper = createStopper(race.parent);
       running.add(stopper);
       try {
--- a/src/coordination/requests/refusals.ts
+++ b/src/coordination/requests/refusals.ts
@@ -37,7 +37,7 @@
   noConfiguration: () => comeBack("no_configuration", "This router has no configuration yet.", 1),
   noEngine: (retryAfterSeconds: number, cause?: unknown) =>
     comeBack(refusalCodes.noEngine, "No engine can take the request now.", retryAfterSeconds, cause),
-  heldBack: (retryAfterSeconds: number) =>
+  quarantined: (retryAfterSeconds: number) =>
     comeBack("held_back", "Replicas crashed running the same request; it has not run.", retryAfterSeconds),
   overloaded: (retryAfterSeconds: number) =>
     comeBack("overloaded", "The first token can't come within the class's deadline.", retryAfterSeconds),
--- a/src/coordination/requests/relay.ts
+++ b/src/coordination/requests/relay.ts
@@ -1,13 +1,13 @@
 /** Hands on the pieces of one attempt, and ends the attempt the way its reader ended. */
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import type { AnswerFrame } from "../../protocol/types.ts";
-import { hasBegun, notePiece, wholeUsage } from "./answerSoFar.ts";
-import type { AnswerSoFar } from "./answerSoFar.ts";
+import { hasBegun, notePiece, combinedUsage } from "./deliveredAnswer.ts";
+import type { DeliveredAnswer } from "./deliveredAnswer.ts";
 import type { AttemptEnd, AttemptOrigin, OpenAttempt } from "./attempt.ts";
 import type { RunScope } from "./runScope.ts";
 
 /** Pieces beyond the caller's limit have no text for it; they come where only the end of an answer was lost. */
-const cutAtLimit = (frame: AnswerFrame, answer: AnswerSoFar, maximumTokens: number): AnswerFrame =>
+const cutAtLimit = (frame: AnswerFrame, answer: DeliveredAnswer, maximumTokens: number): AnswerFrame =>
   frame.text === "" || answer.tokens < maximumTokens ? frame : { ...frame, text: "" };
 
 /** Reads what nobody hears, so that the outcome is known. */
@@ -36,14 +36,14 @@
     const frame = cutAtLimit(received, answer, request.maximumTokens);
     notePiece(answer, frame);
     if (frame.usage === undefined || attemptOffset === 0) return frame;
-    return { ...frame, usage: wholeUsage(frame.usage, attemptOffset, request.maximumTokens) };
+    return { ...frame, usage: combinedUsage(frame.usage, attemptOffset, request.maximumTokens) };
   };
 
   const takePieces = (received: readonly AnswerFrame[]): AnswerBatch => {
-    const { tokens: firstOffset, others: firstOthers } = answer;
+    const { tokens: firstOffset, textlessPieces: firstOthers } = answer;
     const frames = received.map((frame) => takePiece(frame, attempt.origin));
     retries.noteProgress();
-    return { frames, firstOffset, firstOthers, ...attempt.origin };
+    return { frames, firstOffset, precedingTextlessPieces: firstOthers, ...attempt.origin };
   };
 
   /** A caller that has part of a stream may come back for the rest. */
--- a/src/coordination/requests/serviceReplicas.ts
+++ b/src/coordination/requests/replicaSelector.ts
@@ -11,7 +11,7 @@
 const remoteRank = 1_000;
 
 /** What a choice depends on. */
-export interface ReplicaChoice {
+export interface ReplicaCriteria {
   readonly service: string;
   readonly excluded: ReadonlySet<string>;
   /**
@@ -22,17 +22,17 @@
 }
 
 /** Chooses replicas. */
-export interface ServiceReplicas {
+export interface ReplicaSelector {
   /** @returns The best replica; throws `RequestError` (`no_service_replica`) where there is none. */
-  readonly choose: (choice: ReplicaChoice) => ServiceReplica;
+  readonly choose: (choice: ReplicaCriteria) => ServiceReplica;
 }
 
 /** Makes a chooser: not leaving, not failed of late, near, with few calls under way, in this order. */
-export const createServiceReplicas = (
+export const createReplicaSelector = (
   directory: ServiceDirectory,
   clock: Clock,
   dataCentre: string,
-): ServiceReplicas => {
+): ReplicaSelector => {
   const rank = ({ failedAt, dataCentre: where, inFlight }: ServiceReplica): number => {
     const hasFailed = failedAt !== undefined && clock.monotonic() - failedAt < failureMemory;
     return (hasFailed ? failedRank : 0) + (where === dataCentre ? 0 : remoteRank) + inFlight;
@@ -41,7 +41,7 @@
   const stickyOrder = (key: string) => (left: ServiceReplica, right: ServiceReplica) =>
     hash64(`${key}\u0000${left.id}`) < hash64(`${key}\u0000${right.id}`) ? -1 : 1;
 
-  const choose = ({ service, excluded, stickyKey }: ReplicaChoice): ServiceReplica => {
+  const choose = ({ service, excluded, stickyKey }: ReplicaCriteria): ServiceReplica => {
     const candidates = directory
       .ofService(service)
       .filter((replica) => !replica.leaving && !excluded.has(replica.id));
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -4,12 +4,12 @@
 import type { AnswerFrame, EngineAnswer } from "../../protocol/types.ts";
 import type { EngineReplica } from "../../state/engineDirectory.ts";
 import type { Clock } from "../clock.ts";
-import type { AnswerSoFar } from "./answerSoFar.ts";
-import { noteEngineFailure, requestOfAttempt } from "./attempt.ts";
+import type { DeliveredAnswer } from "./deliveredAnswer.ts";
+import { noteEngineFailure, requestIdOfAttempt } from "./attempt.ts";
 import type { AttemptEnd, OpenAttempt } from "./attempt.ts";
-import { shortDigest } from "./eventIds.ts";
+import { shortRequestDigest } from "./eventIds.ts";
 import { resumeRefusals } from "./refusals.ts";
-import type { CompletionRunParts } from "./runScope.ts";
+import type { CompletionRunDependencies } from "./runScope.ts";
 import { createStopper } from "./stopper.ts";
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
@@ -40,14 +40,14 @@
   const point = tokens.read(token, context.organisation.name, Math.floor(clock.wall() / 1_000));
   if (point === "malformed" || point === "forged") throw resumeRefusals.invalidToken();
   if (point === "expired") throw resumeRefusals.expired();
-  if (point.digest !== shortDigest(request)) throw resumeRefusals.otherRequest();
+  if (point.digest !== shortRequestDigest(request)) throw resumeRefusals.otherRequest();
   const given = request.body.pomelocleat_delivered;
   return {
     ...job,
     // The mark of the first request holds, whatever the caller says now.
     context: {
       ...context,
-      requestId: requestOfAttempt(point.attempt),
+      requestId: requestIdOfAttempt(point.attempt),
       idempotent: context.idempotent && point.idempotent,
     },
     point,
@@ -56,18 +56,18 @@
 };
 
 /** What is known of the answer before the engine has been asked. */
-export const answerBefore = ({ point, delivered }: ResumeJob): AnswerSoFar => ({
+export const deliveredBeforeResume = ({ point, delivered }: ResumeJob): DeliveredAnswer => ({
   text: delivered ?? "",
   tokens: point.tokens,
-  others: point.others,
+  textlessPieces: point.textlessPieces,
   textKnown: delivered !== undefined || point.tokens === 0,
   continuable: true,
 });
 
 /** Passes over what the caller has, and learns its text, so that another engine could continue it. */
-const createSkipper = ({ point, delivered }: ResumeJob, answer: AnswerSoFar) => {
+const createSkipper = ({ point, delivered }: ResumeJob, answer: DeliveredAnswer) => {
   let tokensLeft = point.tokens - point.attemptOffset;
-  let othersLeft = point.others;
+  let othersLeft = point.textlessPieces;
   let skipped = "";
 
   const skips = (frame: AnswerFrame): boolean => {
@@ -93,7 +93,7 @@
 };
 
 const callEngine = async (
-  { connect, clock }: CompletionRunParts,
+  { connect, clock }: CompletionRunDependencies,
   engine: EngineReplica,
   { point, context }: ResumeJob,
   stopper: Stopper,
@@ -110,7 +110,7 @@
   }
 };
 
-const findEngine = ({ directory }: CompletionRunParts, { point }: ResumeJob): EngineReplica => {
+const findEngine = ({ directory }: CompletionRunDependencies, { point }: ResumeJob): EngineReplica => {
   const engine = directory.get(point.engineId);
   if (engine !== undefined) return engine;
   throw upstreamError("the engine is not listed any more", "unreachable", "not_sent");
@@ -123,9 +123,9 @@
  * @returns The attempt after what the caller has; throws `UpstreamError` where it can't be had any more.
  */
 export const openResumed = async (
-  parts: CompletionRunParts,
+  parts: CompletionRunDependencies,
   job: ResumeJob,
-  answer: AnswerSoFar,
+  answer: DeliveredAnswer,
   parent: Stopper,
 ): Promise<OpenAttempt> => {
   const { point } = job;
@@ -161,7 +161,7 @@
   };
 
   parts.directory.addInFlight(engine.id, 1);
-  const endReading = parts.canceller.keep(point.attempt);
+  const endReading = parts.canceller.retain(point.attempt);
   try {
     const opened = await callEngine(parts, engine, job, stopper);
     frames = opened.frames[Symbol.asyncIterator]();
--- a/src/coordination/requests/retryBudget.test.ts
+++ b/src/coordination/requests/retryBudget.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import type { ClassConfiguration } from "../../protocol/configuration/schema.ts";
 import { createManualClock } from "../manualClock.ts";
-import { largestRetryBalance, retryReserve } from "./constants.ts";
+import { maxRetryBalance, retryReserve } from "./constants.ts";
 import { RatioRetryBudget } from "./retryBudget.ts";
 import type { RetryKind } from "./retryBudget.ts";
 
@@ -37,8 +37,8 @@
     const budget = new RatioRetryBudget(createManualClock());
     const requestClass = classOf(1);
     for (let count = 0; count < 1_000; count += 1) budget.deposit(requestClass);
-    expect(takeAll(budget, requestClass, "attempt")).toEqual(largestRetryBalance);
-    expect(takeAll(budget, requestClass, "continuation")).toEqual(largestRetryBalance);
+    expect(takeAll(budget, requestClass, "attempt")).toEqual(maxRetryBalance);
+    expect(takeAll(budget, requestClass, "continuation")).toEqual(maxRetryBalance);
     expect(takeAll(budget, requestClass, "attempt")).toEqual(0);
   });
 
--- a/src/coordination/requests/retryBudget.ts
+++ b/src/coordination/requests/retryBudget.ts
@@ -6,9 +6,9 @@
 import type { Clock } from "../clock.ts";
 import {
   hedgeRatio,
-  largestHedgeBalance,
-  largestRetryBalance,
-  reservePerSecond,
+  maxHedgeBalance,
+  maxRetryBalance,
+  reserveRefillPerSecond,
   retryReserve,
 } from "./constants.ts";
 
@@ -52,14 +52,14 @@
 
   override deposit(requestClass: ClassConfiguration): void {
     const balance = this.balanceOf(requestClass);
-    balance.retries = Math.min(largestRetryBalance, balance.retries + requestClass.retryRatio);
-    balance.hedges = Math.min(largestHedgeBalance, balance.hedges + hedgeRatio);
+    balance.retries = Math.min(maxRetryBalance, balance.retries + requestClass.retryRatio);
+    balance.hedges = Math.min(maxHedgeBalance, balance.hedges + hedgeRatio);
   }
 
   override tryTake(requestClass: ClassConfiguration, kind: RetryKind): boolean {
     if (requestClass.retryRatio === 0) return false;
     const balance = this.balanceOf(requestClass);
-    const floor = kind === "continuation" ? -largestRetryBalance : 0;
+    const floor = kind === "continuation" ? -maxRetryBalance : 0;
     if (balance.retries - 1 < floor) return false;
     if (kind === "hedge") {
       if (balance.hedges < 1) return false;
@@ -78,7 +78,7 @@
   private balanceOf({ name }: ClassConfiguration): Balance {
     const now = this.clock.monotonic();
     const balance = this.balances.get(name) ?? { retries: retryReserve, hedges: 1, toppedUpAt: now };
-    const refill = ((now - balance.toppedUpAt) / 1_000) * reservePerSecond;
+    const refill = ((now - balance.toppedUpAt) / 1_000) * reserveRefillPerSecond;
     if (balance.retries < retryReserve) balance.retries = Math.min(retryReserve, balance.retries + refill);
     balance.toppedUpAt = now;
     this.balances.set(name, balance);
--- a/src/coordination/requests/retryDecision.ts
+++ b/src/coordination/requests/retryDecision.ts
@@ -4,15 +4,15 @@
 import { metricNames } from "../../state/constants.ts";
 import type { Metrics } from "../../state/Metrics.ts";
 import type { Clock } from "../clock.ts";
-import { isFreeToRetry, mayTryAgain } from "./attemptFailures.ts";
+import { isExemptFromRetryBudget, mayRetry } from "./attemptFailures.ts";
 import type { RequestProgress } from "./attemptFailures.ts";
-import { pickBackOff } from "./backOff.ts";
-import { firstBackOff, maximumFruitlessAttempts, timerPrecision } from "./constants.ts";
+import { pickBackoff } from "./backoff.ts";
+import { initialBackoff, maxAttemptsWithoutProgress, timerPrecision } from "./constants.ts";
 import type { RetryBudget } from "./retryBudget.ts";
 import type { Stopper } from "./stopper.ts";
 
 /** What decisions about one request depend on. */
-export interface RetryDecisionParts {
+export interface RetryDecisionDependencies {
   readonly context: RequestContext;
   readonly stopper: Stopper;
   readonly retryBudget: RetryBudget;
@@ -38,7 +38,7 @@
 }
 
 /** Makes the decisions of one request. */
-export const createRetryDecision = (parts: RetryDecisionParts): RetryDecision => {
+export const createRetryDecision = (parts: RetryDecisionDependencies): RetryDecision => {
   const { context, stopper, retryBudget, clock, metrics } = parts;
   const { requestClass } = context;
   let failures = 0;
@@ -70,17 +70,17 @@
     if (failures === 0) return undefined;
     excluded.clear();
     refusals += 1;
-    const delay = firstBackOff + pickBackOff(failures + refusals, parts.random);
+    const delay = initialBackoff + pickBackoff(failures + refusals, parts.random);
     return before(firstTokenDeadline, delay);
   };
 
   const tryAgain = (error: unknown, progress: RequestProgress): number | undefined => {
     noteFailure();
-    if (failures >= maximumFruitlessAttempts || !mayTryAgain(error, progress)) return undefined;
-    const delay = pickBackOff(failures, parts.random);
+    if (failures >= maxAttemptsWithoutProgress || !mayRetry(error, progress)) return undefined;
+    const delay = pickBackoff(failures, parts.random);
     if (before(context.completionDeadline, delay) === undefined) return undefined;
     const kind = progress.delivered ? "continuation" : "attempt";
-    if (!isFreeToRetry(error) && !retryBudget.tryTake(requestClass, kind)) {
+    if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, kind)) {
       metrics.count(metricNames.retriesDenied, 1, { class: requestClass.name });
       return undefined;
     }
--- a/src/coordination/requests/routerFrontEnd.ts
+++ b/src/coordination/requests/routerFrontEnd.ts
@@ -28,7 +28,7 @@
 import type { ServiceRunner } from "./serviceRunner.ts";
 
 /** What the front end works with. */
-export interface RouterFrontEndParts {
+export interface RouterFrontEndDependencies {
   readonly configuration: () => ConfigurationIndex | undefined;
   readonly completions: CompletionRunner;
   readonly services: ServiceRunner;
@@ -66,7 +66,7 @@
 ): boolean => routes.some((route) => route.method === call.method && call.path.startsWith(route.path));
 
 /** Makes the front end of one router. */
-export const createRouterFrontEnd = (parts: RouterFrontEndParts): RouterFrontEnd => {
+export const createRouterFrontEnd = (parts: RouterFrontEndDependencies): RouterFrontEnd => {
   const { metrics, clock } = parts;
   let open = 0;
   let draining = false;
--- a/src/coordination/requests/runScope.ts
+++ b/src/coordination/requests/runScope.ts
@@ -2,16 +2,16 @@
 import type { Fingerprint } from "../../protocol/forwarding/fingerprint.ts";
 import type { Claim, ClaimLedger } from "../claims/ClaimLedger.ts";
 import type { QuarantineChecks } from "../crashes/quarantine.ts";
-import type { BindWeights } from "../weightsInForce.ts";
-import type { AnswerSoFar } from "./answerSoFar.ts";
-import type { AttemptParts } from "./attempt.ts";
+import type { BindWeights } from "../weightsBinder.ts";
+import type { DeliveredAnswer } from "./deliveredAnswer.ts";
+import type { AttemptDependencies } from "./attempt.ts";
 import type { RetryBudget } from "./retryBudget.ts";
 import type { RetryDecision } from "./retryDecision.ts";
 import type { Stopper } from "./stopper.ts";
 import type { CompletionJob } from "./types.ts";
 
 /** What runs work with. */
-export interface CompletionRunParts extends AttemptParts {
+export interface CompletionRunDependencies extends AttemptDependencies {
   readonly quarantine: QuarantineChecks<CompletionJob>;
   readonly fingerprintOf: (job: CompletionJob) => Fingerprint;
   readonly claims: ClaimLedger;
@@ -24,22 +24,22 @@
 
 /** What has become of a request; changed by its own task only. */
 export interface RunState {
-  readonly answer: AnswerSoFar;
+  readonly answer: DeliveredAnswer;
   /** Engines that failed this request. */
   readonly excluded: Set<string>;
   /** A scheduler has given the request an engine before. */
-  letIn: boolean;
+  wasAdmitted: boolean;
   mayHaveRun: boolean;
   claim: Claim | undefined;
   /** It has gone on once although it is held back. */
-  hasGoneOnHeld: boolean;
+  hasContinuedQuarantined: boolean;
   /** The answer has come to its end. */
   finished: boolean;
 }
 
 /** One request under way. */
 export interface RunScope {
-  readonly parts: CompletionRunParts;
+  readonly dependencies: CompletionRunDependencies;
   readonly job: CompletionJob;
   readonly state: RunState;
   readonly stopper: Stopper;
--- a/src/coordination/requests/serviceRunner.ts
+++ b/src/coordination/requests/serviceRunner.ts
@@ -11,11 +11,17 @@
 import { claimFailures } from "../claims/errors.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { blamesRequest, finalFailure, isFreeToRetry, mayTryAgain, provesNotRun } from "./attemptFailures.ts";
-import { pickBackOff } from "./backOff.ts";
+import {
+  isRequestInvalid,
+  finalFailure,
+  isExemptFromRetryBudget,
+  mayRetry,
+  provesNotRun,
+} from "./attemptFailures.ts";
+import { pickBackoff } from "./backoff.ts";
 import { refusals } from "./refusals.ts";
 import type { RetryBudget } from "./retryBudget.ts";
-import { createServiceReplicas } from "./serviceReplicas.ts";
+import { createReplicaSelector } from "./replicaSelector.ts";
 
 const maximumAttempts = 3;
 const retryAfterSeconds = 1;
@@ -41,7 +47,7 @@
 }
 
 /** What the runner works with. */
-export interface ServiceRunnerParts {
+export interface ServiceRunnerDependencies {
   readonly directory: ServiceDirectory;
   readonly claims: ClaimLedger;
   readonly retryBudget: RetryBudget;
@@ -94,7 +100,7 @@
 
 const failureOf = (error: unknown, state: CallState): RequestError => {
   if (state.mayHaveRun || error instanceof RequestError) return finalFailure(error, progressOf(state));
-  if (blamesRequest(error)) {
+  if (isRequestInvalid(error)) {
     return refusals.rejectedByService(error.status ?? blamedStatus, error.message, error);
   }
   return refusals.noServiceReplica(retryAfterSeconds, error);
@@ -104,15 +110,15 @@
   error instanceof RequestError && error.failure.code === refusals.claimsUnavailable().failure.code;
 
 /** Makes a runner. */
-export const createServiceRunner = (parts: ServiceRunnerParts): ServiceRunner => {
+export const createServiceRunner = (parts: ServiceRunnerDependencies): ServiceRunner => {
   const { directory, claims, retryBudget, metrics, clock, random = Math.random } = parts;
-  const replicas = createServiceReplicas(directory, clock, parts.dataCentre);
+  const replicas = createReplicaSelector(directory, clock, parts.dataCentre);
 
   const noteFailure = (replica: ServiceReplica, error: unknown): void => {
     if (!(error instanceof UpstreamError) || error.fault === "cancelled") return;
     if (error.fault === "crossed") metrics.count(metricNames.crossedAnswers);
     if (error.fault === "leaving") directory.markLeaving(replica.id);
-    else if (!blamesRequest(error)) directory.markFailed(replica.id, clock.monotonic());
+    else if (!isRequestInvalid(error)) directory.markFailed(replica.id, clock.monotonic());
   };
 
   const callReplica = async (state: CallState, replica: ServiceReplica): Promise<ServiceAnswer> => {
@@ -140,10 +146,10 @@
   const decideRetry = (state: CallState, error: unknown): number | undefined => {
     const { requestClass, completionDeadline } = state.job.context;
     if (state.attempts >= maximumAttempts || state.signal.aborted) return undefined;
-    if (!mayTryAgain(error, progressOf(state))) return undefined;
-    const delay = pickBackOff(state.attempts, random);
+    if (!mayRetry(error, progressOf(state))) return undefined;
+    const delay = pickBackoff(state.attempts, random);
     if (clock.monotonic() + delay >= completionDeadline) return undefined;
-    if (!isFreeToRetry(error) && !retryBudget.tryTake(requestClass, "attempt")) {
+    if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, "attempt")) {
       metrics.count(metricNames.retriesDenied, 1, { class: requestClass.name });
       return undefined;
     }
--- a/src/coordination/requests/stopper.ts
+++ b/src/coordination/requests/stopper.ts
@@ -50,7 +50,7 @@
  * @param undo - Gives back what the work yields too late.
  * @returns What the work yields; throws `UpstreamError` (`cancelled`, `not_sent`) once stopped.
  */
-export const orStopped = <T>(work: Promise<T>, { signal }: Stopper, undo: (late: T) => void): Promise<T> =>
+export const untilStopped = <T>(work: Promise<T>, { signal }: Stopper, undo: (late: T) => void): Promise<T> =>
   new Promise((resolve, reject) => {
     const giveUp = (): void => reject(stoppedError());
     signal.addEventListener("abort", giveUp);
--- a/src/coordination/requests/work.ts
+++ b/src/coordination/requests/work.ts
@@ -1,7 +1,7 @@
 /** Describes a request to the scheduler. */
 import { computePrefixLevels } from "../../protocol/prefixLevels.ts";
 import type { Work } from "../scheduling/Scheduler.ts";
-import type { BindWeights, BoundWeights } from "../weightsInForce.ts";
+import type { BindWeights, BoundWeights } from "../weightsBinder.ts";
 import type { CompletionJob } from "./types.ts";
 
 /** Without a choice among versions: what the configuration names. */
--- a/src/coordination/scheduling/PredictiveScheduler.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.ts
@@ -1,8 +1,8 @@
 /** Places requests by their predicted time to first token, behind an admission queue. */
 import type { RequestError } from "../../protocol/errors.ts";
 import type { Usage } from "../../protocol/types.ts";
-import { createCachePicture } from "../../state/cachePicture.ts";
-import type { CachePicture } from "../../state/cachePicture.ts";
+import { createCacheModel } from "../../state/cacheModel.ts";
+import type { CacheModel } from "../../state/cacheModel.ts";
 import type { EngineDirectory } from "../../state/engineDirectory.ts";
 import type { Clock } from "../clock.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
@@ -87,7 +87,7 @@
 export class PredictiveScheduler extends Scheduler implements Disposable {
   private readonly directory: EngineDirectory;
   private readonly clock: Clock;
-  private readonly cacheModel: CachePicture;
+  private readonly cacheModel: CacheModel;
   private readonly estimates: EngineEstimates;
   private readonly affinityLearner: AffinityLearner;
   private readonly shards: ShuffleShards;
@@ -107,7 +107,7 @@
     const liveRouters = dependencies.liveRouters ?? (() => 1);
     this.directory = directory;
     this.clock = clock;
-    this.cacheModel = createCachePicture(directory, cacheModelLimits);
+    this.cacheModel = createCacheModel(directory, cacheModelLimits);
     this.estimates = createEngineEstimates(directory, configuration);
     this.affinityLearner = createAffinityLearner(liveRouters);
     this.shards = createShuffleShards(directory, configuration);
@@ -197,7 +197,7 @@
    * @returns The refusal if the limits are reached.
    */
   private admit(work: Work, now: number): RequestError | undefined {
-    if (work.furtherAttempt ?? work.excluded.size > 0) {
+    if (work.alreadyAdmitted ?? work.excluded.size > 0) {
       this.limits.readmit(work.context, now);
       return undefined;
     }
@@ -338,7 +338,7 @@
     const { usage, incarnation, firstTokenAfter } = report;
     const keys = reusedKeys(work, prediction);
     if (stamp !== undefined && incarnation !== undefined && incarnation !== stamp.incarnation) {
-      this.cacheModel.doubt(stamp, this.clock.monotonic());
+      this.cacheModel.markRestarted(stamp, this.clock.monotonic());
       return;
     }
     if (firstTokenAfter === undefined) this.cacheModel.forget(keys, prediction.engine.id);
--- a/src/coordination/scheduling/cacheForecast.ts
+++ b/src/coordination/scheduling/cacheForecast.ts
@@ -1,6 +1,6 @@
 /** Predicts how much of a prompt an engine has in its prefix cache. */
 import type { PrefixLevel } from "../../protocol/types.ts";
-import type { CachePicture, EngineStamp, LevelBeliefs } from "../../state/cachePicture.ts";
+import type { CacheModel, EngineStamp, LevelView } from "../../state/cacheModel.ts";
 import { minimumRetentionSampleAge } from "./constants.ts";
 
 /**
@@ -60,13 +60,11 @@
  * @param affinityKey - Key of the affinity level; the levels above it are cached wherever it is.
  */
 export const createCacheForecast = (
-  cacheModel: CachePicture,
+  cacheModel: CacheModel,
   levels: readonly PrefixLevel[],
   affinityKey: string,
 ): CacheForecast => {
-  const levelViews: readonly (LevelBeliefs | undefined)[] = levels.map(({ key }) =>
-    cacheModel.levelBeliefs(key),
-  );
+  const levelViews: readonly (LevelView | undefined)[] = levels.map(({ key }) => cacheModel.levelView(key));
   const affinityIndex = levels.findIndex(({ key }) => key === affinityKey);
 
   const confidenceOf = (index: number, stamp: EngineStamp, retention: number, now: number): number => {
--- a/src/coordination/scheduling/candidates.ts
+++ b/src/coordination/scheduling/candidates.ts
@@ -1,5 +1,5 @@
 /** Lists the engines that placement compares for a request. */
-import type { CachePicture } from "../../state/cachePicture.ts";
+import type { CacheModel } from "../../state/cacheModel.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { Affinity } from "./affinity.ts";
 import { createLoadWeights } from "./loadWeights.ts";
@@ -28,7 +28,7 @@
 
 export interface CandidateDependencies {
   readonly directory: EngineDirectory;
-  readonly cacheModel: CachePicture;
+  readonly cacheModel: CacheModel;
   readonly estimates: EngineEstimates;
   readonly slotHoldingTimes: SlotHoldingTimes;
 }
@@ -83,7 +83,7 @@
     let ordered = firstEligible(homeCount + comparedSuccessors);
     if (ordered.length < homeCount) ordered = firstEligible(shard.members.length);
     const homes = new Set(ordered.slice(0, homeCount).map(({ id }) => id));
-    const knownHolders = cacheModel.levelBeliefs(affinity.level.key)?.keys() ?? [];
+    const knownHolders = cacheModel.levelView(affinity.level.key)?.keys() ?? [];
     const listOthers = (): ReadonlySet<string> =>
       new Set(
         [
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,6 +1,6 @@
 /** Chooses an engine for a request by the predicted time to first token and the prompt tokens to be recomputed. */
 import type { ObjectiveConfiguration } from "../../protocol/configuration/schema.ts";
-import type { CachePicture, EngineStamp } from "../../state/cachePicture.ts";
+import type { CacheModel, EngineStamp } from "../../state/cacheModel.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
 import type { ConfigurationIndex } from "../configurationIndex.ts";
 import type { Affinity, AffinityLearner } from "./affinity.ts";
@@ -38,7 +38,7 @@
   readonly configuration: () => ConfigurationIndex | undefined;
   readonly dataCentre: string;
   readonly liveRouters: () => number;
-  readonly cacheModel: CachePicture;
+  readonly cacheModel: CacheModel;
   readonly estimates: EngineEstimates;
   readonly affinityLearner: AffinityLearner;
   readonly shards: ShuffleShards;
--- a/src/coordination/slidingCount.ts
+++ b/src/coordination/slidingWindowCounter.ts
@@ -1,8 +1,8 @@
 /** A sum over the last part of time, kept in buckets. */
 import type { Clock } from "./clock.ts";
 
-/** See {@link createSlidingCount}. */
-export interface SlidingCount {
+/** See {@link createSlidingWindowCounter}. */
+export interface SlidingWindowCounter {
   readonly add: (amount: number) => void;
   /** @returns The sum over the window, and over up to one bucket more. */
   readonly sum: () => number;
@@ -18,7 +18,11 @@
  *
  * @param window - Milliseconds.
  */
-export const createSlidingCount = (clock: Clock, window: number, buckets: number): SlidingCount => {
+export const createSlidingWindowCounter = (
+  clock: Clock,
+  window: number,
+  buckets: number,
+): SlidingWindowCounter => {
   const length = window / buckets;
   const kept: Bucket[] = [];
 
--- a/src/coordination/storeEpochs/constants.ts
+++ b/src/coordination/storeEpochs/constants.ts
@@ -25,11 +25,11 @@
 export const registrationSpread = 10;
 
 /** By how much whole reads in a new epoch are spread, for each router, where others read for it; at most in all. */
-export const rereadSpread = 1;
+export const rereadSpreadPerRouter = 1;
 export const longestRereadDelay = 500;
 
 /** The registry is longer than the operator's records, and read more slowly. */
-export const registryRereadStretch = 8;
+export const registryRereadFactor = 8;
 
 /** Between two reads that peers' messages of a newer epoch ask for. */
 export const epochReadInterval = 250;
--- a/src/coordination/storeEpochs/recoveryWindow.ts
+++ b/src/coordination/storeEpochs/recoveryWindow.ts
@@ -5,7 +5,7 @@
  * written it again. A router that starts can't tell whether the store has just returned; its peers can.
  */
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../protocol/storeEpoch.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
 import { joinTimeout, recoveryShare, recoveryTime } from "./constants.ts";
@@ -33,7 +33,7 @@
 /** What routers exchange about a store without epochs. */
 export const noEpochs = {
   onNewerEpoch: () => undefined,
-  epochs: { current: () => unnamedEpoch },
+  epochs: { current: () => defaultEpoch },
   recovery: noRecovery,
 } as const;
 
--- a/src/coordination/storeEpochs/registryRecovery.ts
+++ b/src/coordination/storeEpochs/registryRecovery.ts
@@ -17,7 +17,7 @@
   /** Everything written before a moment is known. */
   readonly confirm: (at: number) => void;
   /** @returns The position after the last record that changed who gets work; nothing before the first read. */
-  readonly changedAt: () => StorePosition | undefined;
+  readonly lastChangePosition: () => StorePosition | undefined;
 }
 
 /** Creates an empty view of the registry. */
@@ -64,6 +64,6 @@
     confirm: (at) => {
       if (at >= removeFrom) removeMissing();
     },
-    changedAt: () => changedAt,
+    lastChangePosition: () => changedAt,
   };
 };
--- a/src/coordination/storeReading/constants.ts
+++ b/src/coordination/storeReading/constants.ts
@@ -4,10 +4,10 @@
  * How many routers of a data centre read the store for the others: one may be cut off, and one restarting. Where every
  * router read for itself, 195 routers made 12,000 calls a day of 48 s.
  */
-export const storeReaders = 3;
+export const storeReaderCount = 3;
 
 /** A held read of a router that others read for: it hears of changes at once, and costs a call in so long. */
-export const longHeldRead = 20_000;
+export const largeFleetLongPoll = 20_000;
 
 /** Between two looks at whether what is known is fresh enough. */
 export const freshnessInterval = 250;
@@ -37,7 +37,7 @@
 export const readerRegistryAgeShare = 0.42;
 
 /** Share of the same time between two reads of the registry by a router that reads for others. */
-export const readerRegistryPaceShare = 0.35;
+export const readerRegistryIntervalShare = 0.35;
 
 /** Between two reads of its own that failed: doubles up to the longest, so that an outage costs few calls. */
 export const ownReadDelays = { first: 400, longest: 3_200 } as const;
@@ -49,10 +49,10 @@
 export const hurryInterval = 1_000;
 
 /** Between two reads of the registry where others read for a router: they tell it of what changes before. */
-export const longRegistryPace = 20_000;
+export const delegatedRegistryInterval = 20_000;
 
 /** By how much waits after failed reads grow where others read for a router. */
-export const retryStretchOfMany = 8;
+export const delegatedRetryFactor = 8;
 
 /** A router takes no duties that need the store if its last own read is older: one held read, and a failed one. */
-export const longestReadAgeOfMany = longHeldRead * 1.25;
+export const largeFleetMaxReadAge = largeFleetLongPoll * 1.25;
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -66,21 +66,21 @@
       link: network.open(at.port),
       clock,
       bounds,
-      isNeeded: () => true,
+      isEnabled: () => true,
       isReader: () => index < readerCount,
       readers,
       readAge: () => clock.monotonic() - state.readAt,
       operator: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
-        changedAt: () => new StorePosition(state.epoch, state.offset),
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
+        lastChangePosition: () => new StorePosition(state.epoch, state.offset),
         age: () => clock.monotonic() - state.provenAt,
         confirm: (moment) => {
           state.provenAt = Math.max(state.provenAt, moment);
         },
       },
       replicas: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
-        changedAt: () => new StorePosition(state.epoch, 0),
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
+        lastChangePosition: () => new StorePosition(state.epoch, 0),
         age: () => clock.monotonic() - state.registryProvenAt,
         confirm: (moment) => {
           state.registryProvenAt = Math.max(state.registryProvenAt, moment);
@@ -117,7 +117,7 @@
     const others = await (async () => {
       const seconds = 9;
       for (let message = 0; message < seconds * 20; message += 1) {
-        struck.reading.readOn();
+        struck.reading.requestRead();
         await run(50);
       }
       return store.calls - before;
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -30,7 +30,7 @@
 export interface FollowedRecords {
   readonly feed: Pick<FeedFollower, "position" | "check" | "hurry">;
   /** @returns The position after the last record that changed something; nothing before the first read of an epoch. */
-  readonly changedAt: () => StorePosition | undefined;
+  readonly lastChangePosition: () => StorePosition | undefined;
   /** @returns Milliseconds since everything written before then was known. */
   readonly age: () => number;
   /** Everything written before a moment is known. */
@@ -38,12 +38,12 @@
 }
 
 /** What reading works with. */
-export interface StoreReadingParts {
+export interface StoreReadingDependencies {
   readonly link: DatagramLink;
   readonly clock: Clock;
   readonly bounds: Pick<ForwardingBounds, "keyRevocation" | "drain">;
   /** Whether there are so many routers that some read for others. */
-  readonly isNeeded: () => boolean;
+  readonly isEnabled: () => boolean;
   /** Whether this router reads for others. */
   readonly isReader: () => boolean;
   /** @returns The routers of the data centre that read for others. */
@@ -72,11 +72,11 @@
    * There is something newer than what is known. Read at once, but no sooner after reads that failed than other reads:
    * every message of every peer says so, and a store that turns this router away was asked several times a second.
    */
-  readonly readOn: () => void;
+  readonly requestRead: () => void;
 }
 
 /** Keeps what is known fresh until it is disposed of. */
-export const startStoreReading = (parts: StoreReadingParts): StoreReading => {
+export const startStoreReading = (parts: StoreReadingDependencies): StoreReading => {
   const { link, clock, bounds, operator, replicas, random } = parts;
   let number = Math.floor(random() * numberOrigins);
   let question: Question | undefined;
@@ -123,10 +123,10 @@
     const since = question.askedAt;
     question = undefined;
     if (!takeProof(operator, answer.operator, since)) void check();
-    if (!takeProof(replicas, answer.replicas, since)) replicas.feed.hurry();
+    if (!takeProof(replicas, answer.replicas, since)) replicas.feed.readNow();
   };
 
-  const progressOf = ({ changedAt, age }: FollowedRecords): ReadProgress | undefined => {
+  const progressOf = ({ lastChangePosition: changedAt, age }: FollowedRecords): ReadProgress | undefined => {
     const since = age();
     const position = changedAt();
     return position === undefined || !Number.isFinite(since)
@@ -162,12 +162,12 @@
     const interval = failures > 0 ? ownReadDelays.longest : hurryInterval;
     if (clock.monotonic() - hurriedAt < interval) return;
     hurriedAt = clock.monotonic();
-    replicas.feed.hurry();
+    replicas.feed.readNow();
   };
 
   const look = (): void => {
     callOff = clock.after(freshnessInterval, look);
-    if (!parts.isNeeded()) return;
+    if (!parts.isEnabled()) return;
     const isReader = parts.isReader();
     const registryShare = isReader ? readerRegistryAgeShare : ownRegistryAgeShare;
     if (replicas.age() > bounds.drain * registryShare) hurryRegistry();
@@ -181,7 +181,7 @@
   let callOff = clock.after(random() * freshnessInterval, look);
 
   return {
-    readOn: () => void check(),
+    requestRead: () => void check(),
     reachesStore: () => failures < failuresOutOfReach || parts.readAge() < clock.monotonic() - failedAt,
     [Symbol.asyncDispose]: () => {
       callOff();
--- a/src/coordination/usageLimits/usageAccount.ts
+++ b/src/coordination/usageLimits/usageAccount.ts
@@ -2,8 +2,8 @@
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
 import type { ForwardingBounds } from "../forwarding/types.ts";
-import type { SlidingCount } from "../slidingCount.ts";
-import { createSlidingCount } from "../slidingCount.ts";
+import type { SlidingWindowCounter } from "../slidingWindowCounter.ts";
+import { createSlidingWindowCounter } from "../slidingWindowCounter.ts";
 import {
   bucketsPerWindow,
   fallbackDuration,
@@ -17,9 +17,9 @@
 /** One organisation's usage at one router. Amounts are in the unit of the organisation's limit. */
 export interface UsageAccount {
   /** Forwarded by this router. */
-  readonly used: SlidingCount;
+  readonly used: SlidingWindowCounter;
   /** Forwarded by this router without a grant. */
-  readonly ungranted: SlidingCount;
+  readonly ungranted: SlidingWindowCounter;
   /** Forwarded without a grant, to be reported to the coordinator with the next query. */
   spent: number;
   /** Granted and not run, to be reported with the next query. */
@@ -46,8 +46,8 @@
   { limitWindow }: ForwardingBounds,
   evenShare: number,
 ): UsageAccount => ({
-  used: createSlidingCount(clock, limitWindow, bucketsPerWindow),
-  ungranted: createSlidingCount(clock, limitWindow, bucketsPerWindow),
+  used: createSlidingWindowCounter(clock, limitWindow, bucketsPerWindow),
+  ungranted: createSlidingWindowCounter(clock, limitWindow, bucketsPerWindow),
   spent: 0,
   returned: 0,
   inFlight: 0,
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -89,7 +89,7 @@
     account.spent = 0;
     account.returned = 0;
     const query = { kind: "question", number: 0, organisation, amount, spent, returned } as const;
-    const answer = await coordination.ask(organisation, query);
+    const answer = await coordination.query(organisation, query);
     if (answer !== undefined) return answer;
     account.spent += spent;
     account.returned += returned;
--- a/src/coordination/weightsInForce.test.ts
+++ b/src/coordination/weightsBinder.test.ts
@@ -6,7 +6,7 @@
 import type { ModelConfiguration } from "../protocol/configuration/schema.ts";
 import { createEngineDirectory } from "../state/engineDirectory.ts";
 import { createConfigurationIndex } from "./configurationIndex.ts";
-import { createWeightsInForce } from "./weightsInForce.ts";
+import { createWeightsBinder } from "./weightsBinder.ts";
 
 const name = "records-assistant";
 const file = "examples/demo.json";
@@ -33,7 +33,7 @@
   const directory = createEngineDirectory();
   const models = base.models.map((model) => (model.name === name ? desired : model));
   const index = createConfigurationIndex(1, { ...base, models });
-  const choose = createWeightsInForce({ directory, formerModels: () => former });
+  const choose = createWeightsBinder({ directory, formerModels: () => former });
   let time = 0;
   return {
     report: (reports: readonly Report[]): void => {
--- a/src/coordination/weightsInForce.ts
+++ b/src/coordination/weightsBinder.ts
@@ -12,7 +12,7 @@
 import type { EngineLoad } from "../protocol/types.ts";
 import type { EngineDirectory, EngineReplica } from "../state/engineDirectory.ts";
 import type { ConfigurationIndex } from "./configurationIndex.ts";
-import { enginesToKeep } from "./orders/capacity.ts";
+import { minServingEngines } from "./orders/capacity.ts";
 
 /** What a request is bound to. */
 export interface BoundWeights {
@@ -22,7 +22,7 @@
 }
 
 /** What a request asks for. */
-export interface WeightsQuestion {
+export interface WeightsQuery {
   readonly index: ConfigurationIndex;
   readonly model: string;
   readonly adapter: string | undefined;
@@ -31,10 +31,10 @@
 }
 
 /** @returns What the request is bound to from now on. */
-export type BindWeights = (question: WeightsQuestion) => BoundWeights;
+export type BindWeights = (question: WeightsQuery) => BoundWeights;
 
 /** What the choice is made from. */
-export interface WeightsInForceParts {
+export interface WeightsBinderDependencies {
   readonly directory: EngineDirectory;
   /** What earlier configurations named for a model, the last first. */
   readonly formerModels: (name: string) => readonly ModelConfiguration[];
@@ -65,12 +65,12 @@
   left.weightsVersion === right.weightsVersion && left.adapter === right.adapter;
 
 /** Makes the choice for one router. */
-export const createWeightsInForce = ({ directory, formerModels }: WeightsInForceParts): BindWeights => {
-  const enginesOf = ({ index, model }: WeightsQuestion): readonly EngineReplica[] =>
+export const createWeightsBinder = ({ directory, formerModels }: WeightsBinderDependencies): BindWeights => {
+  const enginesOf = ({ index, model }: WeightsQuery): readonly EngineReplica[] =>
     (index.poolsByModel.get(model) ?? []).flatMap((pool) => directory.inPool(pool.name));
 
   /** The last former version that engines still run. */
-  const findFormer = (question: WeightsQuestion, engines: readonly EngineReplica[], desired: BoundWeights) =>
+  const findFormer = (question: WeightsQuery, engines: readonly EngineReplica[], desired: BoundWeights) =>
     formerModels(question.model)
       .map((model) => variantOf(model, question.adapter))
       .filter((variant) => variant !== undefined && !isSame(variant, desired))
@@ -82,7 +82,7 @@
     const desired = variantOf(index.models.get(model), adapter) ?? { weightsVersion: "", adapter };
     const engines = enginesOf(question);
     const ready = countOf(engines, desired);
-    if (ready >= Math.max(1, enginesToKeep(engines.length))) return desired;
+    if (ready >= Math.max(1, minServingEngines(engines.length))) return desired;
     const former = findFormer(question, engines, desired);
     if (former?.bound === undefined) return desired;
     return fractionOf(prefix) < ready / (ready + former.count) ? desired : former.bound;
--- a/src/daemons/completionQuarantine.ts
+++ b/src/daemons/completionQuarantine.ts
@@ -1,11 +1,14 @@
 /** Holding back model requests that crash the engines that run them, over the log service, put together. */
 import type { Clock } from "../coordination/clock.ts";
-import type { EngineCrashWatch, EngineCrashWatchParts } from "../coordination/crashes/engineCrashWatch.ts";
-import { createEngineCrashWatch } from "../coordination/crashes/engineCrashWatch.ts";
-import { everybody, LogNewsLink } from "../coordination/crashes/logNewsLink.ts";
-import { LogRecordFeed } from "../coordination/crashes/logRecordFeed.ts";
+import type {
+  EngineCrashMonitor,
+  EngineCrashMonitorDependencies,
+} from "../coordination/crashes/engineCrashMonitor.ts";
+import { createEngineCrashMonitor } from "../coordination/crashes/engineCrashMonitor.ts";
+import { allRouters, LogUpdatesLink } from "../coordination/crashes/LogUpdatesLink.ts";
+import { LogRecordFeed } from "../coordination/crashes/LogRecordFeed.ts";
 import type { Quarantine } from "../coordination/crashes/quarantine.ts";
-import { createQuarantineOf } from "../coordination/crashes/quarantine.ts";
+import { createQuarantineFor } from "../coordination/crashes/quarantine.ts";
 import { fingerprintOfJob } from "../coordination/requests/fingerprint.ts";
 import type { CompletionJob } from "../coordination/requests/types.ts";
 import { logStreams } from "../protocol/constants.ts";
@@ -16,7 +19,7 @@
 /** What it works with. */
 export interface CompletionQuarantineParts {
   readonly log: LogService;
-  readonly connect: EngineCrashWatchParts["connect"];
+  readonly connect: EngineCrashMonitorDependencies["connect"];
   readonly clock: Clock;
   /** Longest wait of one read of the log for something new, milliseconds. */
   readonly longPoll: number;
@@ -25,7 +28,7 @@
 /** See {@link createCompletionQuarantine}. */
 export interface CompletionQuarantine extends AsyncDisposable {
   readonly quarantine: Quarantine<CompletionJob>;
-  readonly crashes: EngineCrashWatch;
+  readonly crashes: EngineCrashMonitor;
 }
 
 /** Between two tries to read the log, milliseconds. */
@@ -40,21 +43,21 @@
 }: CompletionQuarantineParts): CompletionQuarantine => {
   const resources = createResourceStack();
   const link = resources.use(
-    new LogNewsLink({ log, stream: logStreams.crashNews, clock, longPoll, retryInterval }),
+    new LogUpdatesLink({ log, stream: logStreams.crashUpdates, clock, longPoll, retryInterval }),
   );
   const quarantine = resources.use(
-    createQuarantineOf<CompletionJob>(
+    createQuarantineFor<CompletionJob>(
       {
         link,
         clock,
         feed: new LogRecordFeed(log, logStreams.quarantine),
         epochs: noEpochChanges,
-        others: () => [everybody],
+        others: () => [allRouters],
         random: Math.random,
       },
       { fingerprintOf: fingerprintOfJob, idOf: ({ context }) => context.requestId },
     ),
   );
-  const crashes = createEngineCrashWatch({ connect, clock, onCrash: quarantine.noteCrash });
+  const crashes = createEngineCrashMonitor({ connect, clock, onCrash: quarantine.noteCrash });
   return { quarantine, crashes, [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose]() };
 };
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -2,10 +2,10 @@
 import { randomBytes } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../coordination/clock.ts";
-import { createAdmit } from "../coordination/forwarding/admit.ts";
-import { shutdownInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
+import { createRequestAdmission } from "../coordination/forwarding/requestAdmission.ts";
+import { shutdownPollInterval, storeTimeoutShare } from "../coordination/forwarding/constants.ts";
 import { createDecisions } from "../coordination/forwarding/decisions.ts";
-import { usualLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
+import { defaultLoadPolicy } from "../coordination/forwarding/loadPolicy.ts";
 import { createShutdown } from "../coordination/forwarding/shutdown.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import { createHolderName, startWeightsOrders } from "../coordination/forwarding/weightsOrders.ts";
@@ -15,12 +15,12 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import { metricNames } from "../state/constants.ts";
 import { createLogger } from "../state/log.ts";
-import { ExpositionMetrics } from "../transport/expositionMetrics.ts";
+import { PrometheusMetrics } from "../transport/PrometheusMetrics.ts";
 import { startForwardingServer } from "../transport/forwarding/forwardingServer.ts";
 import { startStatusServer } from "../transport/forwarding/statusServer.ts";
 import { openUdpLink } from "../transport/forwarding/udpLink.ts";
-import type { ForwardingBeliefs } from "./forwardingBeliefs.ts";
-import { startForwardingBeliefs } from "./forwardingBeliefs.ts";
+import type { ForwardingBeliefs } from "./forwardingView.ts";
+import { startForwardingBeliefs } from "./forwardingView.ts";
 import type { ForwardingSettings } from "./forwardingSettings.ts";
 
 const writeLog = createLogger("router");
@@ -81,7 +81,7 @@
 ): Promise<ForwardingRouter> => {
   await using resources = createResourceStack();
   const clock = systemClock;
-  const metrics = new ExpositionMetrics();
+  const metrics = new PrometheusMetrics();
   const bounds = { ...boundsOf(settings) };
   const storeTimeout = bounds.keyRevocation * storeTimeoutShare;
   const platform = resources.use(connect({ store: settings.store, storeTimeout }));
@@ -107,16 +107,16 @@
   replicas.subscribe((_, departure) => {
     if (departure === undefined) shareConnections(platform, beliefs);
   });
-  const admit = createAdmit(configuration, bounds, clock);
+  const admit = createRequestAdmission(configuration, bounds, clock);
   const { forwarder } = resources.use(
     createDecisions({
       dataCentre: self.dataCentre,
       client: platform.replicaClient,
-      beliefs,
+      view: beliefs,
       admit,
       shutdown,
       bounds,
-      policy: usualLoadPolicy,
+      policy: defaultLoadPolicy,
       clock,
       metrics,
       random: Math.random,
@@ -137,14 +137,14 @@
       holder: createHolderName(settings.name),
       // Whoever comes first among those that reach the store; a router whose store is lost soon doesn't.
       isCandidate: () => {
-        const candidates = peers.inTouch(bounds.keyRevocation / 2);
-        return !shutdown.isUnderWay() && rendezvousFirst("weights", candidates) === self.name;
+        const candidates = peers.dutyCandidates(bounds.keyRevocation / 2);
+        return !shutdown.isInProgress() && rendezvousFirst("weights", candidates) === self.name;
       },
     }),
   );
 
   const isReady = (): boolean =>
-    !shutdown.isUnderWay() && beliefs.knowsReplicas() && beliefs.quarantine.isKnown() && admit.isFresh();
+    !shutdown.isInProgress() && beliefs.knowsReplicas() && beliefs.quarantine.isReady() && admit.isFresh();
 
   const server = resources.use(
     await startForwardingServer({
@@ -154,7 +154,7 @@
       forward: forwarder.forward,
       limits: () => configuration.table()?.configuration.limits,
       // A caller of a router that can't serve is better off with another one.
-      endsConnections: () => !isReady(),
+      shouldCloseConnections: () => !isReady(),
     }),
   );
   const status = resources.use(
@@ -171,18 +171,18 @@
 
   const drain = async (): Promise<void> => {
     shutdown.begin();
-    peers.standDown();
+    peers.stepDown();
     const handedOver = orders[Symbol.asyncDispose]();
-    await sleep(Math.max(0, shutdown.untilNoticed()));
-    await Promise.race([handedOver, sleep(Math.max(0, shutdown.untilOver()))]);
+    await sleep(Math.max(0, shutdown.untilBalancerNotices()));
+    await Promise.race([handedOver, sleep(Math.max(0, shutdown.untilDeadline()))]);
     peers.leave();
     const settle = async (): Promise<void> => {
-      while (forwarder.openRequests() > 0 && shutdown.untilOver() > 0) await sleep(shutdownInterval);
+      while (forwarder.openRequests() > 0 && shutdown.untilDeadline() > 0) await sleep(shutdownPollInterval);
     };
     await settle();
     server.closeIdle();
     // What was on its way when the connections were closed.
-    await sleep(shutdownInterval);
+    await sleep(shutdownPollInterval);
     await settle();
     writeLog("drained", { openRequests: forwarder.openRequests() });
   };
--- a/src/daemons/forwardingBeliefs.ts
+++ b/src/daemons/forwardingView.ts
@@ -6,7 +6,10 @@
 import type { CacheStoreFollower } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { followCacheStores } from "../coordination/forwarding/cacheStoreFollower.ts";
 import { createConfigurationState } from "../coordination/forwarding/configurationState.ts";
-import { cachedMemoryShare, cacheStoreAskers } from "../coordination/forwarding/constants.ts";
+import {
+  cachedMemoryShare,
+  cacheStorePollersAtShortestInterval,
+} from "../coordination/forwarding/constants.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import { createRouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import type { Quarantine } from "../coordination/crashes/quarantine.ts";
@@ -101,7 +104,7 @@
       replicas,
       configuration,
       holders,
-      longestReadAge: () => following.longestReadAge(),
+      maxReadAge: () => following.longestReadAge(),
       onNewerConfiguration: () => following.readOn(),
       onNewerEpoch: () => following.readEpoch(),
       epochs,
@@ -115,11 +118,11 @@
 
   const cacheStore = resources.use(
     followCacheStores({
-      configured: () => configuration.table()?.cacheStores ?? [],
+      configuredStores: () => configuration.table()?.cacheStores ?? [],
       client: platform.replicaClient,
       holders,
       clock,
-      stretch: () => Math.max(1, peers.countServing() / cacheStoreAskers),
+      intervalFactor: () => Math.max(1, peers.countServing() / cacheStorePollersAtShortestInterval),
     }),
   );
 
@@ -159,7 +162,7 @@
     coordination: keeping,
     replicas,
     clock,
-    announce: peers.tellLimit,
+    announce: peers.announceLimit,
     random: Math.random,
   });
 
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/peerExchanges.ts
@@ -1,9 +1,9 @@
 /** A router's membership and what it exchanges with its peers, put together. */
 import { LoadExchange } from "../coordination/membership/loadExchange.ts";
 import { ConfigurationExchange } from "../coordination/membership/configurationExchange.ts";
-import { patience } from "../coordination/membership/constants.ts";
+import { peerTimeouts } from "../coordination/membership/constants.ts";
 import type { Membership } from "../coordination/membership/Membership.ts";
-import { createPeerAnswers } from "../coordination/membership/peerAnswers.ts";
+import { createQuestionHandler } from "../coordination/membership/questionHandler.ts";
 import { createPeerMembership } from "../coordination/membership/peerMembership.ts";
 import { startRestore } from "../coordination/membership/restore.ts";
 import type { Restore } from "../coordination/membership/restore.ts";
@@ -16,7 +16,7 @@
 import type { EngineDirectory, EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
 import { createPeerDirectory } from "../state/peerDirectory.ts";
-import { createConnectPeerNetwork } from "../transport/peerClient.ts";
+import { createConnectPeerNetwork } from "../transport/connectPeerNetwork.ts";
 import type { PeerServer, Traffic } from "../transport/peerServer.ts";
 import { startPeerServer } from "../transport/peerServer.ts";
 import type { RouterSettings } from "./routerSettings.ts";
@@ -35,7 +35,7 @@
 }
 
 /** A router among its peers. */
-export interface RouterPeers extends AsyncDisposable {
+export interface PeerExchanges extends AsyncDisposable {
   readonly membership: Membership;
   readonly configuration: ConfigurationExchange;
   /**
@@ -62,14 +62,14 @@
 }
 
 /** Puts everything together; nothing is sent or received before `listen`. */
-export const createRouterPeers = (parts: RouterPeersParts): RouterPeers => {
+export const createPeerExchanges = (parts: RouterPeersParts): PeerExchanges => {
   const resources = createResourceStack();
   const { settings, history, engines, clock, metrics } = parts;
   const { name, dataCentre, peers } = settings;
   const seals = createSeals(settings.sharedSecret, clock.wall);
   const network = resources.use(createConnectPeerNetwork(seals));
-  const directory = createPeerDirectory(name, patience);
-  const answer = createPeerAnswers({ history, engines, clock, vms: parts.lastVms });
+  const directory = createPeerDirectory(name, peerTimeouts);
+  const answer = createQuestionHandler({ history, engines, clock, vms: parts.lastVms });
   const controls = resources.use(
     createPeerMembership({
       name,
@@ -95,11 +95,11 @@
     push,
     logReadAt: parts.logReadAt,
   });
-  controls.add(
+  controls.addExtension(
     new LoadExchange({ directory: engines, clock, isHome: membership.isHome.bind(membership), push }),
   );
-  controls.add(configuration);
-  controls.add(summaries);
+  controls.addExtension(configuration);
+  controls.addExtension(summaries);
 
   const peerUrls = (): readonly (readonly string[])[] => {
     const here = directory.all().filter((peer) => peer.dataCentre === dataCentre);
@@ -132,10 +132,10 @@
     configuration,
     listen,
     restored: () => restore?.done ?? Promise.resolve(),
-    askPeers: () => restore?.tryAll() ?? Promise.resolve(),
+    askPeers: () => restore?.askAllPeers() ?? Promise.resolve(),
     applyVms: controls.applyVms,
     isHome: (engine) =>
-      (isNear(engine) || summaries.isSilent(engine.dataCentre)) && membership.isHome(engine.id),
+      (isNear(engine) || summaries.isUnreachable(engine.dataCentre)) && membership.isHome(engine.id),
     isNear,
     leave: controls.leave,
     traffic: () => server?.traffic() ?? { received: 0, sent: 0 },
--- a/src/daemons/router.ts
+++ b/src/daemons/router.ts
@@ -8,7 +8,7 @@
 import { createRouterFrontEnd } from "../coordination/requests/routerFrontEnd.ts";
 import { RatioRetryBudget } from "../coordination/requests/retryBudget.ts";
 import { createServiceRunner } from "../coordination/requests/serviceRunner.ts";
-import { createWeightsInForce } from "../coordination/weightsInForce.ts";
+import { createWeightsBinder } from "../coordination/weightsBinder.ts";
 import { PredictiveScheduler } from "../coordination/scheduling/PredictiveScheduler.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import type { ResourceStack } from "../protocol/resourceStack.ts";
@@ -19,12 +19,12 @@
 import type { Metrics } from "../state/Metrics.ts";
 import { startCallerServer } from "../transport/callerServer.ts";
 import { createHttpLogService } from "../transport/httpLogService.ts";
-import { HttpModelEngine } from "../transport/httpModelEngine.ts";
-import { HttpPlainService } from "../transport/httpPlainService.ts";
+import { HttpModelEngine } from "../transport/HttpModelEngine.ts";
+import { HttpPlainService } from "../transport/HttpPlainService.ts";
 import { createHttpVmList } from "../transport/httpVmList.ts";
-import { StatsdMetrics } from "../transport/statsdMetrics.ts";
+import { StatsdMetrics } from "../transport/StatsdMetrics.ts";
 import { createCompletionQuarantine } from "./completionQuarantine.ts";
-import { createRouterBeliefs } from "./routerBeliefs.ts";
+import { createRouterBeliefs } from "./routerView.ts";
 import { startRouterDuties } from "./routerDuties.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
@@ -107,7 +107,7 @@
     clock,
     configuration: follower.current,
     dataCentre: settings.dataCentre,
-    liveRouters: () => peers.membership.livePeers().length,
+    liveRouters: () => peers.membership.liveMembers().length,
     organisationShare: beliefs.routerShare,
   });
   resources.defer(() => {
@@ -127,7 +127,7 @@
     connect,
     quarantine: crashing.quarantine,
     crashes: crashing.crashes,
-    bindWeights: createWeightsInForce({ directory, formerModels: (name) => history.formerModels(name) }),
+    bindWeights: createWeightsBinder({ directory, formerModels: (name) => history.formerModels(name) }),
   });
   // Without keep-alive: each call that may run at most once has a connection of its own.
   const singleUse = new Agent({ connect: { timeout: connectTimeout }, pipelining: 0 });
@@ -185,7 +185,7 @@
   const drain = async (): Promise<void> => {
     writeLog("draining", { openRequests: frontEnd.openRequests() });
     peers.leave();
-    server.endConnections();
+    server.disableKeepAlive();
     await frontEnd.drain();
     await claims.flush();
     await server.close();
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -1,17 +1,17 @@
 /** What one router of several does for all of them, by leases: orders to engines, and the restatement. */
 import type { Clock } from "../coordination/clock.ts";
-import { restatementLease } from "../coordination/leases/constants.ts";
+import { republicationLeaseName } from "../coordination/leases/constants.ts";
 import { createLeaseHistory } from "../coordination/leases/leaseHistory.ts";
 import type { LeaseView } from "../coordination/leases/types.ts";
 import { startDeploymentOrders } from "../coordination/orders/deploymentOrders.ts";
 import type { RollOutView } from "../coordination/orders/types.ts";
-import { startRestatement } from "../coordination/restatement.ts";
+import { startRepublication } from "../coordination/republication.ts";
 import type { LogService } from "../protocol/LogService.ts";
 import type { ModelEngine } from "../protocol/ModelEngine.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import type { EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
-import type { RouterBeliefs } from "./routerBeliefs.ts";
+import type { RouterBeliefs } from "./routerView.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
 const orderInterval = 250;
@@ -58,10 +58,10 @@
     }),
   );
   const restatement = resources.use(
-    startRestatement({
+    startRepublication({
       ...common,
       leases,
-      isCandidate: () => peers.membership.isHome(restatementLease),
+      isCandidate: () => peers.membership.isHome(republicationLeaseName),
       configuration: history,
       retention: settings.logRetention,
       duration: () => follower.current()?.configuration.limits.leaseDuration ?? idleLeaseDuration,
--- a/src/daemons/routerBeliefs.ts
+++ b/src/daemons/routerView.ts
@@ -16,8 +16,8 @@
 import type { Metrics } from "../state/Metrics.ts";
 import type { ServiceDirectory } from "../state/serviceDirectory.ts";
 import { createServiceDirectory } from "../state/serviceDirectory.ts";
-import type { RouterPeers } from "./routerPeers.ts";
-import { createRouterPeers } from "./routerPeers.ts";
+import type { PeerExchanges } from "./peerExchanges.ts";
+import { createPeerExchanges } from "./peerExchanges.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
 const retryInterval = 200;
@@ -38,7 +38,7 @@
   readonly follower: ConfigurationFollower;
   readonly directory: EngineDirectory;
   readonly serviceDirectory: ServiceDirectory;
-  readonly peers: RouterPeers;
+  readonly peers: PeerExchanges;
   /** Whether the last VM list said that a VM leaves. */
   readonly isListedLeaving: (id: string) => boolean;
   /**
@@ -62,8 +62,8 @@
   const directory = createEngineDirectory();
   const serviceDirectory = createServiceDirectory();
 
-  const peers: RouterPeers = resources.use(
-    createRouterPeers({
+  const peers: PeerExchanges = resources.use(
+    createPeerExchanges({
       settings,
       history,
       engines: directory,
@@ -82,8 +82,8 @@
       longPoll: settings.configurationLongPoll,
       retryInterval,
       clock,
-      turn: peers.configuration.turn,
-      onVersion: peers.configuration.noteRead,
+      readMode: peers.configuration.logReadMode,
+      onVersion: peers.configuration.noteLogVersion,
     }),
   );
 
@@ -98,7 +98,7 @@
         peers.applyVms(vms);
       },
       isHome: peers.isHome,
-      isNear: peers.isNear,
+      isLocal: peers.isNear,
       vmListInterval: settings.vmListInterval,
       loadInterval: settings.loadInterval,
       loadTimeout: settings.loadTimeout,
@@ -120,14 +120,14 @@
     if (routersOf?.vms !== vms) {
       routersOf = { vms, count: vms.filter(({ role }) => role === "router").length };
     }
-    return 1 / Math.max(1, routersOf.count, peers.membership.livePeers().length);
+    return 1 / Math.max(1, routersOf.count, peers.membership.liveMembers().length);
   };
 
   const start = async (): Promise<string> => {
     const url = await peers.listen();
     await Promise.race([Promise.all([follower.started, monitor.started]), peers.restored()]);
     if (history.current() === undefined) await peers.askPeers();
-    await monitor.confirmed();
+    await monitor.waitForFirstReports();
     return url;
   };
 
--- a/src/daemons/storeFollowing.test.ts
+++ b/src/daemons/storeFollowing.test.ts
@@ -15,7 +15,7 @@
 import { followStore } from "./storeFollowing.ts";
 import { createStoreEpochs } from "../state/storeEpochs.ts";
 import { positionAt } from "../../tests/support/positions.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 
 /** A store that forgets its history: changes are to be had only as the newest of each key. */
 const forgetful = (entries: () => readonly ReplicaEntry[]) => {
@@ -78,9 +78,9 @@
       peers: {
         countServing: () => 10,
         isLarge: () => true,
-        isReader: () => true,
+        isStoreReader: () => true,
         live: () => [],
-        readers: () => [],
+        otherStoreReaders: () => [],
       },
       onConfiguration: () => undefined,
     });
@@ -88,7 +88,7 @@
       while (!isDone()) await sleep(5);
       await sleep(40);
       listener(encodeProofMessage({ kind: "question", number: 7 }), { address: "10.0.0.1", port: 2 });
-      return answers.at(-1)?.replicas.position.offsetIn(unnamedEpoch);
+      return answers.at(-1)?.replicas.position.offsetIn(defaultEpoch);
     };
     const first = await askUntil(() => state.wholeReads >= 3);
     const later = await askUntil(() => state.wholeReads >= 6);
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -2,25 +2,25 @@
 import type { Clock } from "../coordination/clock.ts";
 import type { ConfigurationState } from "../coordination/forwarding/configurationState.ts";
 import {
-  configurationWaitShare,
-  readsBeforeStandingDown,
-  registryPaceShare,
+  configurationLongPollShare,
+  maxReadAgeFactor,
+  registryReadIntervalShare,
 } from "../coordination/forwarding/constants.ts";
 import { followFeed } from "../coordination/forwarding/feedFollower.ts";
 import type { RouterPeers } from "../coordination/forwarding/routerPeers.ts";
 import type { ForwardingBounds } from "../coordination/forwarding/types.ts";
 import {
-  longestReadAgeOfMany,
-  longHeldRead,
-  longRegistryPace,
-  readerRegistryPaceShare,
-  retryStretchOfMany,
+  largeFleetMaxReadAge,
+  largeFleetLongPoll,
+  delegatedRegistryInterval,
+  readerRegistryIntervalShare,
+  delegatedRetryFactor,
 } from "../coordination/storeReading/constants.ts";
 import {
   epochReadInterval,
   longestRereadDelay,
-  registryRereadStretch,
-  rereadSpread,
+  registryRereadFactor,
+  rereadSpreadPerRouter,
   timerSlack,
 } from "../coordination/storeEpochs/constants.ts";
 import { createOperatorRecovery } from "../coordination/storeEpochs/operatorRecovery.ts";
@@ -70,26 +70,28 @@
     registryProvenAt = Math.max(registryProvenAt, at);
   };
 
-  const shortHeldRead = (): number => bounds.keyRevocation * configurationWaitShare;
+  const shortHeldRead = (): number => bounds.keyRevocation * configurationLongPollShare;
 
   /** A router that knows that it doesn't reach the store takes no duties. */
   const longestReadAge = (): number => {
-    if (!peers.isLarge()) return shortHeldRead() * readsBeforeStandingDown;
-    return reading.reachesStore() ? longestReadAgeOfMany : 0;
+    if (!peers.isLarge()) return shortHeldRead() * maxReadAgeFactor;
+    return reading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
-  const isReadFor = (): boolean => peers.isLarge() && !peers.isReader();
+  const isReadFor = (): boolean => peers.isLarge() && !peers.isStoreReader();
 
   const registryPace = (): number => {
-    if (isReadFor()) return longRegistryPace;
-    return bounds.drain * (peers.isLarge() ? readerRegistryPaceShare : registryPaceShare);
+    if (isReadFor()) return delegatedRegistryInterval;
+    return bounds.drain * (peers.isLarge() ? readerRegistryIntervalShare : registryReadIntervalShare);
   };
 
-  const retryStretch = (): number => (isReadFor() ? retryStretchOfMany : 1);
+  const retryStretch = (): number => (isReadFor() ? delegatedRetryFactor : 1);
 
   /** Routers that others read for have these to tell them of changes. */
   const rereadDelay = (): number =>
-    isReadFor() ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpread) : 0;
+    isReadFor()
+      ? Math.random() * Math.min(longestRereadDelay, peers.countServing() * rereadSpreadPerRouter)
+      : 0;
 
   const recovery = resources.use(
     createOperatorRecovery({
@@ -109,9 +111,9 @@
       feed: platform.operator,
       epochs: platform.epochs,
       clock,
-      wait: () => (peers.isLarge() ? longHeldRead : shortHeldRead()),
-      retryStretch,
-      pace: () => 0,
+      longPollTimeout: () => (peers.isLarge() ? largeFleetLongPoll : shortHeldRead()),
+      retryDelayFactor: retryStretch,
+      readInterval: () => 0,
       rereadDelay,
       replace: (page) => {
         configuration.apply(page);
@@ -133,10 +135,10 @@
       feed: platform.replicas,
       epochs: platform.epochs,
       clock,
-      wait: () => 0,
-      retryStretch,
-      pace: registryPace,
-      rereadDelay: () => rereadDelay() * registryRereadStretch,
+      longPollTimeout: () => 0,
+      retryDelayFactor: retryStretch,
+      readInterval: registryPace,
+      rereadDelay: () => rereadDelay() * registryRereadFactor,
       replace: registry.replace,
       apply: registry.apply,
       confirm: (at) => {
@@ -151,19 +153,19 @@
       link: parts.link,
       clock,
       bounds,
-      isNeeded: peers.isLarge,
-      isReader: peers.isReader,
-      readers: peers.readers,
+      isEnabled: peers.isLarge,
+      isReader: peers.isStoreReader,
+      readers: peers.otherStoreReaders,
       readAge: configuration.readAge,
       operator: {
         feed: operatorFeed,
-        changedAt: operatorFeed.position,
+        lastChangePosition: operatorFeed.position,
         age: configuration.age,
         confirm: configuration.prove,
       },
       replicas: {
         feed: registryFeed,
-        changedAt: registry.changedAt,
+        lastChangePosition: registry.lastChangePosition,
         age: () => clock.monotonic() - registryProvenAt,
         confirm: proveRegistry,
       },
@@ -196,8 +198,8 @@
     longestReadAge,
     readOn: () => {
       recovery.readCopies();
-      if (peers.isLarge()) reading.readOn();
-      else operatorFeed.hurry();
+      if (peers.isLarge()) reading.requestRead();
+      else operatorFeed.readNow();
     },
     readEpoch,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
--- a/src/protocol/FrontEnd.ts
+++ b/src/protocol/FrontEnd.ts
@@ -20,7 +20,7 @@
   /** Tokens of the whole answer before the first piece of this batch. */
   readonly firstOffset: number;
   /** Pieces without text between the last token before this batch and its first piece. */
-  readonly firstOthers: number;
+  readonly precedingTextlessPieces: number;
   /** Tokens of the whole answer that came before this attempt began. */
   readonly attemptOffset: number;
 }
@@ -30,7 +30,7 @@
   /** Pieces with text, each counted as one token. */
   readonly tokens: number;
   /** Pieces without text since then. */
-  readonly others: number;
+  readonly textlessPieces: number;
 }
 
 /** A model answer whose first pieces have come. */
--- a/src/protocol/configuration/record.ts
+++ b/src/protocol/configuration/record.ts
@@ -8,7 +8,7 @@
  */
 import { z } from "zod";
 import type { Configuration } from "./schema.ts";
-import { differenceOf, digestSections, splitConfiguration } from "./sections.ts";
+import { diffSections, digestSections, splitConfiguration } from "./sections.ts";
 import type { ConfigurationSection, SectionDifference, SectionMap } from "./sections.ts";
 
 const offset = z.number().int().min(0);
@@ -84,7 +84,7 @@
 }
 
 /** The version in force in whole, appended again before its records expire. */
-export interface Restatement extends Publisher {
+export interface Republication extends Publisher {
   readonly kind: "restatement";
   readonly version: number;
   /** The writer had read every record of the stream below this offset. */
@@ -94,7 +94,7 @@
 }
 
 /** A record of the configuration stream. */
-export type ConfigurationRecord = Publication | Replacement | Restatement;
+export type ConfigurationRecord = Publication | Replacement | Republication;
 
 /** The version that a publication is based on. */
 export interface PublicationBase {
@@ -118,14 +118,14 @@
     base: base?.version ?? null,
     ...publisher,
     digest: digestSections(sections),
-    ...differenceOf(base?.sections ?? new Map(), sections),
+    ...diffSections(base?.sections ?? new Map(), sections),
   };
 };
 
 /** Makes the record that replaces whatever is in force. */
 export const createReplacement = (configuration: Configuration, publisher: Publisher): Replacement => {
   const sections = splitConfiguration(configuration);
-  const { put } = differenceOf(new Map(), sections);
+  const { put } = diffSections(new Map(), sections);
   return { kind: "replacement", ...publisher, digest: digestSections(sections), put };
 };
 
--- a/src/protocol/configuration/sections.ts
+++ b/src/protocol/configuration/sections.ts
@@ -107,7 +107,7 @@
 };
 
 /** Finds what turns one configuration into another. */
-export const differenceOf = (before: SectionMap, after: SectionMap): SectionDifference => ({
+export const diffSections = (before: SectionMap, after: SectionMap): SectionDifference => ({
   put: [...after.values()]
     .filter(({ section, hash }) => before.get(section)?.hash !== hash)
     .map(({ section, body }) => ({ section, body })),
--- a/src/protocol/constants.ts
+++ b/src/protocol/constants.ts
@@ -61,7 +61,7 @@
   /** Claims are spread over `claims-0` … `claims-N`. */
   claimsPrefix: "claims-",
   /** What routers tell one another of requests that crash engines. */
-  crashNews: "crash-news",
+  crashUpdates: "crash-news",
   /** Requests that are held back. */
   quarantine: "quarantine",
 } as const;
--- a/src/protocol/peers/PeerNetwork.ts
+++ b/src/protocol/peers/PeerNetwork.ts
@@ -44,5 +44,5 @@
    */
   readonly receive: (sender: Router, message: PeerMessage) => boolean;
   /** A peer's stream has ended. */
-  readonly lost: (sender: Router) => void;
+  readonly streamEnded: (sender: Router) => void;
 }
--- a/src/protocol/peers/constants.ts
+++ b/src/protocol/peers/constants.ts
@@ -10,4 +10,4 @@
 export const maximumMessageBytes = 64 * 1024 * 1024;
 
 /** Messages are compressed from this length on, bytes. */
-export const compressFromBytes = 4_096;
+export const compressionThresholdBytes = 4_096;
--- a/src/protocol/peers/seals.test.ts
+++ b/src/protocol/peers/seals.test.ts
@@ -5,7 +5,7 @@
 import { PeerError } from "./errors.ts";
 import type { PeerFault } from "./errors.ts";
 import { SealedQuestionSchema } from "./generated/pomelocleat/peers/v1/peers_pb.ts";
-import { checkMessage, createSeals, proveMessage } from "./seals.ts";
+import { verifyMessageProof, createSeals, createMessageProof } from "./seals.ts";
 
 const secret = "a-secret-that-all-routers-share-0123456789";
 const payload = new Uint8Array([1, 2, 3]);
@@ -63,10 +63,10 @@
   it("refuse a message of another stream, changed, or out of order", () => {
     const key = at(0).streamKey(new Uint8Array([1]));
     const otherKey = at(0).streamKey(new Uint8Array([2]));
-    const proof = proveMessage(key, 1, payload);
-    expect(faultOf(() => checkMessage(key, 1, payload, proof))).toEqual(undefined);
-    expect(faultOf(() => checkMessage(otherKey, 1, payload, proof))).toEqual("forged");
-    expect(faultOf(() => checkMessage(key, 0, payload, proof))).toEqual("forged");
-    expect(faultOf(() => checkMessage(key, 1, new Uint8Array([3, 2, 1]), proof))).toEqual("forged");
+    const proof = createMessageProof(key, 1, payload);
+    expect(faultOf(() => verifyMessageProof(key, 1, payload, proof))).toEqual(undefined);
+    expect(faultOf(() => verifyMessageProof(otherKey, 1, payload, proof))).toEqual("forged");
+    expect(faultOf(() => verifyMessageProof(key, 0, payload, proof))).toEqual("forged");
+    expect(faultOf(() => verifyMessageProof(key, 1, new Uint8Array([3, 2, 1]), proof))).toEqual("forged");
   });
 });
--- a/src/protocol/peers/seals.ts
+++ b/src/protocol/peers/seals.ts
@@ -117,13 +117,13 @@
  *
  * @param sequence - Its place in the stream, from 0.
  */
-export const proveMessage = (key: Uint8Array, sequence: number, payload: Uint8Array): Uint8Array =>
+export const createMessageProof = (key: Uint8Array, sequence: number, payload: Uint8Array): Uint8Array =>
   mac(key, "message", encodeNumber(sequence), payload);
 
 /** Checks a message of a stream; throws `PeerError`. */
-export const checkMessage = (
+export const verifyMessageProof = (
   key: Uint8Array,
   sequence: number,
   payload: Uint8Array,
   proof: Uint8Array,
-): void => check(proveMessage(key, sequence, payload), proof);
+): void => check(createMessageProof(key, sequence, payload), proof);
--- a/src/protocol/resumeToken.ts
+++ b/src/protocol/resumeToken.ts
@@ -49,8 +49,10 @@
 const wholeNumber = /^\d{1,10}$/;
 
 /** @returns The token of an event. */
-export const resumeTokenAt = (signed: string, { tokens, others }: AnswerPosition): string =>
-  `${signed},${tokens},${others}`;
+export const formatResumeToken = (
+  signed: string,
+  { tokens, textlessPieces: others }: AnswerPosition,
+): string => `${signed},${tokens},${others}`;
 
 const signedFields = (grant: ResumeGrant): string =>
   [
@@ -107,7 +109,7 @@
       attemptOffset: Number(attemptOffset),
       expiresAt: Number(expiresAt),
       tokens: Number(tokens),
-      others: Number(others),
+      textlessPieces: Number(others),
     };
   };
 
--- a/src/protocol/requestTexts.ts
+++ b/src/protocol/serializedBody.ts
@@ -7,25 +7,25 @@
 import type { CompletionRequest } from "./types.ts";
 
 /** The two parts of a body. */
-export interface RequestTexts {
+export interface SerializedBody {
   /** JSON of the prompt: an array of messages, or a string. */
   readonly prompt: string;
   /** The other fields that engines get, as the caller sent them, as the inside of a JSON object; empty if there are none. */
-  readonly others: string;
+  readonly otherFields: string;
 }
 
-const texts = new WeakMap<CompletionRequest, RequestTexts>();
+const texts = new WeakMap<CompletionRequest, SerializedBody>();
 
-const writeTexts = ({ kind, body }: CompletionRequest): RequestTexts => {
+const writeTexts = ({ kind, body }: CompletionRequest): SerializedBody => {
   const others = Object.entries(body).filter(([field]) => isForwarded(field));
   return {
     prompt: JSON.stringify(kind === "chat" ? body.messages : body.prompt),
-    others: JSON.stringify(Object.fromEntries(others)).slice(1, -1),
+    otherFields: JSON.stringify(Object.fromEntries(others)).slice(1, -1),
   };
 };
 
 /** @returns The texts of a request; the same object each time. */
-export const requestTexts = (request: CompletionRequest): RequestTexts => {
+export const serializeBody = (request: CompletionRequest): SerializedBody => {
   const known = texts.get(request);
   if (known !== undefined) return known;
   const written = writeTexts(request);
@@ -40,7 +40,7 @@
  */
 export const digestRequest = (request: CompletionRequest): string => {
   const { kind, model, adapter = "", maximumTokens } = request;
-  const { prompt, others } = requestTexts(request);
+  const { prompt, otherFields: others } = serializeBody(request);
   const hash = createHash("sha256");
   hash.update(JSON.stringify([kind, model, adapter, maximumTokens]));
   return hash.update(others).update("\u0000").update(prompt).digest("base64url");
--- a/src/protocol/storeEpoch.ts
+++ b/src/protocol/storeEpoch.ts
@@ -5,7 +5,7 @@
 export type StoreEpoch = number;
 
 /** The epoch of a store that names none. */
-export const unnamedEpoch: StoreEpoch = 0;
+export const defaultEpoch: StoreEpoch = 0;
 
 /** A rise of the store's epoch. */
 export interface EpochChange {
@@ -21,4 +21,4 @@
 }
 
 /** The epochs of a store that has none. */
-export const noEpochChanges: EpochSource = { current: () => unnamedEpoch, subscribe: () => undefined };
+export const noEpochChanges: EpochSource = { current: () => defaultEpoch, subscribe: () => undefined };
--- a/src/state/boundedLines.test.ts
+++ b/src/state/boundedLogSink.test.ts
@@ -1,7 +1,7 @@
 import { Writable } from "node:stream";
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { createBoundedLines } from "./boundedLines.ts";
+import { createBoundedLogSink } from "./boundedLogSink.ts";
 
 /** An output that takes what is written, or whose reader has stopped. */
 const createOutput = (isRead: () => boolean) => {
@@ -21,7 +21,7 @@
   it("leave out what exceeds the rate, and say how many", () => {
     let now = 0;
     const { output, lines } = createOutput(() => true);
-    const write = createBoundedLines({
+    const write = createBoundedLogSink({
       output,
       fields: { router: "r" },
       now: () => now,
@@ -41,7 +41,7 @@
 
   it("never wait for a reader that has stopped, and hold back a bounded number of bytes", () => {
     const { output, lines } = createOutput(() => false);
-    const write = createBoundedLines({
+    const write = createBoundedLogSink({
       output,
       fields: {},
       now: () => 0,
--- a/src/state/boundedLines.ts
+++ b/src/state/boundedLogSink.ts
@@ -19,7 +19,7 @@
 }
 
 /** @returns Where loggers can be directed. */
-export const createBoundedLines = (parts: BoundedLinesParts): LogSink => {
+export const createBoundedLogSink = (parts: BoundedLinesParts): LogSink => {
   const { output, now, linesPerSecond } = parts;
   let allowance = linesPerSecond;
   let refilledAt = now();
--- a/src/state/recentMap.ts
+++ b/src/state/boundedMap.ts
@@ -1,5 +1,5 @@
-/** See {@link createRecentMap}. */
-export interface RecentMap<T> {
+/** See {@link createBoundedMap}. */
+export interface BoundedMap<T> {
   readonly has: (key: string) => boolean;
   readonly get: (key: string) => T | undefined;
   readonly set: (key: string, value: T) => void;
@@ -11,7 +11,7 @@
  *
  * @param capacity - Entries that are kept; beyond it the entry that was set longest ago is dropped.
  */
-export const createRecentMap = <T>(capacity: number): RecentMap<T> => {
+export const createBoundedMap = <T>(capacity: number): BoundedMap<T> => {
   const entries = new Map<string, T>();
   return {
     has: (key) => entries.has(key),
--- a/src/state/cachePicture.test.ts
+++ b/src/state/cacheModel.test.ts
@@ -3,8 +3,8 @@
 import fc from "fast-check";
 import type { EngineLoad, ListedVm } from "../protocol/types.ts";
 import { computePrefixLevels } from "../protocol/prefixLevels.ts";
-import { createCachePicture } from "./cachePicture.ts";
-import type { EngineStamp } from "./cachePicture.ts";
+import { createCacheModel } from "./cacheModel.ts";
+import type { EngineStamp } from "./cacheModel.ts";
 import { createEngineDirectory } from "./engineDirectory.ts";
 
 const limits = { maximumLevels: 4, maximumEnginesPerLevel: 2 };
@@ -49,7 +49,7 @@
 const createWorld = () => {
   const directory = createEngineDirectory();
   directory.applyVms(listed(engineIds));
-  const picture = createCachePicture(directory, limits);
+  const picture = createCacheModel(directory, limits);
   const dispatches: EngineStamp[] = [];
   /** For each engine, a number that changes with whatever must void its beliefs. */
   const lives = new Map(engineIds.map((id) => [id, { life: 0, identity: "" }]));
@@ -71,12 +71,12 @@
     const stamp = dispatches[dispatch];
     if (stamp === undefined) return;
     if (stamp.incarnation !== `incarnation-${incarnation}`) {
-      picture.doubt(stamp, now);
+      picture.markRestarted(stamp, now);
       endLife(stamp.engineId, lives.get(stamp.engineId)?.identity ?? "");
       return;
     }
     picture.note([answered], stamp, now);
-    const beliefs = picture.levelBeliefs(answered);
+    const beliefs = picture.levelView(answered);
     if (picture.age(beliefs, stamp, now) === 0)
       founded.set(`${answered} ${stamp.engineId}`, lifeOf(stamp.engineId));
   };
@@ -118,7 +118,7 @@
       if (stamp === undefined) continue;
       expect(stamp.incarnation).toEqual(replica?.load?.incarnation ?? "");
       for (let index = 0; index < 6; index += 1) {
-        const age = picture.age(picture.levelBeliefs(`k${index}`), stamp, now);
+        const age = picture.age(picture.levelView(`k${index}`), stamp, now);
         if (age !== undefined) expect(founded.get(`k${index} ${id}`)).toEqual(lifeOf(id));
       }
     }
@@ -146,20 +146,20 @@
   it("trusts an engine again that answered as another incarnation only after a later report", () => {
     const directory = createEngineDirectory();
     directory.applyVms(listed(["engine-0"]));
-    const picture = createCachePicture(directory, limits);
+    const picture = createCacheModel(directory, limits);
     directory.applyLoad("engine-0", loadOf(0, 0), 10);
     const replica = directory.get("engine-0");
     if (replica === undefined) throw new TypeError("no engine");
     const stamp = picture.stampOf(replica);
     if (stamp === undefined) throw new TypeError("no stamp");
     picture.note(["k0"], stamp, 11);
-    expect(picture.age(picture.levelBeliefs("k0"), stamp, 12)).toEqual(1);
-    picture.doubt(stamp, 20);
+    expect(picture.age(picture.levelView("k0"), stamp, 12)).toEqual(1);
+    picture.markRestarted(stamp, 20);
     expect(picture.stampOf(replica)).toEqual(undefined);
     directory.applyLoad("engine-0", loadOf(1, 0), 15);
     const later = picture.stampOf(replica);
     expect(later?.incarnation).toEqual("incarnation-1");
-    if (later !== undefined) expect(picture.age(picture.levelBeliefs("k0"), later, 21)).toEqual(undefined);
+    if (later !== undefined) expect(picture.age(picture.levelView("k0"), later, 21)).toEqual(undefined);
   });
 
   it("is asked with keys that no other organisation, model, adapter or weights version has", () => {
--- a/src/state/cachePicture.ts
+++ b/src/state/cacheModel.ts
@@ -23,10 +23,10 @@
 }
 
 /** Beliefs about one level, by engine. */
-export type LevelBeliefs = ReadonlyMap<string, Belief>;
+export type LevelView = ReadonlyMap<string, Belief>;
 
 /** Beliefs about caches. Times are milliseconds on one monotonic clock. */
-export interface CachePicture extends Disposable {
+export interface CacheModel extends Disposable {
   /** @returns The engine as it is now; undefined while its cache must not be relied on. */
   readonly stampOf: (engine: EngineReplica) => EngineStamp | undefined;
   /** Takes that an engine holds the levels; ignored unless the stamp still holds. */
@@ -34,10 +34,10 @@
   /** Takes that an engine does not hold the levels. */
   readonly forget: (keys: readonly string[], engineId: string) => void;
   /** Takes that an engine answered with another incarnation than it was stamped with. */
-  readonly doubt: (stamp: EngineStamp, at: number) => void;
-  readonly levelBeliefs: (key: string) => LevelBeliefs | undefined;
+  readonly markRestarted: (stamp: EngineStamp, at: number) => void;
+  readonly levelView: (key: string) => LevelView | undefined;
   /** @returns Milliseconds since the belief was founded; undefined without a valid one. */
-  readonly age: (beliefs: LevelBeliefs | undefined, stamp: EngineStamp, now: number) => number | undefined;
+  readonly age: (beliefs: LevelView | undefined, stamp: EngineStamp, now: number) => number | undefined;
   /** Levels and beliefs kept, valid or not. */
   readonly size: () => { readonly levels: number; readonly beliefs: number };
 }
@@ -60,7 +60,7 @@
 };
 
 /** Makes an empty picture, which follows the directory until it is disposed. */
-export const createCachePicture = (directory: EngineDirectory, limits: CachePictureLimits): CachePicture => {
+export const createCacheModel = (directory: EngineDirectory, limits: CachePictureLimits): CacheModel => {
   /** The levels founded least recently come first. */
   const levels = new Map<string, Map<string, Belief>>();
   const epochs = new Map<string, number>();
@@ -131,7 +131,7 @@
     doubts.set(stamp.engineId, { incarnation: stamp.incarnation, at });
   };
 
-  const age = (beliefs: LevelBeliefs | undefined, stamp: EngineStamp, now: number): number | undefined => {
+  const age = (beliefs: LevelView | undefined, stamp: EngineStamp, now: number): number | undefined => {
     const belief = beliefs?.get(stamp.engineId);
     return belief?.stamp.epoch === stamp.epoch ? Math.max(0, now - belief.at) : undefined;
   };
@@ -146,8 +146,8 @@
     stampOf,
     note,
     forget,
-    doubt,
-    levelBeliefs: (key) => levels.get(key),
+    markRestarted: doubt,
+    levelView: (key) => levels.get(key),
     age,
     size: () => ({ levels: levels.size, beliefs: countBeliefs() }),
     [Symbol.dispose]: unsubscribe,
--- a/src/state/configurationHistory.property.test.ts
+++ b/src/state/configurationHistory.property.test.ts
@@ -102,7 +102,7 @@
   };
 
   const restate = (history: ConfigurationHistory, late: boolean): void => {
-    const record = history.restatement();
+    const record = history.republication();
     if (record !== undefined) write(encodeConfigurationRecord(record), late);
   };
 
--- a/src/state/configurationHistory.test.ts
+++ b/src/state/configurationHistory.test.ts
@@ -105,7 +105,7 @@
 
   it("keeps the version of a restated configuration, and voids an older restatement", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.restatement();
+    const restatement = history.republication();
     if (restatement === undefined) throw new TypeError("no restatement");
     const data = encodeConfigurationRecord(restatement);
     expect(history.apply(log.append(data))).toEqual({ kind: "restated", offset: 3, version: 2 });
@@ -121,7 +121,7 @@
 
   it("is ignorant where records expired, until a restatement tells the state", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.restatement();
+    const restatement = history.republication();
     publishTo(log, history, configurationOf(4));
     if (restatement === undefined) throw new TypeError("no restatement");
     log.append(encodeConfigurationRecord(restatement));
@@ -138,7 +138,7 @@
 
   it("does not start from a restatement whose writer had not read what expired", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.restatement();
+    const restatement = history.republication();
     publishTo(log, history, configurationOf(4));
     if (restatement === undefined) throw new TypeError("no restatement");
     log.append(encodeConfigurationRecord(restatement));
@@ -162,7 +162,7 @@
 
   it("does not start from a restatement that claims to know what follows it", () => {
     const { log, history } = createFilledLog();
-    const restatement = history.restatement();
+    const restatement = history.republication();
     if (restatement === undefined) throw new TypeError("no restatement");
     const data = encodeConfigurationRecord({ ...restatement, readTo: 99 });
     expect(history.apply(log.append(data)).kind).toEqual("void");
@@ -176,7 +176,7 @@
     const { log, history } = createFilledLog();
     log.append("?");
     readAll(history, log);
-    const restatement = history.restatement();
+    const restatement = history.republication();
     if (restatement === undefined) throw new TypeError("no restatement");
     log.append(encodeConfigurationRecord(restatement));
     log.expire(3);
@@ -196,7 +196,7 @@
     const late = createConfigurationHistory();
     readAll(late, log);
     expect(late.adopt(snapshot)).toEqual({ kind: "adopted", version: 2 });
-    expect([late.isCertain(), late.restatement()]).toEqual([false, undefined]);
+    expect([late.isCertain(), late.republication()]).toEqual([false, undefined]);
     const newer = history.snapshot();
     expect(newer && late.adopt(newer)).toEqual({ kind: "adopted", version: 3 });
     expect(late.isCertain()).toEqual(true);
--- a/src/state/configurationHistory.ts
+++ b/src/state/configurationHistory.ts
@@ -7,7 +7,7 @@
  * point from which on it has read everything.
  */
 import { decodeConfigurationRecord } from "../protocol/configuration/record.ts";
-import type { ConfigurationRecord, Restatement } from "../protocol/configuration/record.ts";
+import type { ConfigurationRecord, Republication } from "../protocol/configuration/record.ts";
 import { applyDifference } from "../protocol/configuration/sections.ts";
 import type {
   ConfigurationSection,
@@ -16,7 +16,7 @@
 } from "../protocol/configuration/sections.ts";
 import type { ModelConfiguration } from "../protocol/configuration/schema.ts";
 import type { LogPage, LogRecord } from "../protocol/types.ts";
-import type { Adoption, Fate } from "./configurationFate.ts";
+import type { Adoption, ConfigurationOutcome } from "./configurationOutcome.ts";
 import { buildConfiguration, createConfigurationReplay } from "./configurationReplay.ts";
 import type {
   ConfigurationInForce,
@@ -65,9 +65,9 @@
    * @param fromOffset - Where the page was read from.
    * @returns The fates of the page's records; none if the page starts beyond `readTo()`.
    */
-  applyPage(fromOffset: number, page: LogPage): readonly Fate[];
+  applyPage(fromOffset: number, page: LogPage): readonly ConfigurationOutcome[];
   /** Takes one record; the caller has handed over every record before it. */
-  apply(record: LogRecord): Fate;
+  apply(record: LogRecord): ConfigurationOutcome;
   /** Notes that records below an offset are no longer kept. */
   expire(earliestOffset: number): void;
   snapshot(): ConfigurationSnapshot | undefined;
@@ -78,7 +78,7 @@
   /** What earlier versions named for a model, the last first, as far as this process has seen them. */
   formerModels(name: string): readonly ModelConfiguration[];
   /** The record that appends the version in force again; nothing where the state is uncertain. */
-  restatement(): Restatement | undefined;
+  republication(): Republication | undefined;
 }
 
 const sectionsOf = (put: readonly ConfigurationSection[]): SectionMap =>
@@ -97,7 +97,7 @@
   let heldFrom: number | undefined;
   let held: LogRecord[] = [];
 
-  const decide = (record: LogRecord): Fate => {
+  const decide = (record: LogRecord): ConfigurationOutcome => {
     knownTo = record.offset + 1;
     return replay.decide(record);
   };
@@ -110,7 +110,7 @@
   };
 
   /** Goes on from a state that takes account of every record below an offset. */
-  const continueFrom = (offset: number): readonly Fate[] => {
+  const continueFrom = (offset: number): readonly ConfigurationOutcome[] => {
     knownTo = offset;
     if (heldFrom !== undefined && offset < heldFrom) return [];
     const undecided = held.filter((record) => record.offset >= offset);
@@ -135,14 +135,14 @@
     return record.readTo;
   };
 
-  const applyAfterLoss = (record: LogRecord): Fate => {
+  const applyAfterLoss = (record: LogRecord): ConfigurationOutcome => {
     hold(record);
     const start = findStart(record.offset, decodeConfigurationRecord(record.data));
     const fates = start === undefined ? [] : continueFrom(start);
     return fates.at(-1) ?? { kind: "undecided", offset: record.offset };
   };
 
-  const apply = (record: LogRecord): Fate => {
+  const apply = (record: LogRecord): ConfigurationOutcome => {
     if (record.offset < readTo) return { kind: "seen", offset: record.offset };
     readTo = record.offset + 1;
     return heldFrom === undefined ? decide(record) : applyAfterLoss(record);
@@ -214,7 +214,7 @@
     },
     adopt,
     formerModels: (name) => replay.formerModels(name),
-    restatement: () => {
+    republication: () => {
       const inForce = replay.current();
       if (inForce === undefined || heldFrom !== undefined) return undefined;
       const { version, digest, publishedBy, publishedAt, sections } = inForce;
--- a/src/state/configurationFate.ts
+++ b/src/state/configurationOutcome.ts
@@ -17,7 +17,7 @@
   | { readonly kind: "older_restatement"; readonly version: number; readonly inForce: number | undefined };
 
 /** What became of a record, by its offset. */
-export type Fate =
+export type ConfigurationOutcome =
   /** In force as `version`, which is the record's offset. */
   | { readonly kind: "applied"; readonly offset: number; readonly version: number }
   /** Restates what is in force, or gives it to a reader that could not know it. */
--- a/src/state/configurationReplay.ts
+++ b/src/state/configurationReplay.ts
@@ -9,20 +9,20 @@
   ConfigurationRecord,
   Publication,
   Publisher,
-  Restatement,
+  Republication,
 } from "../protocol/configuration/record.ts";
 import type { Configuration, ModelConfiguration } from "../protocol/configuration/schema.ts";
 import { createFormerModels } from "./formerModels.ts";
 import {
   applyDifference,
-  differenceOf,
+  diffSections,
   digestSections,
   findMisnamedSections,
   joinSections,
 } from "../protocol/configuration/sections.ts";
 import type { SectionDifference, SectionMap } from "../protocol/configuration/sections.ts";
 import type { LogRecord } from "../protocol/types.ts";
-import type { Fate, VoidReason } from "./configurationFate.ts";
+import type { ConfigurationOutcome, VoidReason } from "./configurationOutcome.ts";
 import { createSectionChanges } from "./sectionChanges.ts";
 import type { SectionChanges } from "./sectionChanges.ts";
 
@@ -59,7 +59,7 @@
   /** Names of the sections that it puts. */
   readonly put: readonly string[];
   readonly remove: readonly string[];
-  readonly fate: Fate;
+  readonly fate: ConfigurationOutcome;
 }
 
 /** The records decided so far. */
@@ -71,7 +71,7 @@
   /** What earlier versions named for a model, the last first. */
   formerModels(name: string): readonly ModelConfiguration[];
   /** Decides a record, all of whose predecessors have been decided. */
-  decide(record: LogRecord): Fate;
+  decide(record: LogRecord): ConfigurationOutcome;
   /**
    * Puts a state that somebody else came to in force, unless it is no newer.
    *
@@ -103,7 +103,7 @@
 const describeRecord = (
   { offset, appendedAt }: LogRecord,
   decoded: ConfigurationRecord | undefined,
-  fate: Fate,
+  fate: ConfigurationOutcome,
 ): HistoryEntry => ({
   offset,
   appendedAt,
@@ -116,7 +116,7 @@
   fate,
 });
 
-const isWhole = (record: ConfigurationRecord, fate: Fate): boolean =>
+const isWhole = (record: ConfigurationRecord, fate: ConfigurationOutcome): boolean =>
   fate.kind !== "void" && (record.kind !== "publication" || record.base === null);
 
 /** Creates a replay that has decided nothing. */
@@ -141,19 +141,19 @@
     { digest, publishedBy, publishedAt }: Publisher & { readonly digest: string },
     base: SectionMap,
     difference: SectionDifference,
-  ): Fate => {
+  ): ConfigurationOutcome => {
     const sections = applyDifference(base, difference);
     const built = buildConfiguration(sections, digest);
     if (!built.valid) return { kind: "void", offset: version, reason: built.reason };
     noteSuccessor(version);
     if (inForce === undefined) changes.restart(version);
     formerModels.note(inForce?.configuration, built.configuration);
-    changes.note(version, differenceOf(inForce?.sections ?? emptySections, sections));
+    changes.note(version, diffSections(inForce?.sections ?? emptySections, sections));
     inForce = { version, digest, publishedBy, publishedAt, sections, configuration: built.configuration };
     return { kind: "applied", offset: version, version };
   };
 
-  const decidePublication = (offset: number, record: Publication): Fate => {
+  const decidePublication = (offset: number, record: Publication): ConfigurationOutcome => {
     const { base } = record;
     if (base === (inForce?.version ?? null)) {
       return publish(offset, record, inForce?.sections ?? emptySections, record);
@@ -165,7 +165,10 @@
     return { kind: "void", offset, reason: { kind: "stale_base", base, beatenBy } };
   };
 
-  const decideRestatement = (offset: number, { version, digest, readTo }: Restatement): Fate => {
+  const decideRestatement = (
+    offset: number,
+    { version, digest, readTo }: Republication,
+  ): ConfigurationOutcome => {
     const inOrder = version < readTo && readTo <= offset;
     const same = inOrder && version === inForce?.version && digest === inForce.digest;
     if (same) return { kind: "restated", offset, version };
@@ -173,13 +176,13 @@
     return { kind: "void", offset, reason };
   };
 
-  const decideRecord = (offset: number, record: ConfigurationRecord): Fate => {
+  const decideRecord = (offset: number, record: ConfigurationRecord): ConfigurationOutcome => {
     if (record.kind === "publication") return decidePublication(offset, record);
     if (record.kind === "restatement") return decideRestatement(offset, record);
     return publish(offset, record, emptySections, { put: record.put, remove: [] });
   };
 
-  const decode = (record: LogRecord): [ConfigurationRecord | undefined, Fate] => {
+  const decode = (record: LogRecord): [ConfigurationRecord | undefined, ConfigurationOutcome] => {
     const decoded = decodeConfigurationRecord(record.data);
     if (decoded !== undefined) return [decoded, decideRecord(record.offset, decoded)];
     return [undefined, { kind: "void", offset: record.offset, reason: { kind: "unreadable" } }];
--- a/src/state/forwarding/replicaState.ts
+++ b/src/state/forwarding/replicaState.ts
@@ -1,7 +1,7 @@
 /** What this router knows of one replica, and the work that all routers have there. */
 import { hash32 } from "../../protocol/prefixLevels.ts";
 import type { EngineStatus, ReplicaEntry } from "../../protocol/forwarding/types.ts";
-import type { LimitWord } from "./limitWord.ts";
+import type { ReportedLimit } from "./reportedLimit.ts";
 
 /** Priorities that engines tell apart: 0 is the most urgent. */
 export const priorities = 10;
@@ -58,7 +58,7 @@
   /** Gets no new work before then: it failed. */
   ejectedUntil: number;
   /** The limit that its answers named last, heard here or told by other routers; nothing if it names none. */
-  limit: LimitWord | undefined;
+  limit: ReportedLimit | undefined;
   /** What was heard of its limit before is of no use any more, milliseconds on the monotonic clock. */
   limitEndedAt: number;
   /** Gets no request of this router before then unless there is no other: its limit leaves none. */
@@ -98,7 +98,7 @@
   tokens.slice(0, tokens.findLastIndex((count) => count > 0) + 1).map(Math.round);
 
 /** @returns The work of all routers at a replica but for what one teller told. */
-export const workWithout = (
+export const workExcluding = (
   { requests, promptTokens, peers, peerTotals }: ReplicaState,
   teller: string,
 ): ReplicaWork => {
@@ -112,8 +112,10 @@
 };
 
 /** @returns Whether what an engine says of itself is another incarnation's than the one that registered so. */
-export const isOfAnother = ({ bornAt }: ReplicaEntry, status: Pick<EngineStatus, "bornAt">): boolean =>
-  bornAt !== undefined && status.bornAt !== undefined && bornAt !== status.bornAt;
+export const isDifferentIncarnation = (
+  { bornAt }: ReplicaEntry,
+  status: Pick<EngineStatus, "bornAt">,
+): boolean => bornAt !== undefined && status.bornAt !== undefined && bornAt !== status.bornAt;
 
 /** @returns The state of a replica that was just registered. */
 export const createReplicaState = (entry: ReplicaEntry): ReplicaState => ({
--- a/src/state/forwarding/replicaTable.test.ts
+++ b/src/state/forwarding/replicaTable.test.ts
@@ -6,7 +6,7 @@
 import type { ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { Departure } from "./replicaTable.ts";
 import { createReplicaTable } from "./replicaTable.ts";
-import { isOfAnother } from "./replicaState.ts";
+import { isDifferentIncarnation } from "./replicaState.ts";
 
 /** One incarnation of the replica that is registered as `engine`. */
 const incarnation = (bornAt: number, fields: Partial<ReplicaEntry> = {}): ReplicaEntry =>
@@ -61,10 +61,10 @@
   });
 
   it("is told from an engine's own word", () => {
-    expect(isOfAnother(incarnation(100), { bornAt: 200 })).toEqual(true);
-    expect(isOfAnother(incarnation(100), { bornAt: 100 })).toEqual(false);
-    expect(isOfAnother(incarnation(100), { bornAt: undefined })).toEqual(false);
-    expect(isOfAnother(engineEntry("engine"), { bornAt: 100 })).toEqual(false);
+    expect(isDifferentIncarnation(incarnation(100), { bornAt: 200 })).toEqual(true);
+    expect(isDifferentIncarnation(incarnation(100), { bornAt: 100 })).toEqual(false);
+    expect(isDifferentIncarnation(incarnation(100), { bornAt: undefined })).toEqual(false);
+    expect(isDifferentIncarnation(engineEntry("engine"), { bornAt: 100 })).toEqual(false);
   });
 
   it("is the newest incarnation that was heard of, in whatever order entries come", () => {
--- a/src/state/forwarding/replicaTable.ts
+++ b/src/state/forwarding/replicaTable.ts
@@ -4,7 +4,7 @@
  */
 import type { ReplicaKey } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import { createRecentMap } from "../recentMap.ts";
+import { createBoundedMap } from "../boundedMap.ts";
 import type { ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import { createPeerWork } from "./peerWork.ts";
 import type { ReplicaBackoff, ReplicaState, ReplicaWork } from "./replicaState.ts";
@@ -74,11 +74,11 @@
   const byService = new Map<string, ReplicaState[]>();
   const drainingByService = new Map<string, ReplicaState[]>();
   /** Ids of incarnations that drain or drained: the registry may drop one for a while and list it as ready again. */
-  const draining = createRecentMap<true>(mostDepartedRemembered);
+  const draining = createBoundedMap<true>(mostDepartedRemembered);
   /** Ids of incarnations that the registry dropped. */
-  const departed = createRecentMap<true>(mostDepartedRemembered);
+  const departed = createBoundedMap<true>(mostDepartedRemembered);
   /** By id of an incarnation that the registry dropped, for the same reason. */
-  const backoffs = createRecentMap<ReplicaBackoff>(mostDepartedRemembered);
+  const backoffs = createBoundedMap<ReplicaBackoff>(mostDepartedRemembered);
   const listeners: ((entry: ReplicaEntry, departure: Departure | undefined) => void)[] = [];
 
   const reindex = (): void => {
