--- a/src/state/forwarding/limitWord.ts
+++ b/src/state/forwarding/reportedLimit.ts
@@ -5,11 +5,11 @@
 /** When an answer was asked for and when its head came, milliseconds on the monotonic clock. */
 export interface AnswerSpan {
   readonly askedAt: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** A limit that an answer named. */
-export interface LimitWord extends AnswerSpan {
+export interface ReportedLimit extends AnswerSpan {
   /** Requests a second from all routers together. */
   readonly perSecond: number;
 }
@@ -17,41 +17,44 @@
 const perThousand = 1_000;
 
 /** @returns The span in ages, as other routers are told of it. */
-export const tellSpan = ({ askedAt, heardAt }: AnswerSpan, now: number): ReportedSpan => ({
+export const toReportedSpan = ({ askedAt, receivedAt: heardAt }: AnswerSpan, now: number): ReportedSpan => ({
   askedAge: Math.max(0, Math.round(now - askedAt)),
   receivedAge: Math.max(0, Math.round(now - heardAt)),
 });
 
 /** @returns The span on this router's clock. */
-export const takeSpan = ({ askedAge, receivedAge: heardAge }: ReportedSpan, now: number): AnswerSpan => ({
+export const fromReportedSpan = (
+  { askedAge, receivedAge: heardAge }: ReportedSpan,
+  now: number,
+): AnswerSpan => ({
   askedAt: now - askedAge,
-  heardAt: now - heardAge,
+  receivedAt: now - heardAge,
 });
 
 /** @returns The word as other routers are told of it. */
-export const tellWord = (word: LimitWord, now: number): ReportedLimitMessage => ({
+export const toReportedLimitMessage = (word: ReportedLimit, now: number): ReportedLimitMessage => ({
   perThousandSeconds: Math.round(word.perSecond * perThousand),
-  ...tellSpan(word, now),
+  ...toReportedSpan(word, now),
 });
 
 /** @returns A word that another router told. */
-export const takeWord = (told: ReportedLimitMessage, now: number): LimitWord => ({
+export const fromReportedLimitMessage = (told: ReportedLimitMessage, now: number): ReportedLimit => ({
   perSecond: told.perThousandSeconds / perThousand,
-  ...takeSpan(told, now),
+  ...fromReportedSpan(told, now),
 });
 
 /**
  * Whether one of two words is to be believed after the other. Answers overtake one another: of two that were under way
  * at the same time nobody knows which one the replica gave first, and the lower limit is the safe one.
  */
-export const supersedes = (word: LimitWord, known: LimitWord): boolean => {
-  if (word.askedAt >= known.heardAt) return true;
-  return word.heardAt > known.askedAt && word.perSecond <= known.perSecond;
+export const supersedes = (word: ReportedLimit, known: ReportedLimit): boolean => {
+  if (word.askedAt >= known.receivedAt) return true;
+  return word.receivedAt > known.askedAt && word.perSecond <= known.perSecond;
 };
 
 /** Takes what another router told of a replica's limit, unless something newer is known here. */
-export const noteToldLimit = (replica: ReplicaState, told: ReportedLimitMessage, now: number): void => {
-  const word = takeWord(told, now);
-  if (word.heardAt <= replica.limitEndedAt) return;
-  if (replica.limit === undefined || word.heardAt > replica.limit.heardAt) replica.limit = word;
+export const noteAnnouncedLimit = (replica: ReplicaState, told: ReportedLimitMessage, now: number): void => {
+  const word = fromReportedLimitMessage(told, now);
+  if (word.receivedAt <= replica.limitEndedAt) return;
+  if (replica.limit === undefined || word.receivedAt > replica.limit.receivedAt) replica.limit = word;
 };
--- a/src/state/heatSketch.ts
+++ b/src/state/heatSketch.ts
@@ -28,7 +28,7 @@
 export interface HeatSketchLimits {
   readonly maximumKeys: number;
   /** Time constant of the decay, milliseconds. */
-  readonly memory: number;
+  readonly decayTime: number;
   /** A key is taken to have been seen for at least this long, milliseconds: one sighting is no rate. */
   readonly shortestWindow: number;
 }
@@ -43,7 +43,11 @@
 const evictionCandidates = 8;
 
 /** Makes an empty sketch. */
-export const createHeatSketch = ({ maximumKeys, memory, shortestWindow }: HeatSketchLimits): HeatSketch => {
+export const createHeatSketch = ({
+  maximumKeys,
+  decayTime: memory,
+  shortestWindow,
+}: HeatSketchLimits): HeatSketch => {
   /** The least recently seen come first. */
   const counters = new Map<string, Counter>();
 
--- a/src/state/log.ts
+++ b/src/state/log.ts
@@ -16,7 +16,7 @@
 let sink: LogSink | undefined;
 
 /** Sends the lines of all loggers, made already or later, to one place. */
-export const directLogs = (target: LogSink): void => {
+export const setLogSink = (target: LogSink): void => {
   sink = target;
 };
 
--- a/src/state/peerDirectory.ts
+++ b/src/state/peerDirectory.ts
@@ -33,9 +33,9 @@
   readonly state: PeerState;
   readonly listed: boolean;
   /** When its last message came, milliseconds on the monotonic clock. */
-  readonly heardAt: number;
+  readonly lastMessageAt: number;
   /** When it or somebody who heard it last showed that it lives. */
-  readonly seenAt: number;
+  readonly lastAliveAt: number;
   /** It promised its next message within this many milliseconds. */
   readonly nextWithin: number;
   /** When it became suspect or dead. */
@@ -58,7 +58,7 @@
 }
 
 /** Times by which peers are judged. */
-export interface PeerPatience {
+export interface PeerTimeouts {
   /** A peer is suspect when it is silent for this many of its promised intervals. */
   readonly missedIntervals: number;
   /** A suspect is dead after this many more of its promised intervals. */
@@ -66,7 +66,7 @@
   /** Added to both, milliseconds. */
   readonly slack: number;
   /** How long a dead peer that is not listed is remembered, milliseconds. */
-  readonly memory: number;
+  readonly retention: number;
 }
 
 /** The peers known to one router. */
@@ -82,7 +82,7 @@
    */
   readonly admit: (identity: PeerIdentity, now: number) => number | undefined;
   /** Notes a message. @returns False if it is of an incarnation that is out of date. */
-  readonly hear: (
+  readonly noteMessage: (
     name: string,
     incarnation: number,
     nextWithin: number,
@@ -90,14 +90,14 @@
     now: number,
   ) => boolean;
   /** Notes that somebody else heard a peer `at` that time. */
-  readonly sight: (name: string, incarnation: number, at: number, now: number) => void;
+  readonly noteSighting: (name: string, incarnation: number, at: number, now: number) => void;
   readonly noteConfiguration: (name: string, configuration: PeerConfiguration) => void;
   /** Notes that a connection broke. */
   readonly markBroken: (name: string, now: number) => void;
   /** Judges all peers anew. */
-  readonly judge: (now: number) => void;
+  readonly updateStates: (now: number) => void;
   /** Gives all peers time as though nothing had been missed: this process itself stood still. */
-  readonly forgive: (now: number) => void;
+  readonly resetTimeouts: (now: number) => void;
   /** @returns A function that ends the subscription. */
   readonly subscribe: (listener: (change: PeerChange) => void) => () => void;
 }
@@ -111,8 +111,8 @@
   incarnation: 0,
   state: "listed",
   listed: false,
-  heardAt: 0,
-  seenAt: now,
+  lastMessageAt: 0,
+  lastAliveAt: now,
   nextWithin: initialInterval,
   changedAt: now,
   configuration: undefined,
@@ -123,7 +123,7 @@
  *
  * @param self - This router's name; it is never its own peer.
  */
-export const createPeerDirectory = (self: string, patience: PeerPatience): PeerDirectory => {
+export const createPeerDirectory = (self: string, patience: PeerTimeouts): PeerDirectory => {
   const peers = new Map<string, Entry>();
   const listeners = new Set<(change: PeerChange) => void>();
 
@@ -154,8 +154,9 @@
   const isForgotten = (peer: Peer, now: number): boolean => {
     if (peer.listed) return false;
     if (peer.state === "listed") return true;
-    const gone = peer.state === "dead" || (peer.state === "leaving" && now - peer.seenAt > patience.memory);
-    return gone && now - peer.changedAt > patience.memory;
+    const gone =
+      peer.state === "dead" || (peer.state === "leaving" && now - peer.lastAliveAt > patience.retention);
+    return gone && now - peer.changedAt > patience.retention;
   };
 
   const forget = (now: number): void => {
@@ -185,17 +186,17 @@
     peer.incarnation = identity.incarnation;
     peer.dataCentre = identity.dataCentre;
     peer.url = identity.url;
-    peer.seenAt = now;
+    peer.lastAliveAt = now;
     if (isNew || peer.state !== "leaving") setState(peer, "live", now);
     return undefined;
   };
 
-  const hear: PeerDirectory["hear"] = (name, incarnation, nextWithin, leaving, now) => {
+  const hear: PeerDirectory["noteMessage"] = (name, incarnation, nextWithin, leaving, now) => {
     const peer = peers.get(name);
     if (peer === undefined || isOutOfDate(peer, incarnation)) return false;
     peer.incarnation = incarnation;
-    peer.heardAt = now;
-    peer.seenAt = now;
+    peer.lastMessageAt = now;
+    peer.lastAliveAt = now;
     peer.nextWithin = nextWithin;
     if (leaving) setState(peer, "leaving", now);
     else if (peer.state !== "leaving") setState(peer, "live", now);
@@ -204,12 +205,12 @@
 
   const patienceFor = (peer: Peer): number => peer.nextWithin * patience.missedIntervals + patience.slack;
 
-  const sight: PeerDirectory["sight"] = (name, incarnation, at, now) => {
+  const sight: PeerDirectory["noteSighting"] = (name, incarnation, at, now) => {
     const peer = peers.get(name);
     if (peer === undefined || peer.state === "dead" || isOutOfDate(peer, incarnation)) return;
-    if (at <= peer.seenAt) return;
+    if (at <= peer.lastAliveAt) return;
     peer.incarnation = incarnation;
-    peer.seenAt = at;
+    peer.lastAliveAt = at;
     if (peer.state === "suspect" && now - at <= patienceFor(peer)) setState(peer, "live", now);
   };
 
@@ -219,7 +220,7 @@
   };
 
   const judgeOne = (peer: Entry, now: number): void => {
-    if (peer.state === "live" && now - peer.seenAt > patienceFor(peer)) setState(peer, "suspect", now);
+    if (peer.state === "live" && now - peer.lastAliveAt > patienceFor(peer)) setState(peer, "suspect", now);
     if (peer.state !== "suspect") return;
     const waited = peer.nextWithin * patience.suspectIntervals + patience.slack;
     if (now - peer.changedAt > waited) setState(peer, "dead", now);
@@ -230,20 +231,20 @@
     all: () => [...peers.values()],
     applyVms,
     admit,
-    hear,
-    sight,
+    noteMessage: hear,
+    noteSighting: sight,
     noteConfiguration: (name, configuration) => {
       const peer = peers.get(name);
       if (peer !== undefined) peer.configuration = configuration;
     },
     markBroken,
-    judge: (now) => {
+    updateStates: (now) => {
       for (const peer of peers.values()) judgeOne(peer, now);
       forget(now);
     },
-    forgive: (now) => {
+    resetTimeouts: (now) => {
       for (const peer of peers.values()) {
-        peer.seenAt = now;
+        peer.lastAliveAt = now;
         if (peer.state === "suspect") peer.changedAt = now;
       }
     },
--- a/src/state/storeEpochs.ts
+++ b/src/state/storeEpochs.ts
@@ -1,6 +1,6 @@
 /** The newest epoch of the platform's store that any of its answers has named. */
 import type { EpochChange, EpochSource, StoreEpoch } from "../protocol/storeEpoch.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 import { createLogger } from "./log.ts";
 
 /** See {@link createStoreEpochs}. */
@@ -29,9 +29,9 @@
   };
 
   return {
-    current: () => current ?? unnamedEpoch,
+    current: () => current ?? defaultEpoch,
     observe: (named) => {
-      const epoch = named ?? current ?? unnamedEpoch;
+      const epoch = named ?? current ?? defaultEpoch;
       if (current === undefined || epoch > current) rise(epoch);
       return epoch;
     },
--- a/src/transport/httpModelEngine.test.ts
+++ b/src/transport/HttpModelEngine.test.ts
@@ -8,7 +8,7 @@
 import { UpstreamError } from "../protocol/errors.ts";
 import type { EngineCall } from "../protocol/types.ts";
 import { connectionFailure } from "./httpFailures.ts";
-import { HttpModelEngine } from "./httpModelEngine.ts";
+import { HttpModelEngine } from "./HttpModelEngine.ts";
 
 /** What the server does with one request. */
 type Deed =
--- a/src/transport/httpPlainService.test.ts
+++ b/src/transport/HttpPlainService.test.ts
@@ -7,7 +7,7 @@
 import { Agent } from "undici";
 import type { UpstreamError } from "../protocol/errors.ts";
 import type { ServiceCall } from "../protocol/types.ts";
-import { HttpPlainService } from "./httpPlainService.ts";
+import { HttpPlainService } from "./HttpPlainService.ts";
 
 type Behaviour = (socket: Socket, attempt: string) => void;
 
--- a/src/transport/expositionMetrics.test.ts
+++ b/src/transport/PrometheusMetrics.test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { ExpositionMetrics } from "./expositionMetrics.ts";
+import { PrometheusMetrics } from "./PrometheusMetrics.ts";
 
 describe("metrics for a collector", () => {
   it("are counters and histograms with their tags, as text", async () => {
-    const metrics = new ExpositionMetrics();
+    const metrics = new PrometheusMetrics();
     metrics.count("requests", 1, { kind: "repeatable", outcome: "served" });
     metrics.count("requests", 2, { kind: "repeatable", outcome: "served" });
     metrics.time("first_token_ms", 120, { kind: "eventStream" });
--- a/src/transport/expositionMetrics.ts
+++ b/src/transport/PrometheusMetrics.ts
@@ -10,7 +10,7 @@
 const buckets = [10, 25, 50, 100, 200, 300, 400, 600, 1_000, 1_500, 2_500, 5_000, 10_000, 15_000];
 
 /** Metrics in a registry of this process; each name always has the same tags. */
-export class ExpositionMetrics extends Metrics {
+export class PrometheusMetrics extends Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<MetricName, Counter>();
   private readonly histograms = new Map<MetricName, Histogram>();
--- a/src/transport/callerServer.test.ts
+++ b/src/transport/callerServer.test.ts
@@ -57,7 +57,7 @@
           engineId: "e",
           incarnation: "i",
           firstOffset: 0,
-          firstOthers: 0,
+          precedingTextlessPieces: 0,
           attemptOffset: 0,
         };
         await Promise.resolve();
--- a/src/transport/callerServer.ts
+++ b/src/transport/callerServer.ts
@@ -35,7 +35,7 @@
   /** `http://IP:PORT`. */
   readonly url: string;
   /** From now on each answer is the last of its connection; callers still get answers. */
-  readonly endConnections: () => void;
+  readonly disableKeepAlive: () => void;
   /**
    * Resolves when all connections have ended. Idle ones are left until the time is over for which callers
    * were told that they may be used again, and the port is open until callers have gone elsewhere: no request
@@ -105,15 +105,15 @@
   const writer = createChunkWriter(identityOf(answer), answer.request.includeUsage);
   try {
     for await (const batch of answer.batches) {
-      const delivered = { tokens: batch.firstOffset, others: batch.firstOthers };
+      const delivered = { tokens: batch.firstOffset, textlessPieces: batch.precedingTextlessPieces };
       let text = "";
       for (const frame of batch.frames) {
-        const isFirst = delivered.tokens === 0 && delivered.others === 0;
+        const isFirst = delivered.tokens === 0 && delivered.textlessPieces === 0;
         if (frame.text === "") {
-          delivered.others += 1;
+          delivered.textlessPieces += 1;
         } else {
           delivered.tokens += 1;
-          delivered.others = 0;
+          delivered.textlessPieces = 0;
         }
         text += writer.write(frame, answer.eventId(batch, delivered), isFirst);
       }
@@ -308,7 +308,7 @@
   };
   return {
     url: `http://${address}:${bound.port}`,
-    endConnections,
+    disableKeepAlive: endConnections,
     close,
     [Symbol.asyncDispose]: async () => {
       server.closeAllConnections();
--- a/src/transport/peerClient.ts
+++ b/src/transport/connectPeerNetwork.ts
@@ -3,7 +3,11 @@
 import { createClient } from "@connectrpc/connect";
 import type { Client } from "@connectrpc/connect";
 import { compressionGzip, createConnectTransport } from "@connectrpc/connect-node";
-import { compressFromBytes, maximumMessageBytes, sessionHeader } from "../protocol/peers/constants.ts";
+import {
+  compressionThresholdBytes,
+  maximumMessageBytes,
+  sessionHeader,
+} from "../protocol/peers/constants.ts";
 import { peerError } from "../protocol/peers/errors.ts";
 import {
   AnswerSchema,
@@ -19,7 +23,7 @@
 import type { PeerLink } from "../protocol/peers/PeerNetwork.ts";
 import { PeerNetwork } from "../protocol/peers/PeerNetwork.ts";
 import type { Seals } from "../protocol/peers/seals.ts";
-import { proveMessage } from "../protocol/peers/seals.ts";
+import { createMessageProof } from "../protocol/peers/seals.ts";
 import { toPeerError } from "./peerFailures.ts";
 import { createPeerQueue } from "./peerQueue.ts";
 import type { PeerSession } from "./peerSession.ts";
@@ -40,7 +44,7 @@
     httpVersion: "2",
     sessionManager: session,
     sendCompression: compressionGzip,
-    compressMinBytes: compressFromBytes,
+    compressMinBytes: compressionThresholdBytes,
     readMaxBytes: maximumMessageBytes,
   });
   return { client: createClient(PeerService, transport), session };
@@ -61,7 +65,7 @@
 ): AsyncIterable<SealedMessage> {
   let sequence = 0;
   for await (const payload of messages) {
-    yield create(SealedMessageSchema, { payload, proof: proveMessage(key, sequence, payload) });
+    yield create(SealedMessageSchema, { payload, proof: createMessageProof(key, sequence, payload) });
     sequence += 1;
   }
 };
--- a/src/transport/engineWire.ts
+++ b/src/transport/engineWire.ts
@@ -1,7 +1,7 @@
 /** The engines' wire form: what a call's body holds, and what a streamed chunk means. */
 import { z } from "zod";
 import { upstreamError } from "../protocol/errors.ts";
-import { requestTexts } from "../protocol/requestTexts.ts";
+import { serializeBody } from "../protocol/serializedBody.ts";
 import type { AnswerFrame, EngineCall, Usage } from "../protocol/types.ts";
 
 /** The chunk that ends a stream. */
@@ -50,7 +50,7 @@
 }
 
 const promptField = ({ request, delivered }: EngineCall): string => {
-  const { prompt } = requestTexts(request);
+  const { prompt } = serializeBody(request);
   if (delivered.text === "") return `"${request.kind === "chat" ? "messages" : "prompt"}":${prompt}`;
   const text = JSON.stringify(delivered.text);
   if (request.kind === "text") return `"prompt":${prompt.slice(0, -1)}${text.slice(1)}`;
@@ -61,7 +61,7 @@
 /** The body of a call: the caller's, always streamed, with its cache kept apart and its delivered text. */
 export const engineBody = (call: EngineCall): string => {
   const { request, delivered } = call;
-  const { others } = requestTexts(request);
+  const { otherFields: others } = serializeBody(request);
   const own = JSON.stringify({
     model: request.model,
     ...(request.adapter === undefined ? {} : { adapter: request.adapter }),
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -9,7 +9,7 @@
 import type { ReplicaAnswer, ReplicaCall, ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { RawAnswer } from "./answerReader.ts";
 import { createAnswerReader } from "./answerReader.ts";
-import { createResetWatch } from "./resetWatch.ts";
+import { createResetWatch } from "./resetMonitor.ts";
 
 /** Longest connection attempt, milliseconds: a silent replica is left for another one soon. */
 const connectTimeout = 400;
@@ -105,15 +105,19 @@
   }
 
   /** Makes a call of the system's own to a replica. */
-  protected exchange(replica: ReplicaEntry, call: SystemCall, signal: AbortSignal): Promise<SystemAnswer> {
+  protected sendToReplica(
+    replica: ReplicaEntry,
+    call: SystemCall,
+    signal: AbortSignal,
+  ): Promise<SystemAnswer> {
     const guarded = this.guard(replica, undefined);
     const observe = ({ status, headers }: RawAnswer): void =>
       guarded.observe(this.wire.decodeAnswer(status, headers));
-    return guarded.run(() => this.exchangeAt(replica, call, signal, guarded.maySend, observe));
+    return guarded.run(() => this.sendToHost(replica, call, signal, guarded.maySend, observe));
   }
 
   /** Makes a call of the system's own to something that is no replica. */
-  protected async exchangeAt(
+  protected async sendToHost(
     target: Pick<ReplicaEntry, "id" | "address">,
     { method, path, headers, body }: SystemCall,
     signal: AbortSignal,
--- a/src/transport/forwarding/forwardingServer.ts
+++ b/src/transport/forwarding/forwardingServer.ts
@@ -19,7 +19,7 @@
   readonly forward: (request: CallerRequest, signal: AbortSignal) => Promise<ForwardedAnswer>;
   readonly limits: () => CallerLimits | undefined;
   /** True once callers are to use another connection for their next request. */
-  readonly endsConnections: () => boolean;
+  readonly shouldCloseConnections: () => boolean;
 }
 
 /** A listening server. */
@@ -68,7 +68,7 @@
 
 /** Starts to listen. */
 export const startForwardingServer = async (parts: ForwardingServerParts): Promise<ForwardingServer> => {
-  const { wire, forward, limits, endsConnections } = parts;
+  const { wire, forward, limits, shouldCloseConnections: endsConnections } = parts;
 
   const decode = async (message: IncomingMessage): Promise<CallerRequest> => {
     const arrivedAt = steadyNow();
--- a/src/transport/forwarding/resetWatch.test.ts
+++ b/src/transport/forwarding/resetMonitor.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { expect } from "earl";
-import { createResetWatch } from "./resetWatch.ts";
+import { createResetWatch } from "./resetMonitor.ts";
 
 /** What later listeners of an event see. */
 const seenAt = async (event: "end" | "error", remoteAddress: string | undefined) => {
--- a/src/transport/httpLogService.ts
+++ b/src/transport/httpLogService.ts
@@ -7,10 +7,10 @@
 import { z } from "zod";
 import { platformError } from "../protocol/errors.ts";
 import { LogService } from "../protocol/LogService.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 import type { AppendedRecords, LogPage } from "../protocol/types.ts";
-import { createPlatformHttp } from "./platformHttp.ts";
-import type { PlatformHttpSettings } from "./platformHttp.ts";
+import { createPlatformHttpClient } from "./platformHttpClient.ts";
+import type { PlatformHttpSettings } from "./platformHttpClient.ts";
 
 const offset = z.number().int().min(0);
 
@@ -37,14 +37,14 @@
  * @returns The log service; disposing it cuts calls in flight.
  */
 export const createHttpLogService = (settings: PlatformHttpSettings): LogService & AsyncDisposable => {
-  const http = createPlatformHttp(settings);
+  const http = createPlatformHttpClient(settings);
 
   class HttpLogService extends LogService implements AsyncDisposable {
     override async append(stream: string, records: readonly string[]): Promise<AppendedRecords> {
       const path = recordsPath(stream);
       const body = JSON.stringify({ records });
       const { offsets } = await http.call({ method: "POST", path, body, answer: appendAnswer });
-      if (offsets.length === records.length) return { offsets, epoch: unnamedEpoch };
+      if (offsets.length === records.length) return { offsets, epoch: defaultEpoch };
       throw platformError(`POST ${path}: answer lacks offsets`, "malformed", true);
     }
 
@@ -56,8 +56,13 @@
     ): Promise<LogPage> {
       const query = `from=${fromOffset}&limit=${limit}&waitMilliseconds=${waitMilliseconds}`;
       const path = `${recordsPath(stream)}?${query}`;
-      const page = await http.call({ method: "GET", path, answer: pageAnswer, wait: waitMilliseconds });
-      if (isOrdered(page, fromOffset)) return { ...page, epoch: unnamedEpoch };
+      const page = await http.call({
+        method: "GET",
+        path,
+        answer: pageAnswer,
+        longPollTimeout: waitMilliseconds,
+      });
+      if (isOrdered(page, fromOffset)) return { ...page, epoch: defaultEpoch };
       throw platformError(`GET ${path}: records out of order`, "malformed", false);
     }
 
--- a/src/transport/httpPlatform.test.ts
+++ b/src/transport/httpPlatform.test.ts
@@ -7,7 +7,7 @@
 import { PlatformError } from "../protocol/errors.ts";
 import { createHttpLogService } from "./httpLogService.ts";
 import { createHttpVmList } from "./httpVmList.ts";
-import { unnamedEpoch } from "../protocol/storeEpoch.ts";
+import { defaultEpoch } from "../protocol/storeEpoch.ts";
 
 const longTimeout = 30_000;
 
@@ -60,7 +60,7 @@
         response.end(JSON.stringify({ offsets: [7, 8] }));
       });
     });
-    expect(await appendTo(server.url)).toEqual({ offsets: [7, 8], epoch: unnamedEpoch });
+    expect(await appendTo(server.url)).toEqual({ offsets: [7, 8], epoch: defaultEpoch });
     expect(seen).toEqual(['POST /streams/configuration/records {"records":["a","b"]}']);
   });
 
@@ -75,7 +75,7 @@
       seen.push(request.url);
       response.end(JSON.stringify(page));
     });
-    expect(await readFrom(server.url)).toEqual({ ...page, epoch: unnamedEpoch });
+    expect(await readFrom(server.url)).toEqual({ ...page, epoch: defaultEpoch });
     expect(seen).toEqual(["/streams/configuration/records?from=4&limit=10&waitMilliseconds=250"]);
   });
 
--- a/src/transport/httpVmList.ts
+++ b/src/transport/httpVmList.ts
@@ -6,8 +6,8 @@
 import { listedVmsSchema } from "../protocol/listedVms.ts";
 import type { ListedVm } from "../protocol/types.ts";
 import { VmList } from "../protocol/VmList.ts";
-import { createPlatformHttp } from "./platformHttp.ts";
-import type { PlatformHttpSettings } from "./platformHttp.ts";
+import { createPlatformHttpClient } from "./platformHttpClient.ts";
+import type { PlatformHttpSettings } from "./platformHttpClient.ts";
 
 const listAnswer = z.object({ vms: listedVmsSchema });
 
@@ -17,7 +17,7 @@
  * @returns The VM list; disposing it cuts calls in flight.
  */
 export const createHttpVmList = (settings: PlatformHttpSettings): VmList & AsyncDisposable => {
-  const http = createPlatformHttp(settings);
+  const http = createPlatformHttpClient(settings);
 
   let last: readonly ListedVm[] = [];
   let tag: string | undefined;
--- a/src/transport/operatorClient.ts
+++ b/src/transport/operatorClient.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 import { operatorPaths, routerEnginesSchema, routerVersionSchema } from "../protocol/operator.ts";
 import type { EngineView, RouterVersion } from "../protocol/operator.ts";
-import { createPlatformHttp } from "./platformHttp.ts";
+import { createPlatformHttpClient } from "./platformHttpClient.ts";
 
 /** Calls to routers; each throws `PlatformError`. */
 export interface OperatorClient {
@@ -29,7 +29,7 @@
     path: string,
     answer: Schema,
   ): Promise<z.output<Schema>> => {
-    await using http = createPlatformHttp({ url, timeout, headers });
+    await using http = createPlatformHttpClient({ url, timeout, headers });
     return await http.call({ method: "GET", path, answer });
   };
 
--- a/src/transport/peerServer.test.ts
+++ b/src/transport/peerServer.test.ts
@@ -17,7 +17,7 @@
 import { createSeals } from "../protocol/peers/seals.ts";
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import { MemoryMetrics } from "../state/MemoryMetrics.ts";
-import { createConnectPeerNetwork } from "./peerClient.ts";
+import { createConnectPeerNetwork } from "./connectPeerNetwork.ts";
 import { startPeerServer } from "./peerServer.ts";
 
 const secret = "a-secret-that-all-routers-share-0123456789";
@@ -41,7 +41,7 @@
       told();
       return message.nextWithin < 100;
     },
-    lost: () => (events.lost += 1),
+    streamEnded: () => (events.lost += 1),
   };
   const seals = createSeals(serverSecret, Date.now);
   const server = resources.use(
@@ -105,7 +105,7 @@
     const handler: PeerHandler = {
       answer: () => create(AnswerSchema),
       receive: () => true,
-      lost: () => undefined,
+      streamEnded: () => undefined,
     };
     const metrics = new MemoryMetrics();
     await using listening = await startPeerServer({
--- a/src/transport/peerServer.ts
+++ b/src/transport/peerServer.ts
@@ -25,7 +25,7 @@
 } from "../protocol/peers/generated/pomelocleat/peers/v1/peers_pb.ts";
 import type { PeerHandler } from "../protocol/peers/PeerNetwork.ts";
 import type { Seals } from "../protocol/peers/seals.ts";
-import { checkMessage } from "../protocol/peers/seals.ts";
+import { verifyMessageProof } from "../protocol/peers/seals.ts";
 import { metricNames } from "../state/constants.ts";
 import type { Metrics } from "../state/Metrics.ts";
 import { toConnectError } from "./peerFailures.ts";
@@ -114,7 +114,7 @@
   ): Promise<void> => {
     let sequence = 0;
     for await (const { payload, proof } of messages) {
-      checkMessage(key, sequence, payload, proof);
+      verifyMessageProof(key, sequence, payload, proof);
       sequence += 1;
       metrics.count(metricNames.peerMessages);
       if (!handler.receive(router, parse(PeerMessageSchema, payload))) {
@@ -137,7 +137,7 @@
       if (error instanceof PeerError) return refuse(error);
       throw toConnectError(error);
     } finally {
-      if (router !== undefined) handler.lost(router);
+      if (router !== undefined) handler.streamEnded(router);
     }
   };
 
--- a/src/transport/platformHttp.ts
+++ b/src/transport/platformHttpClient.ts
@@ -37,19 +37,19 @@
   /** What the answer's JSON has to be. */
   readonly answer: Schema;
   /** Milliseconds that the service was asked to wait, on top of the timeout. */
-  readonly wait?: number;
+  readonly longPollTimeout?: number;
   /** Cuts the call. */
   readonly signal?: AbortSignal | undefined;
 }
 
 /** A call whose answer is not JSON, or whose status says something. */
-export interface PlainPlatformCall extends Omit<PlatformCall<z.ZodType>, "answer"> {
+export interface RawPlatformCall extends Omit<PlatformCall<z.ZodType>, "answer"> {
   /** Statuses besides 2xx that are answers and no failures. */
-  readonly expected?: readonly number[];
+  readonly acceptedStatuses?: readonly number[];
 }
 
 /** A whole answer as it came. */
-export interface PlainPlatformAnswer {
+export interface RawPlatformAnswer {
   readonly status: number;
   readonly bytes: Buffer;
   readonly headers: AnswerHeaders;
@@ -62,7 +62,7 @@
 }
 
 /** A connection pool to one platform service. */
-export interface PlatformHttp extends AsyncDisposable {
+export interface PlatformHttpClient extends AsyncDisposable {
   /**
    * Makes one call for something that the caller may have already. Throws `PlatformError`.
    *
@@ -76,7 +76,7 @@
   /** Makes one call, never repeated. Throws `PlatformError`. */
   call<Schema extends z.ZodType>(call: PlatformCall<Schema>): Promise<z.output<Schema>>;
   /** Makes one call, never repeated, and leaves its answer as it is. Throws `PlatformError`. */
-  exchange(call: PlainPlatformCall): Promise<PlainPlatformAnswer>;
+  callRaw(call: RawPlatformCall): Promise<RawPlatformAnswer>;
 }
 
 /**
@@ -136,7 +136,7 @@
  *
  * @returns The pool; disposing it cuts calls in flight.
  */
-export const createPlatformHttp = (settings: PlatformHttpSettings): PlatformHttp => {
+export const createPlatformHttpClient = (settings: PlatformHttpSettings): PlatformHttpClient => {
   const { url, timeout, headers = {}, onAnswer } = settings;
   const base = url.replace(/\/+$/, "");
   const { origin, pathname } = new URL(base);
@@ -149,12 +149,12 @@
   });
 
   const send = async (
-    call: PlainPlatformCall,
+    call: RawPlatformCall,
     what: string,
     further: Readonly<Record<string, string>> = {},
-  ): Promise<PlainPlatformAnswer & { readonly tag: string | undefined }> => {
+  ): Promise<RawPlatformAnswer & { readonly tag: string | undefined }> => {
     const changesState = call.method === "POST";
-    using limit = limitCall(timeout + (call.wait ?? 0), call.signal);
+    using limit = limitCall(timeout + (call.longPollTimeout ?? 0), call.signal);
     try {
       const answer = await agent.request({
         origin,
@@ -179,7 +179,7 @@
     }
   };
 
-  const callIfChanged: PlatformHttp["callIfChanged"] = async (call, known) => {
+  const callIfChanged: PlatformHttpClient["callIfChanged"] = async (call, known) => {
     const what = `${call.method} ${base}${call.path}`;
     const changesState = call.method === "POST";
     const { status, bytes, tag } = await send(
@@ -199,11 +199,11 @@
       // Without a tag there is always an answer.
       return answer?.value as z.output<typeof call.answer>;
     },
-    exchange: async (call) => {
+    callRaw: async (call) => {
       const what = `${call.method} ${base}${call.path}`;
       const answer = await send(call, what);
       const { status } = answer;
-      const isAnswer = (status >= 200 && status <= 299) || call.expected?.includes(status) === true;
+      const isAnswer = (status >= 200 && status <= 299) || call.acceptedStatuses?.includes(status) === true;
       if (!isAnswer) throw statusFailure(what, status, call.method === "POST");
       return answer;
     },
--- a/standIns/logService.ts
+++ b/standIns/logService.ts
@@ -5,7 +5,7 @@
 import { jsonAnswer, parseBody, startServer, type Answer, type Exchange } from "./httpServer.ts";
 import { commonFaults, commonSettings, milliseconds, type StandIn } from "./types.ts";
 import { createNotifier, pause } from "./waiting.ts";
-import { unnamedEpoch } from "../src/protocol/storeEpoch.ts";
+import { defaultEpoch } from "../src/protocol/storeEpoch.ts";
 
 const settingsSchema = z.strictObject({
   ...commonSettings,
@@ -102,7 +102,7 @@
     const { nextOffset, records } = openStream(name);
     const earliestOffset = records[0]?.offset ?? nextOffset;
     const start = Math.max(0, from - earliestOffset);
-    return { records: records.slice(start, start + limit), earliestOffset, nextOffset, epoch: unnamedEpoch };
+    return { records: records.slice(start, start + limit), earliestOffset, nextOffset, epoch: defaultEpoch };
   };
 
   const read = async ({ parameters, query }: Exchange): Promise<Answer> => {
--- a/tests/fuzz.test.ts
+++ b/tests/fuzz.test.ts
@@ -10,7 +10,7 @@
 import { UpstreamError } from "../src/protocol/errors.ts";
 import { parseCompletionRequest } from "../src/protocol/completionRequest.ts";
 import { createConfigurationHistory } from "../src/state/configurationHistory.ts";
-import { HttpModelEngine } from "../src/transport/httpModelEngine.ts";
+import { HttpModelEngine } from "../src/transport/HttpModelEngine.ts";
 import { startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 
--- a/tests/support/configuration.ts
+++ b/tests/support/configuration.ts
@@ -3,7 +3,7 @@
 import type { Configuration } from "../../src/protocol/configuration/schema.ts";
 import type { LogPage, LogRecord } from "../../src/protocol/types.ts";
 import type { ConfigurationHistory } from "../../src/state/configurationHistory.ts";
-import { unnamedEpoch } from "../../src/protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
 /** Whoever publishes in tests. */
 export const publisher = { publishedBy: "layla", publishedAt: 1_700_000_000_000 };
@@ -59,7 +59,7 @@
       records: records.slice(Math.max(from, earliestOffset)).slice(0, limit),
       earliestOffset,
       nextOffset: records.length,
-      epoch: unnamedEpoch,
+      epoch: defaultEpoch,
     }),
   };
 };
--- a/tests/support/fakeLog.ts
+++ b/tests/support/fakeLog.ts
@@ -5,7 +5,7 @@
 import { LogService } from "../../src/protocol/LogService.ts";
 import type { AppendedRecords, LogPage, LogRecord } from "../../src/protocol/types.ts";
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
-import { unnamedEpoch } from "../../src/protocol/storeEpoch.ts";
+import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
 /** Enough for every promise that waits for nothing outside to settle. */
 const turnsBeforeTimePasses = 3;
@@ -71,7 +71,7 @@
     const offsets = take();
     await nextTurn();
     if (this.loseAnswers-- > 0) throw lost();
-    return { offsets, epoch: unnamedEpoch };
+    return { offsets, epoch: defaultEpoch };
   }
 
   private async readNow(stream: string, fromOffset: number, limit: number): Promise<LogPage> {
@@ -85,7 +85,7 @@
       records: records.slice(from, from + limit),
       earliestOffset,
       nextOffset: records.length,
-      epoch: unnamedEpoch,
+      epoch: defaultEpoch,
     };
   }
 
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -5,7 +5,7 @@
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
 import { createReplicaLimits } from "../../src/coordination/replicaLimits/replicaLimits.ts";
-import { noteToldLimit, tellWord } from "../../src/state/forwarding/limitWord.ts";
+import { noteAnnouncedLimit, toReportedLimitMessage } from "../../src/state/forwarding/reportedLimit.ts";
 import type { ReplicaState } from "../../src/state/forwarding/replicaState.ts";
 import { createReplicaTable } from "../../src/state/forwarding/replicaTable.ts";
 import { engineEntry } from "./forwardingFixture.ts";
@@ -126,7 +126,7 @@
     });
     const tell = ({ limit }: ReplicaState): void => {
       if (limit === undefined || !isTold) return;
-      const told = tellWord(limit, time.clock.monotonic());
+      const told = toReportedLimitMessage(limit, time.clock.monotonic());
       clock.after(newsTime, () => {
         if (!network.isDown) routers.forEach((each) => each.hearNews(index, told));
       });
@@ -153,9 +153,9 @@
       replicas,
       limits,
       state,
-      hearNews: (from: number, told: ReturnType<typeof tellWord>): void => {
+      hearNews: (from: number, told: ReturnType<typeof toReportedLimitMessage>): void => {
         const isCut = network.cutOff.has(self.port) !== network.cutOff.has(from + 1);
-        if (from !== index && !isCut) noteToldLimit(state(), told, time.clock.monotonic());
+        if (from !== index && !isCut) noteAnnouncedLimit(state(), told, time.clock.monotonic());
       },
     };
   };
@@ -179,7 +179,7 @@
       const state = router.replicas.get(id);
       if (state === undefined) return;
       if (named !== undefined && !toldAt.has(index)) toldAt.set(index, clock.monotonic());
-      const span = { askedAt, heardAt: router.time.clock.monotonic() };
+      const span = { askedAt, receivedAt: router.time.clock.monotonic() };
       if (named === undefined) router.limits.observeNoLimit(state, span);
       else router.limits.observeLimit(state, { perSecond: named, ...span });
     });
@@ -192,7 +192,7 @@
     const state = router.state();
     if (state.limit !== undefined && router.time.clock.monotonic() < state.limitedUntil && patience === 0)
       return false;
-    const promised = router.limits.take(state, patience);
+    const promised = router.limits.acquire(state, patience);
     if (promised === undefined) {
       sendTo(index, id);
       return true;
--- a/tests/support/peerNodes.ts
+++ b/tests/support/peerNodes.ts
@@ -1,10 +1,10 @@
 /** Routers' memberships joined by a fake network whose connections a test cuts, under a clock that it moves. */
 import { fromBinary } from "@bufbuild/protobuf";
 import { ConfigurationExchange } from "../../src/coordination/membership/configurationExchange.ts";
-import { patience } from "../../src/coordination/membership/constants.ts";
+import { peerTimeouts } from "../../src/coordination/membership/constants.ts";
 import { LoadExchange } from "../../src/coordination/membership/loadExchange.ts";
 import type { Membership } from "../../src/coordination/membership/Membership.ts";
-import { createPeerAnswers } from "../../src/coordination/membership/peerAnswers.ts";
+import { createQuestionHandler } from "../../src/coordination/membership/questionHandler.ts";
 import type { PeerMembership } from "../../src/coordination/membership/peerMembership.ts";
 import { createPeerMembership } from "../../src/coordination/membership/peerMembership.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
@@ -102,7 +102,7 @@
       over = true;
       links.delete(link);
       resolve();
-      if (router !== undefined && !frozen.has(to)) handler?.lost(router);
+      if (router !== undefined && !frozen.has(to)) handler?.streamEnded(router);
     };
     const link = { from, to, end };
     links.add(link);
@@ -142,7 +142,7 @@
 
   const make = (name: string, dataCentre: string): PeerNode => {
     const network = new FakePeerNetwork(name);
-    const peers = createPeerDirectory(name, patience);
+    const peers = createPeerDirectory(name, peerTimeouts);
     const history = createConfigurationHistory();
     const engines = createEngineDirectory();
     let logReadAt: number | undefined;
@@ -164,7 +164,7 @@
       clock: nodeClock,
       metrics: new MemoryMetrics(),
       random: () => 0.5,
-      answer: createPeerAnswers({ history, engines, clock, vms: () => [] }),
+      answer: createQuestionHandler({ history, engines, clock, vms: () => [] }),
     });
     const { membership, push } = controls;
     const exchange = new ConfigurationExchange({
@@ -177,10 +177,10 @@
       push,
       logReadAt: () => logReadAt,
     });
-    controls.add(
+    controls.addExtension(
       new LoadExchange({ directory: engines, clock, isHome: (id) => membership.isHome(id), push }),
     );
-    controls.add(exchange);
+    controls.addExtension(exchange);
     handlers.set(name, controls.handler);
     controls.start(urlOf(name));
     return {
@@ -193,7 +193,7 @@
       exchange,
       live: () =>
         membership
-          .livePeers()
+          .liveMembers()
           .map((peer) => peer.name)
           .join(""),
       noteLogRead: () => (logReadAt = clock.monotonic()),
--- a/tests/support/quarantineRouters.ts
+++ b/tests/support/quarantineRouters.ts
@@ -205,12 +205,12 @@
     },
     /** At which routers a request would not be sent. */
     heldAt: (body: string): readonly number[] =>
-      routers.filter(({ quarantine }) => quarantine.isHeld(requestOf(body))).map(({ port }) => port),
+      routers.filter(({ quarantine }) => quarantine.isQuarantined(requestOf(body))).map(({ port }) => port),
     /** Asks whether a request may be passed on; moves on until there is an answer. */
     ask: async (index: number, body: string, id = `${body}-${clock.monotonic()}-${index}`) => {
       const request = requestOf(body, id);
       let result: { readonly wait: number | undefined } | undefined;
-      const asked = at(index).quarantine.ask(request) ?? Promise.resolve(undefined);
+      const asked = at(index).quarantine.admit(request) ?? Promise.resolve(undefined);
       void asked.then((wait) => {
         result = { wait };
       });
--- a/tests/support/rollOutSystem.ts
+++ b/tests/support/rollOutSystem.ts
@@ -15,7 +15,7 @@
 import { createEngineDirectory } from "../../src/state/engineDirectory.ts";
 import { MemoryMetrics } from "../../src/state/MemoryMetrics.ts";
 import { createHttpLogService } from "../../src/transport/httpLogService.ts";
-import { HttpModelEngine } from "../../src/transport/httpModelEngine.ts";
+import { HttpModelEngine } from "../../src/transport/HttpModelEngine.ts";
 import { createEngineStandIn } from "../../standIns/engine/engine.ts";
 import type { EngineStandIn, EngineStandInSettings } from "../../standIns/engine/types.ts";
 import { createLogServiceStandIn } from "../../standIns/logService.ts";
--- a/tests/support/runnerFixture.ts
+++ b/tests/support/runnerFixture.ts
@@ -1,7 +1,7 @@
 /** A completion runner over engines that follow a script, under a test's clock. */
 import { createCompletionRunner } from "../../src/coordination/requests/completionRunner.ts";
 import type { RetryBudget } from "../../src/coordination/requests/retryBudget.ts";
-import type { BindWeights } from "../../src/coordination/weightsInForce.ts";
+import type { BindWeights } from "../../src/coordination/weightsBinder.ts";
 import { RatioRetryBudget } from "../../src/coordination/requests/retryBudget.ts";
 import type { CompletionJob } from "../../src/coordination/requests/types.ts";
 import { ClaimLedger } from "../../src/coordination/claims/ClaimLedger.ts";
