--- a/src/protocol/forwarding/limitMessage.test.ts
+++ b/src/protocol/forwarding/limitMessage.test.ts
@@ -9,7 +9,7 @@
 
 const count = fc.nat({ max: 2 ** 40 });
 const name = fc.string({ maxLength: 20 });
-const span = { askedAge: count, heardAge: count };
+const span = { askedAge: count, receivedAge: count };
 
 const message: fc.Arbitrary<LimitMessage> = fc.oneof(
   record({
@@ -24,7 +24,7 @@
     kind: fc.constant("replicaQuestion" as const),
     number: count,
     replica: name,
-    word: record({ perThousandSeconds: count, ...span }),
+    reportedLimit: record({ perThousandSeconds: count, ...span }),
     unnamed: fc.option(record(span), { nil: undefined }),
     isAsked: fc.boolean(),
     patience: count,
@@ -34,25 +34,25 @@
     number: count,
     verdict: fc.constantFrom<LimitVerdict>("granted", "refused", "elsewhere", "unlimited"),
     wait: count,
-    room: fc.nat({ max: 100 }),
+    remainingPercent: fc.nat({ max: 100 }),
   }),
 );
 
-describe("messages to and from the keepers of limits", () => {
-  it("are read as they were written", () => {
+describe("limitMessage", () => {
+  it("decodes what it encodes", () => {
     fc.assert(
-      fc.property(message, (written) => {
-        expect(decodeLimitMessage(encodeLimitMessage(written))).toEqual(written);
+      fc.property(message, (original) => {
+        expect(decodeLimitMessage(encodeLimitMessage(original))).toEqual(original);
       }),
       { seed: 7, numRuns: 300 },
     );
   });
 
-  it("are nothing once cut off or lengthened, wherever", () => {
+  it("rejects datagrams truncated at any byte or extended", () => {
     fc.assert(
-      fc.property(message, fc.nat(), (written, point) => {
-        const datagram = encodeLimitMessage(written);
-        expect(decodeLimitMessage(datagram.subarray(0, point % datagram.length))).toEqual(undefined);
+      fc.property(message, fc.nat(), (original, cut) => {
+        const datagram = encodeLimitMessage(original);
+        expect(decodeLimitMessage(datagram.subarray(0, cut % datagram.length))).toEqual(undefined);
         expect(decodeLimitMessage(Buffer.concat([datagram, Buffer.from([0])]))).toEqual(undefined);
       }),
       { seed: 7, numRuns: 300 },
