--- a/bench/lab/labReplicaClient.ts
+++ b/bench/lab/LabReplicaClient.ts
@@ -121,7 +121,7 @@
     if (replica.state === "loading" || replica.version !== (call.weightsVersion ?? replica.version)) {
       return this.refuse(call, replica.version, replica.state === "loading" ? 503 : 421);
     }
-    this.fleet.reports.noteArrival(replica.entry.id, this.router);
+    this.fleet.reports.recordArrival(replica.entry.id, this.router);
     if (replica.refusal !== undefined) return this.turnAway(call, replica, replica.refusal);
     const isOver = isOverLimit(replica, this.clock.monotonic());
     replica.arrivals.push(this.clock.monotonic());
@@ -186,7 +186,7 @@
     { entry, version }: LabReplica,
     { retryAfter }: LabRefusal,
   ): ReplicaAnswer {
-    if (retryAfter !== undefined) this.fleet.reports.noteBackoff(entry.id, this.router, retryAfter);
+    if (retryAfter !== undefined) this.fleet.reports.recordBackoff(entry.id, this.router, retryAfter);
     const refused = this.refuse(call, version, 503);
     return { ...refused, head: { ...refused.head, retryAfter } };
   }
@@ -199,16 +199,16 @@
       const begin = (): void => {
         hasBegun = true;
         const body = pieces.read(() => cancel?.());
-        if (replica?.isDraining === true) this.fleet.reports.noteDraining(replica.entry.id, this.router);
+        if (replica?.isDraining === true) this.fleet.reports.recordDraining(replica.entry.id, this.router);
         resolve({ head: headOf(call, replica?.version ?? 1, replica ?? unlimited), body });
       };
       const cancel = replica?.engine.submit({
         priority: call.priority ?? 5,
         levels: levelsOf(call),
         answerTokens: this.fleet.answerTokens(call.request.id),
-        source: this.fleet.keeperAt(call.fetchFrom),
-        saveTo: this.fleet.keeperAt(call.saveTo),
-        onPiece: () =>
+        source: this.fleet.cacheAt(call.fetchFrom),
+        saveTo: this.fleet.cacheAt(call.saveTo),
+        onEvent: () =>
           this.clock.after(latency, () => {
             pieces.add();
             if (!hasBegun) begin();
--- a/bench/model/engineQueue.ts
+++ b/bench/model/engineQueue.ts
@@ -35,7 +35,7 @@
   /** Levels that will be cached once these have been computed. */
   readonly expectedKeys: ReadonlySet<string>;
   /** Milliseconds until a seat in the batch is free. */
-  readonly seatWait: number;
+  readonly slotWait: number;
 }
 
 /** At least the last token of a prompt is always computed. */
@@ -67,7 +67,7 @@
 export const viewQueue = (
   { cache, waiting, prefilling, computing }: EngineState,
   priority: number,
-): Omit<QueueView, "seatWait"> => {
+): Omit<QueueView, "slotWait"> => {
   const expectedKeys = new Set<string>();
   const isKnown = ({ key }: PrefixLevel): boolean => expectedKeys.has(key) || cache.has(key);
   let pendingTokens = 0;
--- a/bench/model/simulation.test.ts
+++ b/bench/model/simulation.test.ts
@@ -38,7 +38,7 @@
   it("has requests of a crashed engine answered elsewhere", async () => {
     const strike = {
       at: 10_000,
-      strike: (faults: { crashEngine: (index: number) => void }) => faults.crashEngine(0),
+      apply: (faults: { crashEngine: (index: number) => void }) => faults.crashEngine(0),
     };
     const { records } = await run({ faults: [strike] });
     expect(records.some(({ attempts }) => attempts > 1)).toEqual(true);
