--- a/bench/model/arrivals.ts
+++ b/bench/model/arrivals.ts
@@ -1,6 +1,6 @@
 /**
- * Open-loop arrivals: each organisation has its own Poisson stream and its own random numbers, so that a run in
- * which one of them floods gives the others exactly the requests of the run in which it does not.
+ * Open-loop arrivals. Each organisation has its own Poisson process and random stream, so that a run in which one
+ * organisation floods has exactly the same requests of the others as a run in which it does not.
  */
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { PrefixLevel } from "../../src/protocol/types.ts";
@@ -11,26 +11,26 @@
 import type { Random } from "./random.ts";
 import type { Arrival } from "./types.ts";
 
-/** One organisation that sends much more than its share, over many prefixes. */
+/** One organisation sends far more than its share, over many prefixes. Times are simulated milliseconds. */
 export interface Flood {
   readonly organisation: string;
   readonly from: number;
   readonly until: number;
-  /** Times its usual rate. */
+  /** Rate of the additional requests, as a multiple of the organisation's usual rate. */
   readonly factor: number;
-  /** Each with its own prefix, asked for equally often. */
+  /** Number of subjects of the additional requests, each with its own prefix and requested equally often. */
   readonly subjects: number;
 }
 
-/** How much comes, and what changes on the way. Times are simulated milliseconds. */
+/** Load of a run and how it changes. Times are simulated milliseconds. */
 export interface ArrivalParameters {
   readonly mix: Mix;
   readonly seed: number;
   readonly duration: number;
-  /** Part of all engines' prompt computing time that would be used if every shared level were cached. */
+  /** Share of all engines' prefill time that is used if every shared level is cached, 0 to 1. */
   readonly utilisation: number;
   readonly routers: number;
-  /** From then on the largest organisation asks about subjects never seen before. */
+  /** From this time on the largest organisation's requests are about new subjects. */
   readonly hotShiftAt?: number;
   readonly flood?: Flood;
 }
@@ -40,20 +40,23 @@
   readonly random: Random;
   readonly from: number;
   readonly until: number;
-  /** Mean milliseconds between two requests. */
+  /** Mean time between two requests, milliseconds. */
   readonly interval: number;
   readonly subjects: number | undefined;
 }
 
 const levelKey = (text: string): string => hash64(text).toString(16).padStart(16, "0");
 
-/** Engines of the deployment's only pool. */
+/** Counts the engines of all pools. */
 export const countEngines = ({ configuration }: Mix): number =>
   configuration.enginePools.reduce((sum, { replicas }) => sum + replicas, 0);
 
-/** Requests a second at a utilisation. */
+/** @returns Requests per second that give this utilisation. */
 export const requestRate = (mix: Mix, utilisation: number): number => {
-  const cost = mix.classes.reduce((sum, item) => sum + item.share * warmPrefillTime(mix, item), 0);
+  const cost = mix.classes.reduce(
+    (sum, classMix) => sum + classMix.share * warmPrefillTime(mix, classMix),
+    0,
+  );
   return (utilisation * countEngines(mix) * 1000) / cost;
 };
 
@@ -61,7 +64,7 @@
   const { organisations } = mix.configuration;
   const standing = organisations.reduce((sum, organisation) => sum + organisation.standing, 0);
   const rate = requestRate(mix, utilisation);
-  const usual = organisations.map((organisation) => ({
+  const usualStreams = organisations.map((organisation) => ({
     organisation: organisation.name,
     random: createRandom(seed, `${mix.name} ${organisation.name}`),
     from: 0,
@@ -69,19 +72,19 @@
     interval: (1000 * standing) / (rate * organisation.standing),
     subjects: undefined,
   }));
-  const flooding = usual.find(({ organisation }) => organisation === flood?.organisation);
-  if (flood === undefined || flooding === undefined) return usual;
+  const usualStream = usualStreams.find(({ organisation }) => organisation === flood?.organisation);
+  if (flood === undefined || usualStream === undefined) return usualStreams;
   const random = createRandom(seed, `${mix.name} flood`);
-  const interval = flooding.interval / flood.factor;
+  const interval = usualStream.interval / flood.factor;
   const { from, subjects } = flood;
   const until = Math.min(flood.until, duration);
-  return [...usual, { organisation: flood.organisation, random, from, until, interval, subjects }];
+  return [...usualStreams, { organisation: flood.organisation, random, from, until, interval, subjects }];
 };
 
 /**
- * Makes all requests of a run.
+ * Creates all requests of a run.
  *
- * @returns In the order of their arrival.
+ * @returns The requests in the order of their arrival.
  */
 export const createArrivals = (parameters: ArrivalParameters): readonly Arrival[] => {
   const { mix, routers, hotShiftAt = Infinity } = parameters;
@@ -89,13 +92,13 @@
   const pickRank = mix.classes.map(({ subject }) =>
     createWeightedIndex(zipfWeights(subject.count, subject.exponent)),
   );
-  const largest = mix.configuration.organisations[0]?.name;
+  const largestOrganisation = mix.configuration.organisations[0]?.name;
 
   const pickSubject = (stream: Stream, classIndex: number, at: number): string => {
     if (stream.subjects !== undefined) return `flood ${stream.random.index(stream.subjects)}`;
     const rank = pickRank[classIndex]?.(stream.random) ?? 0;
-    const shifted = at >= hotShiftAt && stream.organisation === largest;
-    return shifted ? `new ${rank}` : String(rank);
+    const isShifted = at >= hotShiftAt && stream.organisation === largestOrganisation;
+    return isShifted ? `new ${rank}` : String(rank);
   };
 
   const createLevels = (
@@ -105,34 +108,34 @@
     question: PrefixLevel,
   ): readonly PrefixLevel[] => {
     const salt = `${mix.name} ${organisation}`;
-    const member = mix.rulesTokens + mix.memberTokens;
-    const shared = member + subject.tokens;
+    const memberTokens = mix.rulesTokens + mix.memberTokens;
+    const sharedTokens = memberTokens + subject.tokens;
     return [
       { key: levelKey(`${salt} rules`), tokens: mix.rulesTokens },
-      { key: levelKey(`${salt} member`), tokens: member },
-      { key: levelKey(`${salt} ${subject.kind} ${name}`), tokens: shared },
-      { key: question.key, tokens: shared + question.tokens },
+      { key: levelKey(`${salt} member`), tokens: memberTokens },
+      { key: levelKey(`${salt} ${subject.kind} ${name}`), tokens: sharedTokens },
+      { key: question.key, tokens: sharedTokens + question.tokens },
     ];
   };
 
   const createArrival = (stream: Stream, at: number, sequence: number): Arrival | undefined => {
     const { organisation, random } = stream;
     const classIndex = pickClass(random);
-    const item = mix.classes[classIndex];
-    if (item === undefined) return undefined;
+    const classMix = mix.classes[classIndex];
+    if (classMix === undefined) return undefined;
     const subject = pickSubject(stream, classIndex, at);
     const question = {
       key: levelKey(`${mix.name} ${organisation} ${stream.subjects ?? ""} ${sequence}`),
-      tokens: random.integerIn(item.questionTokens),
+      tokens: random.integerIn(classMix.questionTokens),
     };
-    const levels = createLevels(organisation, item, subject, question);
-    const outputTokens = random.integerIn(item.outputTokens);
+    const levels = createLevels(organisation, classMix, subject, question);
+    const outputTokens = random.integerIn(classMix.outputTokens);
     const promptTokens = levels.at(-1)?.tokens ?? 0;
     const router = random.index(routers);
     return {
       at,
       organisation,
-      className: item.className,
+      className: classMix.className,
       levels,
       promptTokens,
       outputTokens,
@@ -145,8 +148,8 @@
     let at = stream.from + stream.random.exponential(stream.interval);
     for (let sequence = 0; at < stream.until; sequence += 1) {
       const arrival = createArrival(stream, at, sequence);
-      const admitted = stream.random.uniform() * rampUp < at;
-      if (arrival !== undefined && admitted) arrivals.push(arrival);
+      const isKept = stream.random.uniform() * rampUp < at;
+      if (arrival !== undefined && isKept) arrivals.push(arrival);
       at += stream.random.exponential(stream.interval);
     }
     return arrivals;
--- a/bench/model/constants.ts
+++ b/bench/model/constants.ts
@@ -1,16 +1,16 @@
-/** Figures of the modelled network and platform, from the users' brief where it gives them. */
+/** Constants of the simulated network and platform. Times are simulated milliseconds. */
 
-/** One way, milliseconds. */
+/** One-way network latency within a data centre and between two. */
 export const latencies = { within: 0.1, between: 0.5 } as const;
 
 /** Attempts for one request, as in the router. */
 export const maximumAttempts = 3;
 
-/** Until a router notices that an engine does not answer at all, milliseconds. */
+/** Time until a router treats an engine that does not respond as failed. */
 export const unreachableTimeout = 500;
 
-/** Over which the rate rises from nothing: empty caches under full load would measure the start alone. */
+/** Time over which the request rate rises from zero; at full load, empty caches would dominate the results. */
 export const rampUp = 8000;
 
-/** Simulated milliseconds before figures count. */
+/** Requests that arrive earlier are left out of the figures. */
 export const warmUp = 12_000;
--- a/bench/model/engineModel.test.ts
+++ b/bench/model/engineModel.test.ts
@@ -16,12 +16,12 @@
 
 const identity = { id: "engine", dataCentre: "zarqa-hall", model: "records-assistant", weightsVersion: "1" };
 
-/** An engine, and what its jobs did at which time. */
-const createTrial = (changed: Partial<EngineParameters> = {}) => {
+/** Creates an engine with a log of the events of its jobs, each with its simulated time. */
+const createEngineTrial = (changed: Partial<EngineParameters> = {}) => {
   const clock = createManualClock();
   const engine = createEngineModel(identity, { ...parameters, ...changed }, clock);
   const log: string[] = [];
-  const note = (what: string): number => log.push(`${clock.monotonic()} ${what}`);
+  const record = (what: string): number => log.push(`${clock.monotonic()} ${what}`);
   const submit = (name: string, question: string, priority = 0): (() => void) | undefined => {
     const job: EngineJob = {
       priority,
@@ -31,9 +31,9 @@
       ],
       promptTokens: 300,
       outputTokens: 3,
-      onStart: (cached) => note(`${name} begun with ${cached}`),
-      onFirstToken: () => note(`${name} first`),
-      onEnd: (ended) => note(`${name} ${ended}`),
+      onStart: (cached) => record(`${name} begun with ${cached}`),
+      onFirstToken: () => record(`${name} first`),
+      onEnd: (ended) => record(`${name} ${ended}`),
     };
     return engine.submit(job);
   };
@@ -41,8 +41,8 @@
 };
 
 describe("createEngineModel", () => {
-  it("computes what is not cached, then decodes", () => {
-    const { clock, log, submit } = createTrial();
+  it("computes only the tokens that are not cached, then decodes", () => {
+    const { clock, log, submit } = createEngineTrial();
     submit("cold", "q1");
     clock.advanceTo(1000);
     submit("warm", "q2");
@@ -57,13 +57,13 @@
     ]);
   });
 
-  it("lets a more urgent prompt go first after a chunk, and decodes slower side by side", () => {
-    const { clock, log, submit } = createTrial();
+  it("runs a more urgent prompt after the current chunk, and decodes slower in a fuller batch", () => {
+    const { clock, log, submit } = createEngineTrial();
     submit("patient", "q1", 5);
     clock.advanceTo(10);
     submit("urgent", "q2", 0);
     clock.advanceTo(2000);
-    // The urgent one interrupts after the first chunk; its first token comes while the other still computes.
+    // The urgent prompt starts after the first chunk, and its first token comes before the other prompt is complete.
     expect(log.map((line) => line.split(" ").slice(1).join(" "))).toEqual([
       "patient begun with 0",
       "urgent begun with 0",
@@ -75,8 +75,8 @@
     expect(log[3]).toEqual("434 urgent finished");
   });
 
-  it("keeps further requests waiting when the batch is full", () => {
-    const { clock, engine, submit } = createTrial();
+  it("queues requests when the batch is full", () => {
+    const { clock, engine, submit } = createEngineTrial();
     ["a", "b", "c"].forEach((name) => submit(name, name));
     expect([engine.load().running, engine.load().waiting]).toEqual([2, 1]);
     expect(engine.load().pendingPromptTokens).toEqual(900);
@@ -85,8 +85,8 @@
     expect([engine.load().running, engine.load().pendingPromptTokens]).toEqual([0, 0]);
   });
 
-  it("fails its jobs and forgets its cache in a crash, and takes none until it is back", () => {
-    const { clock, engine, log, submit } = createTrial();
+  it("fails its jobs and clears its cache in a crash, and accepts no jobs until its restart", () => {
+    const { clock, engine, log, submit } = createEngineTrial();
     submit("first", "q1");
     clock.advanceTo(310);
     const before = engine.load().incarnation;
@@ -100,8 +100,8 @@
     expect(engine.load().incarnation === before).toEqual(false);
   });
 
-  it("goes on with the next prompt when one is cancelled", () => {
-    const { clock, log, submit } = createTrial();
+  it("starts the next prompt when one is cancelled", () => {
+    const { clock, log, submit } = createEngineTrial();
     const cancel = submit("given up", "q1");
     submit("next", "q2");
     clock.advanceTo(50);
--- a/bench/model/engineModel.ts
+++ b/bench/model/engineModel.ts
@@ -1,9 +1,9 @@
 /**
- * A model engine in simulated time: a small fake, not a simulator of a real one.
+ * A simple inference engine in simulated time; it does not reproduce a particular real engine.
  *
- * Requests take a seat in the batch by priority; prompts are computed one chunk at a time, the most urgent
- * first, at a cost for each token that the cache does not hold; answers then decode side by side, a little
- * slower the fuller the batch is.
+ * Requests take a slot in the batch by priority. Prompts are prefilled one chunk at a time, the most urgent first,
+ * at a cost for each token that is not cached. Answers then decode concurrently, slower with each further request
+ * in the batch.
  */
 import type { Clock } from "../../src/coordination/clock.ts";
 import type { EngineLoad, PrefixLevel } from "../../src/protocol/types.ts";
@@ -13,7 +13,7 @@
 import type { CachedUnit, UnitEvent } from "./prefixCache.ts";
 import type { EngineJob, EngineParameters } from "./types.ts";
 
-/** Where an engine is and what it serves. */
+/** Name, location and model of an engine. */
 export interface EngineIdentity {
   readonly id: string;
   readonly dataCentre: string;
@@ -21,22 +21,22 @@
   readonly weightsVersion: string;
 }
 
-/** A modelled engine. */
+/** A simulated engine. */
 export interface EngineModel extends EngineIdentity {
-  /** @returns A function that cancels the job, or nothing if the engine is down. */
+  /** @returns A function that cancels the job, or `undefined` if the engine is down. */
   readonly submit: (job: EngineJob) => (() => void) | undefined;
   readonly load: () => EngineLoad;
   readonly isUp: () => boolean;
   /** Fails all jobs and loses the cache. */
   readonly crash: () => void;
   readonly restart: () => void;
-  /** Tokens of the prompt's deepest level that is cached now. */
+  /** Tokens of the prompt's deepest cached level. */
   readonly cachedTokens: (levels: readonly PrefixLevel[]) => number;
   readonly isCached: (key: string) => boolean;
-  /** What the cache would lose for so many more tokens. */
+  /** The units that storing this many more tokens would evict. */
   readonly wouldEvict: (tokens: number) => readonly CachedUnit[];
   readonly queueView: (priority: number) => QueueView;
-  /** Milliseconds spent computing prompts so far. */
+  /** Time spent on prefill so far, milliseconds. */
   readonly prefillTime: () => number;
 }
 
@@ -44,10 +44,10 @@
   job,
   sequence,
   doneTokens: 0,
-  begun: false,
-  pinned: 0,
+  isStarted: false,
+  pinnedLevels: 0,
   endsAt: Infinity,
-  callOff: undefined,
+  cancelTimer: undefined,
 });
 
 const isMoreUrgent = (left: Task, right: Task): boolean =>
@@ -69,17 +69,17 @@
 };
 
 /**
- * Makes an idle engine with an empty cache.
+ * Creates an idle engine with an empty cache.
  *
- * @param tell - Told of every change of the cache.
+ * @param onCacheEvent - Called for every change of the cache.
  */
 export const createEngineModel = (
   identity: EngineIdentity,
   parameters: EngineParameters,
   clock: Clock,
-  tell?: (event: UnitEvent) => void,
+  onCacheEvent?: (event: UnitEvent) => void,
 ): EngineModel => {
-  const cache = createPrefixCache(parameters.cacheTokens, tell);
+  const cache = createPrefixCache(parameters.cacheTokens, onCacheEvent);
   const state: EngineState = {
     cache,
     waiting: [],
@@ -90,36 +90,36 @@
   const { waiting, prefilling, decoding } = state;
   let sequence = 0;
   let incarnation = 1;
-  let up = true;
+  let isUp = true;
   let prefillTime = 0;
 
   const running = (): number => prefilling.length + decoding.size;
 
-  const seatWait = (): number => {
+  const slotWait = (): number => {
     if (running() < parameters.maximumRunning) return 0;
-    const soonest = [...decoding].reduce((least, task) => Math.min(least, task.endsAt), Infinity);
-    return soonest === Infinity ? 0 : soonest - clock.monotonic();
+    const earliestEnd = [...decoding].reduce((least, task) => Math.min(least, task.endsAt), Infinity);
+    return earliestEnd === Infinity ? 0 : earliestEnd - clock.monotonic();
   };
 
   const remove = (task: Task): void => {
     removeFrom(waiting, task);
     removeFrom(prefilling, task);
     decoding.delete(task);
-    task.callOff?.();
+    task.cancelTimer?.();
     if (state.computing === task) state.computing = undefined;
-    for (const { key } of task.job.levels.slice(0, task.pinned)) cache.unpin(key);
+    for (const { key } of task.job.levels.slice(0, task.pinnedLevels)) cache.unpin(key);
   };
 
-  /** The cache that it pinned is gone. */
-  const forget = (task: Task): void => {
-    task.callOff?.();
-    task.pinned = 0;
+  /** Ends a task in a crash, without unpinning: its pinned levels are lost with the cache. */
+  const discard = (task: Task): void => {
+    task.cancelTimer?.();
+    task.pinnedLevels = 0;
   };
 
   const finish = (task: Task): void => {
     cache.grow(task.job.levels.at(-1)?.key ?? "", task.job.outputTokens);
     remove(task);
-    pump();
+    schedule();
     task.job.onEnd("finished");
   };
 
@@ -129,43 +129,43 @@
     const interval = parameters.decodeInterval + parameters.decodeSlowdown * (running() - 1);
     const duration = interval * (task.job.outputTokens - 1);
     task.endsAt = clock.monotonic() + duration;
-    task.callOff = clock.after(duration, () => finish(task));
+    task.cancelTimer = clock.after(duration, () => finish(task));
     task.job.onFirstToken();
   };
 
-  const begin = (task: Task): void => {
+  const startPrefill = (task: Task): void => {
     const { levels, promptTokens, onStart } = task.job;
     const hits = cache.hitLevels(levels);
-    task.begun = true;
+    task.isStarted = true;
     task.doneTokens = usableTokens(levels, hits, promptTokens);
     onStart(task.doneTokens);
-    for (; task.pinned < hits; task.pinned += 1) cache.pin(levels, task.pinned);
+    for (; task.pinnedLevels < hits; task.pinnedLevels += 1) cache.pin(levels, task.pinnedLevels);
   };
 
   const endChunk = (task: Task, tokens: number, duration: number): void => {
     prefillTime += duration;
     state.computing = undefined;
-    task.callOff = undefined;
+    task.cancelTimer = undefined;
     task.doneTokens += tokens;
     const { levels, promptTokens } = task.job;
-    while (task.pinned < levels.length && (levels[task.pinned]?.tokens ?? 0) <= task.doneTokens) {
-      cache.pin(levels, task.pinned);
-      task.pinned += 1;
+    while (task.pinnedLevels < levels.length && (levels[task.pinnedLevels]?.tokens ?? 0) <= task.doneTokens) {
+      cache.pin(levels, task.pinnedLevels);
+      task.pinnedLevels += 1;
     }
     if (task.doneTokens >= promptTokens) startDecoding(task);
-    pump();
+    schedule();
   };
 
   const startChunk = (task: Task): void => {
-    const overhead = task.begun ? 0 : parameters.prefillOverhead;
-    if (!task.begun) begin(task);
+    const overhead = task.isStarted ? 0 : parameters.prefillOverhead;
+    if (!task.isStarted) startPrefill(task);
     const tokens = Math.min(parameters.chunkTokens, task.job.promptTokens - task.doneTokens);
     const duration = overhead + (tokens * 1000) / parameters.prefillTokensPerSecond;
     state.computing = task;
-    task.callOff = clock.after(duration, () => endChunk(task, tokens, duration));
+    task.cancelTimer = clock.after(duration, () => endChunk(task, tokens, duration));
   };
 
-  const pump = (): void => {
+  const schedule = (): void => {
     while (waiting.length > 0 && running() < parameters.maximumRunning) {
       const next = waiting.shift();
       if (next !== undefined) insertByUrgency(prefilling, next);
@@ -177,14 +177,14 @@
   return {
     ...identity,
     submit: (job) => {
-      if (!up) return undefined;
+      if (!isUp) return undefined;
       sequence += 1;
       const task = newTask(job, sequence);
       insertByUrgency(waiting, task);
-      pump();
+      schedule();
       return () => {
         remove(task);
-        pump();
+        schedule();
       };
     },
     load: () => ({
@@ -193,24 +193,24 @@
       weightsVersion: identity.weightsVersion,
       ...describeLoad(state),
     }),
-    isUp: () => up,
+    isUp: () => isUp,
     crash: () => {
       const lost = [...waiting.splice(0), ...prefilling.splice(0), ...decoding];
-      for (const task of lost) forget(task);
+      for (const task of lost) discard(task);
       decoding.clear();
       state.computing = undefined;
       cache.clear();
       incarnation += 1;
-      up = false;
+      isUp = false;
       for (const task of lost) task.job.onEnd("failed");
     },
     restart: () => {
-      up = true;
+      isUp = true;
     },
     cachedTokens: (levels) => levels[cache.hitLevels(levels) - 1]?.tokens ?? 0,
     isCached: cache.has,
     wouldEvict: cache.wouldEvict,
-    queueView: (priority) => ({ ...viewQueue(state, priority), slotWait: seatWait() }),
+    queueView: (priority) => ({ ...viewQueue(state, priority), slotWait: slotWait() }),
     prefillTime: () => prefillTime,
   };
 };
--- a/bench/model/engineQueue.ts
+++ b/bench/model/engineQueue.ts
@@ -1,53 +1,54 @@
-/** What stands in a modelled engine's queues: as it reports it, and as only itself can know it. */
+/** Queues of a simulated engine: the load that it reports, and a precise view that a real engine does not offer. */
 import type { EngineLoad, PrefixLevel } from "../../src/protocol/types.ts";
 import type { PrefixCache } from "./prefixCache.ts";
 import type { EngineJob } from "./types.ts";
 
-/** A job with how far it has come. */
+/** A job and its progress. */
 export interface Task {
   readonly job: EngineJob;
   readonly sequence: number;
-  /** Prompt tokens cached or computed so far; 0 until begun. */
+  /** Prompt tokens cached or computed so far; 0 until prefill starts. */
   doneTokens: number;
-  begun: boolean;
-  pinned: number;
-  /** When decoding will be over. */
+  isStarted: boolean;
+  /** Number of leading levels that are pinned in the cache. */
+  pinnedLevels: number;
+  /** When decoding ends; infinite until it starts. */
   endsAt: number;
-  callOff: (() => void) | undefined;
+  cancelTimer: (() => void) | undefined;
 }
 
-/** An engine's cache and queues; the engine alone changes them. */
+/** An engine's cache and queues; only the engine modifies them. */
 export interface EngineState {
   readonly cache: PrefixCache;
-  /** Without a seat in the batch, the most urgent first. */
+  /** Tasks without a slot in the batch, the most urgent first. */
   readonly waiting: Task[];
-  /** With a seat, prompt not yet computed, the most urgent first. */
+  /** Tasks with a slot whose prompts are not complete, the most urgent first. */
   readonly prefilling: Task[];
   readonly decoding: Set<Task>;
-  /** Whose chunk is being computed. */
+  /** The task whose chunk is being computed. */
   computing: Task | undefined;
 }
 
-/** What stands before a new request of some priority, as only the engine itself can know. */
+/** The work ahead of a new request of some priority. */
 export interface QueueView {
-  /** Prompt tokens to be computed first. */
+  /** Prompt tokens that are computed before the request's own. */
   readonly pendingTokens: number;
-  /** Levels that will be cached once these have been computed. */
+  /** Keys of the levels that will be cached once these prompts are computed. */
   readonly expectedKeys: ReadonlySet<string>;
-  /** Milliseconds until a seat in the batch is free. */
+  /** Time until a slot in the batch is free, milliseconds. */
   readonly slotWait: number;
 }
 
-/** At least the last token of a prompt is always computed. */
+/** @returns Cached tokens that a prompt can use: its last token is always computed. */
 export const usableTokens = (levels: readonly PrefixLevel[], hits: number, promptTokens: number): number =>
   Math.min(levels[hits - 1]?.tokens ?? 0, promptTokens - 1);
 
-const pendingOf = ({ job, doneTokens, begun }: Task, cache: PrefixCache): number => {
+const pendingOf = ({ job, doneTokens, isStarted: begun }: Task, cache: PrefixCache): number => {
   const { levels, promptTokens } = job;
   return promptTokens - (begun ? doneTokens : usableTokens(levels, cache.hitLevels(levels), promptTokens));
 };
 
-/** The part of a load report that tells of queues and cache. */
+/** Returns the fields of a load report that describe queues and cache. */
 export const describeLoad = ({
   cache,
   waiting,
@@ -63,7 +64,9 @@
   leaving: false,
 });
 
-/** Walks the queues in the order in which they will be computed, each prompt finding what those before it leave. */
+/**
+ * Walks the queues in the order of computation. Each prompt counts the levels that prompts before it add as cached.
+ */
 export const viewQueue = (
   { cache, waiting, prefilling, computing }: EngineState,
   priority: number,
@@ -73,9 +76,9 @@
   let pendingTokens = 0;
   for (const task of [...prefilling, ...waiting]) {
     const { levels, promptTokens } = task.job;
-    const missing = levels.findIndex((level) => !isKnown(level));
-    const hits = missing < 0 ? levels.length : missing;
-    const done = task.begun ? task.doneTokens : usableTokens(levels, hits, promptTokens);
+    const firstMissing = levels.findIndex((level) => !isKnown(level));
+    const hits = firstMissing < 0 ? levels.length : firstMissing;
+    const done = task.isStarted ? task.doneTokens : usableTokens(levels, hits, promptTokens);
     if (task.job.priority <= priority || task === computing) pendingTokens += promptTokens - done;
     for (const { key } of levels.slice(hits)) expectedKeys.add(key);
   }
--- a/bench/model/figures.ts
+++ b/bench/model/figures.ts
@@ -1,4 +1,4 @@
-/** Works out figures from the records of one or several runs. */
+/** Computes figures from the records of one or several runs. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { warmUp } from "./constants.ts";
@@ -6,48 +6,51 @@
 import type { SimulationResult } from "./simulation.ts";
 import type { RequestRecord } from "./types.ts";
 
-/** Times to first token of a set of requests, milliseconds. */
+/** Percentiles of the time to first token of a set of requests, milliseconds. */
 export interface Percentiles {
   readonly count: number;
   readonly p50: number;
   readonly p99: number;
   readonly p999: number;
   /**
-   * The 99th percentile over all requests, those refused or unanswered counted as never; `Infinity` if they are
-   * more than a hundredth. Without it, a policy that refuses much would look fast.
+   * The 99th percentile over all requests, with refused and unanswered ones counted as infinite; `Infinity` if they
+   * are more than a hundredth. Without it, a policy that refuses many requests would look fast.
    */
   readonly p99OfAll: number;
 }
 
-/** What came of the requests of one policy, mix and scenario, over all seeds. */
+/** Figures of one policy, mix and scenario over all seeds. Shares are 0 to 1. */
 export interface Figures {
   readonly requests: number;
-  /** Part of the prompt tokens that engines began on and took from their caches. */
+  /** Share of the prompt tokens of started attempts that engines took from their caches. */
   readonly hitRate: number;
-  /** Part of the same tokens that were computed although some live engine held them. */
+  /** Share of the same tokens that were computed although some other live engine had them cached. */
   readonly wasted: number;
-  /** Requests a second whose first token came by their class's deadline. */
+  /** Requests per second whose first token came within their class's deadline. */
   readonly goodput: number;
-  /** Parts of all requests. */
+  /** Share of all requests. */
   readonly refused: number;
-  /** Given up by the caller, failed, or without a first token when the run ended. */
+  /** Share of all requests that got no first token: cancelled by the caller, failed, or open when the run ended. */
   readonly unanswered: number;
-  /** Part of the engines' time spent on computing prompts. */
+  /** Share of the engines' time spent on prefill. */
   readonly prefillShare: number;
   readonly classes: Readonly<Record<string, Percentiles>>;
 }
 
-/** Which records count. */
+/** @returns Whether a record is included. */
 export type RecordFilter = (record: RequestRecord) => boolean;
 
-const microseconds = 1000;
+const microsecondsPerMillisecond = 1000;
 
-/** A caller that gave up or is still waiting counts with the time that it waited: the true one is no less. */
-const waited = ({ firstTokenAfter, endedAfter }: RequestRecord): number => firstTokenAfter ?? endedAfter ?? 0;
+/**
+ * @returns The time to first token. Without one, the time that the caller waited, which is a lower bound.
+ */
+const observedWait = ({ firstTokenAfter, endedAfter }: RequestRecord): number =>
+  firstTokenAfter ?? endedAfter ?? 0;
 
 const createHistogram = (times: readonly number[]): Histogram => {
   const histogram = build({ bitBucketSize: 32, autoResize: true, numberOfSignificantValueDigits: 3 });
-  for (const time of times) histogram.recordValue(Math.round(time * microseconds));
+  for (const time of times) histogram.recordValue(Math.round(time * microsecondsPerMillisecond));
   return histogram;
 };
 
@@ -55,18 +58,21 @@
   const times = records.flatMap(({ firstTokenAfter }) => firstTokenAfter ?? []);
   const rank = (percentile / 100) * records.length;
   if (times.length === 0 || rank > times.length) return Infinity;
-  return createHistogram(times).getValueAtPercentile((100 * rank) / times.length) / microseconds;
+  return (
+    createHistogram(times).getValueAtPercentile((100 * rank) / times.length) / microsecondsPerMillisecond
+  );
 };
 
-/** Percentiles of the time to first token. */
+/** Computes percentiles of the time to first token, without refused requests but for `p99OfAll`. */
 export const percentilesOf = (records: readonly RequestRecord[]): Percentiles => {
-  const histogram = createHistogram(records.filter(({ outcome }) => outcome !== "refused").map(waited));
-  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / microseconds;
+  const histogram = createHistogram(records.filter(({ outcome }) => outcome !== "refused").map(observedWait));
+  const valueAt = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / microsecondsPerMillisecond;
   return {
     count: histogram.totalCount,
-    p50: at(50),
-    p99: at(99),
-    p999: at(99.9),
+    p50: valueAt(50),
+    p99: valueAt(99),
+    p999: valueAt(99.9),
     p99OfAll: percentileOfAll(records, 99),
   };
 };
@@ -79,15 +85,15 @@
   return firstTokenAfter !== undefined && firstTokenAfter <= (found?.firstTokenDeadline ?? 0);
 };
 
-/** The records that count: none of the warm-up. */
+/** @returns The records of requests that arrived after the warm-up. */
 export const measuredRecords = (results: readonly SimulationResult[]): readonly RequestRecord[] =>
   results.flatMap(({ records }) => records.filter(({ arrival }) => arrival.at >= warmUp));
 
 /**
- * Works out the figures.
+ * Computes the figures of the requests that arrived after the warm-up.
  *
- * @param results - One for each seed.
- * @param duration - Simulated milliseconds of each, warm-up included.
+ * @param results - One result for each seed.
+ * @param duration - Simulated milliseconds of each run, including the warm-up.
  */
 export const figuresOf = (
   results: readonly SimulationResult[],
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -1,19 +1,19 @@
-/** All engines of a deployment, which data centres reach one another, and the truth about what is cached. */
+/** All engines of a simulated deployment, the connectivity between its data centres and the true cache contents. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import type { ListedVm, PrefixLevel } from "../../src/protocol/types.ts";
 import { createEngineModel } from "./engineModel.ts";
 import type { EngineModel } from "./engineModel.ts";
 import type { Mix } from "./mixes.ts";
 
-/** The engines of a run. */
+/** The engines of a run and the network between data centres. */
 export interface Fleet {
   readonly engines: readonly EngineModel[];
   readonly get: (id: string) => EngineModel | undefined;
   readonly vms: readonly ListedVm[];
-  /** Tokens of the prompt's deepest level that any live engine holds. */
+  /** Tokens of the prompt's deepest level that any live engine has cached. */
   readonly cachedAnywhereTokens: (levels: readonly PrefixLevel[]) => number;
   readonly canReach: (from: string, to: string) => boolean;
-  /** Cuts a data centre off from all others, or heals the network. */
+  /** Partitions a data centre from all others; `undefined` heals the partition. */
   readonly cutOff: (dataCentre: string | undefined) => void;
 }
 
@@ -39,22 +39,22 @@
     });
   });
 
-/** Makes the engines that a mix's configuration asks for, spread over its data centres. */
+/** Creates the engines of the mix's configuration, spread over the data centres of each pool. */
 export const createFleet = (mix: Mix, clock: Clock): Fleet => {
-  const created = createEngines(mix, clock);
-  const engines = created.map(([, engine]) => engine);
+  const pooledEngines = createEngines(mix, clock);
+  const engines = pooledEngines.map(([, engine]) => engine);
   const byId = new Map(engines.map((engine) => [engine.id, engine]));
-  let alone: string | undefined;
+  let isolated: string | undefined;
 
   return {
     engines,
     get: (id) => byId.get(id),
-    vms: created.map(([pool, engine]) => listEngine(engine, pool)),
+    vms: pooledEngines.map(([pool, engine]) => listEngine(engine, pool)),
     cachedAnywhereTokens: (levels) =>
       engines.reduce((most, engine) => Math.max(most, engine.isUp() ? engine.cachedTokens(levels) : 0), 0),
-    canReach: (from, to) => from === to || (from !== alone && to !== alone),
+    canReach: (from, to) => from === to || (from !== isolated && to !== isolated),
     cutOff: (dataCentre) => {
-      alone = dataCentre;
+      isolated = dataCentre;
     },
   };
 };
--- a/bench/model/mixes.ts
+++ b/bench/model/mixes.ts
@@ -1,6 +1,6 @@
 /**
- * Both deployments' mixes of requests, as the users describe them. Token counts are assumptions, stated here: an
- * idle engine can just compute the whole prompt of a quick check or look-up within the class's deadline.
+ * Mixes of requests of the two example deployments. Token counts are assumptions: they are such that an idle engine
+ * can just compute the whole prompt of a quick check or look-up within the class's deadline.
  */
 import { readFileSync } from "node:fs";
 import { parseConfiguration } from "../../src/protocol/configuration/check.ts";
@@ -9,23 +9,23 @@
 import type { Range } from "./random.ts";
 import type { EngineParameters } from "./types.ts";
 
-/** What the prompts of a class share below the member level: courses, seasons, price lists. */
+/** Subjects of a class: the prompt level below the member's rules that requests share, such as courses or seasons. */
 export interface SubjectParameters {
   readonly kind: string;
-  /** For each organisation. */
+  /** Subjects of each organisation. */
   readonly count: number;
   readonly tokens: number;
-  /** Of Zipf's law over the organisation's subjects. */
+  /** Exponent of Zipf's law over the organisation's subjects. */
   readonly exponent: number;
 }
 
 /** The requests of one class. */
 export interface ClassMix {
   readonly className: string;
-  /** Part of all requests. */
+  /** Share of all requests, 0 to 1. */
   readonly share: number;
   readonly subject: SubjectParameters;
-  /** Tokens of the prompt that no other prompt has. */
+  /** Tokens at the end of the prompt that no other prompt shares. */
   readonly questionTokens: Range;
   readonly outputTokens: Range;
 }
@@ -36,13 +36,13 @@
   readonly configuration: Configuration;
   readonly engine: EngineParameters;
   readonly routersPerDataCentre: number;
-  /** Usual load: part of all engines' prompt computing time if every shared level were cached. */
+  /** Usual load: share of all engines' prefill time that is used if every shared level is cached, 0 to 1. */
   readonly utilisation: number;
-  /** The class whose time to first token the deployment watches most. */
+  /** The class whose time to first token matters most to the deployment. */
   readonly primaryClass: string;
-  /** First level of every prompt: the consortium's rules. */
+  /** Tokens of the first level of every prompt: the consortium's rules. */
   readonly rulesTokens: number;
-  /** Second level: the member's own rules. */
+  /** Tokens of the second level: the member's own rules. */
   readonly memberTokens: number;
   readonly classes: readonly ClassMix[];
 }
@@ -59,7 +59,7 @@
 
 const trinacriaEngine: EngineParameters = { ...levantEngine, cacheTokens: 100_000 };
 
-/** Puts the modelled engines' figures in place of the file's, so that what routers are told is true. */
+/** Loads a configuration with the simulated engines' figures, so that routers estimate with the true ones. */
 const loadConfiguration = (file: string, engine: EngineParameters): Configuration => {
   const configuration = parseConfiguration(readFileSync(file, "utf8"), file);
   const { maximumRunning, prefillTokensPerSecond, cacheTokens } = engine;
@@ -76,7 +76,7 @@
 
 const trinacriaSeasons: SubjectParameters = { kind: "season", count: 4, tokens: 10_000, exponent: 1 };
 
-/** Dawn at Levant: many quick checks, some long summaries. */
+/** Peak load at Levant, at dawn: many quick checks and some long summaries. */
 export const createLevantMix = (): Mix => ({
   name: "levant",
   configuration: loadConfiguration("examples/levant.json", levantEngine),
@@ -139,22 +139,33 @@
   ],
 });
 
-/** Milliseconds of an engine that one request of a class costs if all shared levels are cached. */
+/** @returns Mean prefill time of a request of the class if all shared levels are cached, milliseconds. */
 export const warmPrefillTime = ({ engine }: Pick<Mix, "engine">, { questionTokens }: ClassMix): number =>
   engine.prefillOverhead + (meanOf(questionTokens) * 1000) / engine.prefillTokensPerSecond;
 
-/** The same mix with one class coming more often; the other classes come as often as before. */
+/**
+ * Creates a mix with more requests of one class and as many of the others as before.
+ *
+ * @param factor - Multiplies the rate of the class.
+ */
 export const withSurge = (mix: Mix, className: string, factor: number): Mix => {
-  const weigh = (item: ClassMix): number => item.share * (item.className === className ? factor : 1);
-  const total = mix.classes.reduce((sum, item) => sum + weigh(item), 0);
-  const costBefore = mix.classes.reduce((sum, item) => sum + item.share * warmPrefillTime(mix, item), 0);
-  const cost = mix.classes.reduce((sum, item) => sum + weigh(item) * warmPrefillTime(mix, item), 0);
+  const weightOf = (classMix: ClassMix): number =>
+    classMix.share * (classMix.className === className ? factor : 1);
+  const total = mix.classes.reduce((sum, classMix) => sum + weightOf(classMix), 0);
+  const costBefore = mix.classes.reduce(
+    (sum, classMix) => sum + classMix.share * warmPrefillTime(mix, classMix),
+    0,
+  );
+  const cost = mix.classes.reduce(
+    (sum, classMix) => sum + weightOf(classMix) * warmPrefillTime(mix, classMix),
+    0,
+  );
   return {
     ...mix,
-    classes: mix.classes.map((item) => ({ ...item, share: weigh(item) / total })),
+    classes: mix.classes.map((classMix) => ({ ...classMix, share: weightOf(classMix) / total })),
     utilisation: (mix.utilisation * cost) / costBefore,
   };
 };
 
-/** Makes both mixes. */
+/** Creates the mixes of both deployments. */
 export const createMixes = (): readonly Mix[] => [createLevantMix(), createTrinacriaMix()];
--- a/bench/model/prefixCache.ts
+++ b/bench/model/prefixCache.ts
@@ -1,38 +1,38 @@
 /**
- * An engine's prefix cache with one unit for each level of a prompt, evicting the least recently used unit.
+ * LRU prefix cache of a simulated engine, with one unit for each level of a prompt.
  * A level is a hit only if all its parents are cached too.
  */
 import type { PrefixLevel } from "../../src/protocol/types.ts";
 
-/** Something that happened to one unit, or to all of them (`cleared`). */
+/** A change to one unit, or to all of them (`cleared`, with an empty key). */
 export interface UnitEvent {
   readonly kind: "stored" | "evicted" | "cleared";
   readonly key: string;
 }
 
-/** A unit as it is held. */
+/** A cached unit. */
 export interface CachedUnit {
   readonly key: string;
   readonly tokens: number;
 }
 
-/** A cache of limited size. */
+/** A prefix cache whose size is limited in tokens. */
 export interface PrefixCache {
   readonly has: (key: string) => boolean;
-  /** How many levels from the first on are cached. Changes nothing. */
+  /** Number of leading levels that are cached. Does not change the order of use. */
   readonly hitLevels: (levels: readonly PrefixLevel[]) => number;
-  /** Stores a level, or marks it as used; it stays until it has been unpinned as often as pinned. */
+  /** Stores a level, or marks it as used; it cannot be evicted until it has been unpinned as often as pinned. */
   readonly pin: (levels: readonly PrefixLevel[], index: number) => void;
   readonly unpin: (key: string) => void;
-  /** Adds the tokens of an answer to the unit of its prompt. */
+  /** Adds tokens, such as those of an answer, to a cached unit. */
   readonly grow: (key: string, tokens: number) => void;
   readonly clear: () => void;
-  /** Forgets what is not pinned. */
+  /** Evicts all units that are not pinned. */
   readonly dropUnpinned: () => void;
-  /** The units that would have to go for so many more tokens. Changes nothing. */
+  /** The units that storing this many more tokens would evict. Changes nothing. */
   readonly wouldEvict: (tokens: number) => readonly CachedUnit[];
   readonly usedTokens: () => number;
-  /** Tokens that can't yield. */
+  /** Tokens that cannot be evicted. */
   readonly pinnedTokens: () => number;
   readonly size: () => number;
 }
@@ -46,16 +46,16 @@
   (levels[index]?.tokens ?? 0) - (levels[index - 1]?.tokens ?? 0);
 
 /**
- * Makes an empty cache.
+ * Creates an empty cache.
  *
- * @param capacity - Tokens; exceeded only by what is pinned.
- * @param tell - Told of every change.
+ * @param capacity - Tokens; only pinned units can exceed it.
+ * @param onEvent - Called for every change.
  */
 export const createPrefixCache = (
   capacity: number,
-  tell: (event: UnitEvent) => void = () => undefined,
+  onEvent: (event: UnitEvent) => void = () => undefined,
 ): PrefixCache => {
-  /** In the order of use, the least recent first. */
+  /** In order of use, the least recently used first. */
   const units = new Map<string, Unit>();
   let used = 0;
   let pinned = 0;
@@ -65,13 +65,13 @@
     units.set(key, unit);
   };
 
-  const evict = (): void => {
+  const evictExcess = (): void => {
     for (const [key, unit] of units) {
       if (used <= capacity) return;
       if (unit.pins > 0) continue;
       units.delete(key);
       used -= unit.tokens;
-      tell({ kind: "evicted", key });
+      onEvent({ kind: "evicted", key });
     }
   };
 
@@ -79,7 +79,7 @@
     const unit = { tokens, pins: 0 };
     units.set(key, unit);
     used += tokens;
-    tell({ kind: "stored", key });
+    onEvent({ kind: "stored", key });
     return unit;
   };
 
@@ -99,17 +99,17 @@
       // Parents are marked as used after their children, so that they are evicted after them.
       for (let parent = index; parent >= 0; parent -= 1) {
         const above = levels[parent]?.key ?? "";
-        const held = units.get(above);
-        if (held !== undefined) touch(above, held);
+        const ancestor = units.get(above);
+        if (ancestor !== undefined) touch(above, ancestor);
       }
-      evict();
+      evictExcess();
     },
     unpin: (key) => {
       const unit = units.get(key);
       if (unit === undefined) return;
       unit.pins -= 1;
       if (unit.pins === 0) pinned -= unit.tokens;
-      evict();
+      evictExcess();
     },
     grow: (key, tokens) => {
       const unit = units.get(key);
@@ -117,20 +117,20 @@
       unit.tokens += tokens;
       used += tokens;
       if (unit.pins > 0) pinned += tokens;
-      evict();
+      evictExcess();
     },
     clear: () => {
       units.clear();
       used = 0;
       pinned = 0;
-      tell({ kind: "cleared", key: "" });
+      onEvent({ kind: "cleared", key: "" });
     },
     dropUnpinned: () => {
       for (const [key, unit] of units) {
         if (unit.pins > 0) continue;
         units.delete(key);
         used -= unit.tokens;
-        tell({ kind: "evicted", key });
+        onEvent({ kind: "evicted", key });
       }
     },
     wouldEvict: (tokens) => {
--- a/bench/model/random.ts
+++ b/bench/model/random.ts
@@ -1,31 +1,32 @@
-/** Random numbers that a seed and a name decide, so that one stream's draws never move another's. */
+/** Seeded random numbers in named streams; draws from one stream do not affect any other. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 
-/** Bounds of a uniform draw of whole numbers, both included. */
+/** Inclusive bounds of uniformly distributed integers. */
 export interface Range {
   readonly minimum: number;
   readonly maximum: number;
 }
 
-/** One stream of random numbers. */
+/** A stream of random numbers. */
 export interface Random {
-  /** At least 0, less than 1. */
+  /** Uniform in [0, 1). */
   readonly uniform: () => number;
-  /** An exponentially distributed time with this mean. */
+  /** Exponentially distributed with this mean. */
   readonly exponential: (mean: number) => number;
+  /** A uniformly distributed integer. */
   readonly integerIn: (range: Range) => number;
-  /** At least 0, less than `count`. */
+  /** A uniformly distributed integer in [0, `count`). */
   readonly index: (count: number) => number;
 }
 
 /**
- * Makes a stream.
+ * Creates a stream; the same seed and name always give the same numbers.
  *
- * @param seed - The run's recorded seed.
- * @param name - Tells the streams of one run apart.
+ * @param seed - Seed of the run.
+ * @param name - Distinguishes the streams of one run.
  */
 export const createRandom = (seed: number, name: string): Random => {
   const generator = xoroshiro128plus(Number(BigInt.asIntN(32, hash64(`${seed} ${name}`))));
@@ -33,35 +34,35 @@
   return {
     uniform,
     exponential: (mean) => -mean * Math.log(1 - uniform()),
-    integerIn: ({ minimum: least, maximum: most }) => uniformInt(generator, least, most),
+    integerIn: ({ minimum, maximum }) => uniformInt(generator, minimum, maximum),
     index: (count) => uniformInt(generator, 0, count - 1),
   };
 };
 
-/** The mean of a uniform draw. */
-export const meanOf = ({ minimum: least, maximum: most }: Range): number => (least + most) / 2;
+/** The mean of a uniform distribution. */
+export const meanOf = ({ minimum, maximum }: Range): number => (minimum + maximum) / 2;
 
 /**
- * Makes a draw of an index with given weights.
+ * Creates a function that draws an index with the given weights.
  *
- * @param weights - Relative; not all zero.
+ * @param weights - Relative weights, not all zero.
  */
 export const createWeightedIndex = (weights: readonly number[]): ((random: Random) => number) => {
   let sum = 0;
-  const bounds = weights.map((weight) => (sum += weight));
+  const cumulative = weights.map((weight) => (sum += weight));
   return (random) => {
     const drawn = random.uniform() * sum;
-    let least = 0;
-    let most = weights.length - 1;
-    while (least < most) {
-      const middle = (least + most) >> 1;
-      if (drawn < (bounds[middle] ?? sum)) most = middle;
-      else least = middle + 1;
+    let low = 0;
+    let high = weights.length - 1;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      if (drawn < (cumulative[middle] ?? sum)) high = middle;
+      else low = middle + 1;
     }
-    return least;
+    return low;
   };
 };
 
-/** Weights of Zipf's law: the first rank weighs most. */
+/** Weights of Zipf's law, the heaviest first. */
 export const zipfWeights = (count: number, exponent: number): readonly number[] =>
   Array.from({ length: count }, (_, rank) => (rank + 1) ** -exponent);
--- a/bench/model/runRequest.ts
+++ b/bench/model/runRequest.ts
@@ -1,4 +1,4 @@
-/** One simulated request, from its arrival at a router to its last token: assign, run, try again elsewhere. */
+/** Runs one simulated request, from its arrival at a router to its last token, with retries on other engines. */
 import { pause } from "../../src/coordination/clock.ts";
 import type { Clock } from "../../src/coordination/clock.ts";
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
@@ -16,23 +16,23 @@
 import type { Fleet } from "./fleet.ts";
 import type { Arrival, RequestRecord } from "./types.ts";
 
-/** A router as a request meets it. */
+/** The parts of a simulated router that requests use. */
 export interface RouterModel {
   readonly dataCentre: string;
   readonly scheduler: Scheduler;
   readonly directory: EngineDirectory;
 }
 
-/** What requests run in. */
+/** State that all requests of a run share. */
 export interface RequestEnvironment {
   readonly clock: Clock;
   readonly fleet: Fleet;
   readonly index: ConfigurationIndex;
-  /** Attempts under way, for faults to end: each ends its attempt as failed. */
+  /** Attempts in progress, so that faults can fail them. */
   readonly openAttempts: Set<OpenAttempt>;
 }
 
-/** An attempt between a router and an engine. */
+/** An attempt in progress, from a router's data centre to an engine's. */
 export interface OpenAttempt {
   readonly from: string;
   readonly to: string;
@@ -41,8 +41,8 @@
 
 type Ended = AttemptReport["ended"];
 
-interface AttemptParts {
-  readonly surroundings: RequestEnvironment;
+interface AttemptContext {
+  readonly environment: RequestEnvironment;
   readonly router: RouterModel;
   readonly work: Work;
   readonly arrival: Arrival;
@@ -54,7 +54,9 @@
   const organisation = index.organisations.get(arrival.organisation);
   const requestClass = index.classes.get(arrival.className);
   if (organisation === undefined || requestClass === undefined) {
-    throw new TypeError(`The mix names ${arrival.organisation} or ${arrival.className}, the file does not.`);
+    throw new TypeError(
+      `The configuration lacks organisation ${arrival.organisation} or class ${arrival.className} of the mix.`,
+    );
   }
   return {
     requestId: String(sequence),
@@ -86,16 +88,16 @@
   furtherAttempt,
 });
 
-/** Runs on the engine until the answer ends, the caller gives up, or the network or the engine fails. */
+/** Runs an attempt on the engine until the answer ends, the caller cancels, or the network or the engine fails. */
 const runOnEngine = (
-  { surroundings, router, work, arrival, record, signal }: AttemptParts,
+  { environment, router, work, arrival, record, signal }: AttemptContext,
   priority: number,
   engine: EngineModel,
   latency: number,
   onFirstToken: () => void,
 ): Promise<{ readonly ended: Ended; readonly cachedTokens: number | undefined }> =>
   new Promise((resolve) => {
-    const { clock, fleet, openAttempts } = surroundings;
+    const { clock, fleet, openAttempts } = environment;
     let cachedTokens: number | undefined;
     const finish = (ended: Ended): void => {
       openAttempts.delete(attempt);
@@ -131,9 +133,9 @@
   });
 
 /** Runs one attempt and reports it to the scheduler. */
-const runAttempt = async (parts: AttemptParts, assignment: Assignment): Promise<Ended> => {
-  const { surroundings, router, work, arrival, record, signal } = parts;
-  const { clock, fleet } = surroundings;
+const runAttempt = async (attempt: AttemptContext, assignment: Assignment): Promise<Ended> => {
+  const { environment, router, work, arrival, record, signal } = attempt;
+  const { clock, fleet } = environment;
   const dispatchedAt = clock.monotonic();
   const engine = fleet.get(assignment.engine.id);
   const latency = router.dataCentre === engine?.dataCentre ? latencies.within : latencies.between;
@@ -152,7 +154,7 @@
   }
   const { incarnation } = engine.load();
   const priority = assignment.priority ?? work.context.requestClass.priority;
-  const { ended, cachedTokens } = await runOnEngine(parts, priority, engine, latency, onFirstToken);
+  const { ended, cachedTokens } = await runOnEngine(attempt, priority, engine, latency, onFirstToken);
   const usage =
     ended === "finished"
       ? {
@@ -165,8 +167,8 @@
   return ended;
 };
 
-const assign = async (parts: AttemptParts): Promise<Assignment | undefined> => {
-  const { router, work, record, signal } = parts;
+const assign = async (attempt: AttemptContext): Promise<Assignment | undefined> => {
+  const { router, work, record, signal } = attempt;
   try {
     return await router.scheduler.assign(work, signal);
   } catch (error) {
@@ -177,32 +179,34 @@
 };
 
 /**
- * Runs a request to its end, whatever that is.
+ * Runs a request until it is answered, refused, failed or past its completion deadline, and fills in its record.
  *
- * @param sequence - Tells the requests of a run apart.
+ * @param sequence - Number of the request within the run, used as its id.
  */
 export const runRequest = async (
-  surroundings: RequestEnvironment,
+  environment: RequestEnvironment,
   router: RouterModel,
   arrival: Arrival,
   record: RequestRecord,
   sequence: number,
 ): Promise<void> => {
-  const { clock, index } = surroundings;
+  const { clock, index } = environment;
   const context = createContext(index, arrival, sequence);
-  const caller = new AbortController();
-  const { signal } = caller;
-  const callOff = clock.after(context.completionDeadline - clock.monotonic(), () => caller.abort());
+  const deadlineController = new AbortController();
+  const { signal } = deadlineController;
+  const cancelTimer = clock.after(context.completionDeadline - clock.monotonic(), () =>
+    deadlineController.abort(),
+  );
   const excluded = new Set<string>();
-  record.cachedAnywhereTokens = surroundings.fleet.cachedAnywhereTokens(arrival.levels);
+  record.cachedAnywhereTokens = environment.fleet.cachedAnywhereTokens(arrival.levels);
   while (record.outcome === "open" && record.attempts < maximumAttempts) {
     const work = createWork(index, context, arrival, excluded, record.attempts > 0);
-    const parts = { surroundings, router, work, arrival, record, signal };
-    const assignment = await assign(parts);
+    const attempt = { environment, router, work, arrival, record, signal };
+    const assignment = await assign(attempt);
     if (assignment === undefined) break;
     record.attempts += 1;
     record.assignedAfter ??= clock.monotonic() - arrival.at;
-    const ended = await runAttempt(parts, assignment);
+    const ended = await runAttempt(attempt, assignment);
     if (ended === "finished") record.outcome = "finished";
     if (ended === "cancelled") record.outcome = "late";
     excluded.add(assignment.engine.id);
@@ -210,5 +214,5 @@
   }
   if (record.outcome === "open") record.outcome = "failed";
   record.endedAfter = clock.monotonic() - arrival.at;
-  callOff();
+  cancelTimer();
 };
--- a/bench/model/scenarios.ts
+++ b/bench/model/scenarios.ts
@@ -1,10 +1,10 @@
-/** What happens to a deployment during a run, the same for every policy. Times are simulated milliseconds. */
+/** Scenarios of load and faults, the same for every policy. Times are simulated milliseconds. */
 import type { Flood } from "./arrivals.ts";
 import { warmUp } from "./constants.ts";
 import type { Mix } from "./mixes.ts";
 import type { ReportParameters, TimedFault } from "./simulation.ts";
 
-/** One scenario. */
+/** A deviation from the mix's usual load, and faults at fixed times. */
 export interface Scenario {
   readonly name: string;
   readonly summary: string;
@@ -14,17 +14,17 @@
   readonly hotShiftAt?: number;
   readonly flood?: (mix: Mix) => Flood;
   readonly faults?: readonly TimedFault[];
-  /** When it strikes, for scenarios from which a system recovers. */
+  /** When the disturbance begins, in scenarios from which a system recovers. */
   readonly disturbedAt?: number;
 }
 
-/** When something strikes, if it does. */
-const strike = warmUp + 6000;
+/** When the disturbance of a scenario begins. */
+const disturbance = warmUp + 6000;
 
 const crashDowntime = 2000;
 const cutDuration = 10_000;
 
-/** Far above its share, over more prefixes than any cache holds. */
+/** One organisation sends far more than its share, over more prefixes than any cache holds. */
 const floodOf = ({ configuration }: Mix): Flood => ({
   organisation: configuration.organisations[3]?.name ?? "",
   from: warmUp,
@@ -33,7 +33,7 @@
   subjects: 100,
 });
 
-/** Load reports as they usually come. */
+/** Load reports without faults. */
 export const usualReports: ReportParameters = { interval: 500, lag: 250, loss: 0 };
 
 export const scenarios = {
@@ -46,8 +46,8 @@
   hotShift: {
     name: "hot shift",
     summary: "the largest organisation turns to courses and seasons never seen before, at once",
-    hotShiftAt: strike,
-    disturbedAt: strike,
+    hotShiftAt: disturbance,
+    disturbedAt: disturbance,
   },
   eventLoss: { name: "10 % event loss", summary: "a tenth of all reports is lost", reports: { loss: 0.1 } },
   loadLag: { name: "2 s load lag", summary: "load reports are two seconds old", reports: { lag: 2000 } },
@@ -55,28 +55,28 @@
     name: "engine crash",
     summary: "one engine crashes and is back, empty, 2 s later",
     faults: [
-      { at: strike, apply: (faults) => faults.crashEngine(0) },
-      { at: strike + crashDowntime, apply: (faults) => faults.restartEngine(0) },
+      { at: disturbance, apply: (faults) => faults.crashEngine(0) },
+      { at: disturbance + crashDowntime, apply: (faults) => faults.restartEngine(0) },
     ],
-    disturbedAt: strike,
+    disturbedAt: disturbance,
   },
   herdRestart: {
     name: "router herd restart",
     summary: "all routers lose what they believe at once",
-    faults: [{ at: strike, apply: (faults) => faults.restartRouters() }],
-    disturbedAt: strike,
+    faults: [{ at: disturbance, apply: (faults) => faults.restartRouters() }],
+    disturbedAt: disturbance,
   },
   cutOff: {
     name: "data centre cut off",
     summary: "one data centre reaches no other for 10 s; its routers get their share of callers all the time",
     faults: [
       {
-        at: strike,
+        at: disturbance,
         apply: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
       },
-      { at: strike + cutDuration, apply: (faults) => faults.heal() },
+      { at: disturbance + cutDuration, apply: (faults) => faults.heal() },
     ],
-    disturbedAt: strike,
+    disturbedAt: disturbance,
   },
   flood: {
     name: "flooding rival",
--- a/bench/model/simulation.test.ts
+++ b/bench/model/simulation.test.ts
@@ -15,7 +15,7 @@
   runSimulation({ ...usual, policy: consistentHashPolicy, reports: usualReports, ...changes });
 
 describe("createArrivals", () => {
-  it("gives the others the same requests whether one organisation floods or not", () => {
+  it("creates the same requests of the other organisations whether one of them floods or not", () => {
     const alone = createArrivals({ ...usual, routers: 8 });
     const flooded = createArrivals({ ...usual, routers: 8, flood });
     const others = (arrivals: typeof alone) =>
@@ -35,12 +35,12 @@
     expect(records.every(({ outcome, attempts }) => outcome === "finished" && attempts === 1)).toEqual(true);
   });
 
-  it("has requests of a crashed engine answered elsewhere", async () => {
-    const strike = {
+  it("retries requests of a crashed engine on other engines", async () => {
+    const crash = {
       at: 10_000,
       apply: (faults: { crashEngine: (index: number) => void }) => faults.crashEngine(0),
     };
-    const { records } = await run({ faults: [strike] });
+    const { records } = await run({ faults: [crash] });
     expect(records.some(({ attempts }) => attempts > 1)).toEqual(true);
     expect(records.every(({ firstTokenAfter }) => firstTokenAfter !== undefined)).toEqual(true);
   });
--- a/bench/model/simulation.ts
+++ b/bench/model/simulation.ts
@@ -1,4 +1,4 @@
-/** One run in simulated time: a policy, a mix, a scenario, a random seed. */
+/** Runs one placement policy over a mix of requests and a scenario in simulated time, with one random seed. */
 import { setImmediate as macrotask } from "node:timers/promises";
 import { createConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
@@ -16,21 +16,22 @@
 import type { OpenAttempt, RequestEnvironment, RouterModel } from "./runRequest.ts";
 import type { Arrival, RequestRecord } from "./types.ts";
 
-/** How load reports reach routers. Milliseconds. */
+/** How load reports reach routers. Times are milliseconds. */
 export interface ReportParameters {
   readonly interval: number;
-  /** From the moment that a report tells of to its arrival. */
+  /** From taking the report at the engine to its arrival at the routers. */
   readonly lag: number;
-  /** Part of the reports that each router misses. */
+  /** Share of the reports that each router misses, 0 to 1. */
   readonly loss: number;
 }
 
-/** What a scenario can do to a run. */
+/** Faults that a scenario can inject into a run. */
 export interface Faults {
   readonly crashEngine: (index: number) => void;
   readonly restartEngine: (index: number) => void;
-  /** All routers lose what they believe; work under way goes on. */
+  /** All routers lose their cached state; requests in progress continue. */
   readonly restartRouters: () => void;
+  /** Partitions a data centre from all others until {@link Faults.heal}. */
   readonly cutOff: (dataCentre: string) => void;
   readonly heal: () => void;
 }
@@ -41,12 +42,13 @@
   readonly apply: (faults: Faults, mix: Mix) => void;
 }
 
-/** What a run is made of. */
+/** Parameters of one run. Times are simulated milliseconds; the optional fields come from the scenario. */
 export interface SimulationParameters {
   readonly mix: Mix;
   readonly policy: Policy;
   readonly seed: number;
   readonly duration: number;
+  /** Share of all engines' prefill time that is used if every shared level is cached, 0 to 1. */
   readonly utilisation: number;
   readonly reports: ReportParameters;
   readonly hotShiftAt?: number;
@@ -54,10 +56,10 @@
   readonly faults?: readonly TimedFault[];
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SimulationResult {
   readonly records: readonly RequestRecord[];
-  /** Part of the engines' time spent on computing prompts, warm-up left out. */
+  /** Share of the engines' time spent on prefill after the warm-up, 0 to 1. */
   readonly prefillShare: number;
 }
 
@@ -67,7 +69,7 @@
   readonly restart: () => void;
 }
 
-/** Time that requests under way at the end of arrivals are given to finish, simulated milliseconds. */
+/** Time for requests in progress to finish after the last arrival, simulated milliseconds. */
 const drainTime = 4000;
 
 const createRouters = (parameters: SimulationParameters, clock: ManualClock, fleet: Fleet): Routers => {
@@ -84,9 +86,9 @@
       if (engine.isUp()) directory.applyLoad(engine.id, engine.load(), clock.monotonic());
     }
     const name = `router-${router}`;
-    const seat = { name, dataCentre, clock, directory, seed: seed * count + router, fleet };
+    const routerContext = { name, dataCentre, clock, directory, seed: seed * count + router, fleet };
     const scheduler = policy.createScheduler({
-      ...seat,
+      ...routerContext,
       configuration: () => index,
       liveRouters: () => count,
     });
@@ -156,7 +158,7 @@
   wastedTokens: 0,
 });
 
-/** Advances from timer to timer; promises settle in between. */
+/** Advances the clock from timer to timer, and lets promises settle after each. */
 const runUntil = async (clock: ManualClock, end: number): Promise<void> => {
   for (let at = clock.nextTimer(); at !== undefined && at <= end; at = clock.nextTimer()) {
     clock.advanceTo(at);
@@ -165,26 +167,30 @@
   clock.advanceTo(end);
 };
 
-/** Lets every request arrive at its time. @returns What requests threw that they should not have. */
+/** Schedules every request at its arrival time. @returns Unexpected errors, which are added while the run goes on. */
 const scheduleArrivals = (
   records: readonly RequestRecord[],
-  surroundings: RequestEnvironment,
+  environment: RequestEnvironment,
   routers: Routers,
 ): readonly unknown[] => {
-  const thrown: unknown[] = [];
+  const unexpectedErrors: unknown[] = [];
   records.forEach((record, sequence) => {
     const { arrival } = record;
-    surroundings.clock.after(arrival.at, () => {
+    environment.clock.after(arrival.at, () => {
       const router = routers.get(arrival.router);
-      runRequest(surroundings, router, arrival, record, sequence).catch((error: unknown) => {
-        thrown.push(error);
+      runRequest(environment, router, arrival, record, sequence).catch((error: unknown) => {
+        unexpectedErrors.push(error);
       });
     });
   });
-  return thrown;
+  return unexpectedErrors;
 };
 
-/** Runs one simulation. */
+/**
+ * Runs one simulation.
+ *
+ * @throws AggregateError if simulated requests threw unexpected errors.
+ */
 export const runSimulation = async (parameters: SimulationParameters): Promise<SimulationResult> => {
   const { mix, duration, faults = [] } = parameters;
   const clock = createManualClock();
@@ -195,10 +201,10 @@
 
   const arrivals = createArrivals({ ...parameters, routers: routers.all.length });
   const records = arrivals.map(newRecord);
-  const thrown = scheduleArrivals(records, { clock, fleet, index, openAttempts }, routers);
+  const unexpectedErrors = scheduleArrivals(records, { clock, fleet, index, openAttempts }, routers);
   startReports(parameters, clock, fleet, routers);
-  const control = createFaults(clock, fleet, routers, openAttempts);
-  for (const { at, apply: strike } of faults) clock.after(at, () => strike(control, mix));
+  const faultControls = createFaults(clock, fleet, routers, openAttempts);
+  for (const { at, apply } of faults) clock.after(at, () => apply(faultControls, mix));
 
   const prefillTime = (): number => fleet.engines.reduce((sum, engine) => sum + engine.prefillTime(), 0);
   await runUntil(clock, warmUp);
@@ -206,7 +212,8 @@
   await runUntil(clock, duration);
   const prefillShare = (prefillTime() - before) / (fleet.engines.length * (duration - warmUp));
   await runUntil(clock, duration + drainTime);
-  if (thrown.length > 0) throw new AggregateError(thrown, "Simulated requests threw.");
+  if (unexpectedErrors.length > 0)
+    throw new AggregateError(unexpectedErrors, "Simulated requests threw unexpected errors.");
   for (const record of records) record.endedAfter ??= clock.monotonic() - record.arrival.at;
   return { records, prefillShare };
 };
--- a/bench/model/types.ts
+++ b/bench/model/types.ts
@@ -1,36 +1,36 @@
-/** Data of the engine model and of the runs over it. Times are simulated milliseconds. */
+/** Types of the engine model and of the simulations that use it. Times are simulated milliseconds. */
 import type { PrefixLevel } from "../../src/protocol/types.ts";
 
-/** How fast and how large a modelled engine is. */
+/** Speed and capacity of a modelled engine. */
 export interface EngineParameters {
-  /** Requests in one batch. */
+  /** Maximum requests in one batch. */
   readonly maximumRunning: number;
   readonly prefillTokensPerSecond: number;
-  /** Spent on each prompt besides its tokens. */
+  /** Fixed prefill time of each prompt, added to the time of its tokens. */
   readonly prefillOverhead: number;
-  /** Prompt tokens computed before a more urgent prompt may go first. */
+  /** Prompt tokens computed without interruption; a more urgent prompt waits for the end of the chunk. */
   readonly chunkTokens: number;
   readonly cacheTokens: number;
-  /** Between two tokens of an answer, alone in the batch. */
+  /** Time between two tokens of an answer that is alone in the batch. */
   readonly decodeInterval: number;
-  /** Added to the interval by each further request in the batch. */
+  /** Added to the interval for each further request in the batch. */
   readonly decodeSlowdown: number;
 }
 
-/** One request's work at an engine. */
+/** One attempt's work at an engine, with callbacks for its progress. */
 export interface EngineJob {
   /** Smaller runs first. */
   readonly priority: number;
   readonly levels: readonly PrefixLevel[];
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** The prompt's computation begins; `cachedTokens` of it are taken from the cache. */
+  /** Prefill starts; `cachedTokens` of the prompt are taken from the cache. */
   readonly onStart: (cachedTokens: number) => void;
   readonly onFirstToken: () => void;
   readonly onEnd: (ended: "finished" | "failed") => void;
 }
 
-/** A request as the workload makes it. */
+/** A generated request. */
 export interface Arrival {
   readonly at: number;
   readonly organisation: string;
@@ -38,27 +38,27 @@
   readonly levels: readonly PrefixLevel[];
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Which router the balancer gives it to. */
+  /** Index of the router that the load balancer picks. */
   readonly router: number;
 }
 
-/** What became of one request. */
+/** Outcome and figures of one request. */
 export interface RequestRecord {
   readonly arrival: Arrival;
-  /** `late`: given up by its caller at the deadline for the whole answer. */
+  /** `late`: cancelled by its caller at the completion deadline. */
   outcome: "open" | "finished" | "refused" | "late" | "failed";
   /** From arrival to the first token at the router. */
   firstTokenAfter: number | undefined;
   /** From arrival to the first assignment to an engine. */
   assignedAfter: number | undefined;
-  /** From arrival to the last token, the refusal, or whatever ended it; to the end of the run if nothing did. */
+  /** From arrival to the last token, the refusal or the failure; to the end of the run if it was still open. */
   endedAfter: number | undefined;
   attempts: number;
-  /** Prompt tokens that some live engine held when the request arrived. */
+  /** Most prompt tokens that any one live engine had cached when the request arrived. */
   cachedAnywhereTokens: number;
-  /** Prompt tokens sent to engines that began on them, over all attempts. */
+  /** Prompt tokens of all attempts whose prefill started. */
   startedTokens: number;
   cachedTokens: number;
-  /** Computed although some live engine held them. */
+  /** Prompt tokens computed although some other live engine had them cached, over all attempts. */
   wastedTokens: number;
 }
