--- a/bench/lab/LabReplicaClient.ts
+++ b/bench/lab/LabReplicaClient.ts
@@ -1,4 +1,4 @@
-/** Replicas of the lab as routers reach them: engines in simulated time behind the product's own client type. */
+/** A replica client that runs requests on simulated engines instead of sending them over the network. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import { upstreamError } from "../../src/protocol/errors.ts";
@@ -16,10 +16,10 @@
 import type { PrefixLevel } from "../../src/protocol/types.ts";
 import type { LabFleet, LabRefusal, LabReplica } from "./fleet.ts";
 
-/** One way between a router and an engine, milliseconds. */
+/** One-way latency between a router and an engine, milliseconds. */
 const latency = 0.5;
 
-/** Longest time to make a connection, milliseconds. */
+/** Connection timeout, milliseconds; requests to an unresponsive engine hang for a multiple of it. */
 const connectTimeout = 400;
 
 const headOf = (
@@ -41,18 +41,18 @@
   closes: false,
 });
 
-/** An engine that reports nothing. */
-const unlimited = { limit: undefined, isDraining: false } as const;
+/** The reports of an engine that reports neither a limit nor draining. */
+const nothingReported = { limit: undefined, isDraining: false } as const;
 
 const limitWindow = 1_000;
 
-/** Whether an engine that refuses what is beyond its limit has taken as much of late. */
+/** Whether an engine that enforces its limit has received as many requests as it allows within the last window. */
 const isOverLimit = ({ limit, arrivals }: LabReplica, now: number): boolean => {
   if (limit?.refuses !== true) return false;
   return arrivals.filter((at) => at > now - limitWindow).length >= limit.perSecond;
 };
 
-/** Levels of a prompt under the salt that the router gave: weights and walls never share. */
+/** Levels of a prompt, keyed by the router's cache salt: prompts with different salts share nothing. */
 const levelsOf = ({ request, cacheSalt }: ReplicaCall): readonly PrefixLevel[] => {
   let tokens = 0;
   return (request.prompt?.parts ?? []).map((part) => {
@@ -61,44 +61,44 @@
   });
 };
 
-/** Pieces of an answer as they are made, for one reader. */
-const createPieces = () => {
-  let made = 0;
+/** Creates a stream of answer events for one reader, filled while the engine generates them. */
+const createEventStream = () => {
+  let available = 0;
   let failure: Error | undefined;
-  let isOver = false;
+  let isEnded = false;
   let wake: () => void = () => undefined;
   return {
     add: (): void => {
-      made += 1;
+      available += 1;
       wake();
     },
     end: (error?: Error): void => {
       failure = error;
-      isOver = true;
+      isEnded = true;
       wake();
     },
-    read: async function* (onLeft: () => void): AsyncGenerator<Buffer, void> {
+    read: async function* (onAbandoned: () => void): AsyncGenerator<Buffer, void> {
       let read = 0;
       try {
         for (;;) {
-          while (read < made) {
+          while (read < available) {
             read += 1;
             yield Buffer.from(`id: ${read}\n\n`);
           }
           if (failure !== undefined) throw failure;
-          if (isOver) return;
+          if (isEnded) return;
           await new Promise<void>((resolve) => {
             wake = resolve;
           });
         }
       } finally {
-        if (!isOver) onLeft();
+        if (!isEnded) onAbandoned();
       }
     },
   };
 };
 
-/** The client of one router. */
+/** The replica client of one simulated router. */
 export class LabReplicaClient extends ReplicaClient {
   private readonly fleet: LabFleet;
   private readonly clock: Clock;
@@ -122,17 +122,17 @@
       return this.refuse(call, replica.version, replica.state === "loading" ? 503 : 421);
     }
     this.fleet.reports.recordArrival(replica.entry.id, this.router);
-    if (replica.refusal !== undefined) return this.turnAway(call, replica, replica.refusal);
-    const isOver = isOverLimit(replica, this.clock.monotonic());
+    if (replica.refusal !== undefined) return this.refuseWithBackoff(call, replica, replica.refusal);
+    const isEnded = isOverLimit(replica, this.clock.monotonic());
     replica.arrivals.push(this.clock.monotonic());
-    return isOver ? this.refuse(call, replica.version, 503) : this.run(call, signal);
+    return isEnded ? this.refuse(call, replica.version, 503) : this.run(call, signal);
   }
 
   override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionTrial> {
     const state = this.fleet.find(id)?.state;
-    const isSilent = state === "dark" || state === undefined;
-    await pause(this.clock, isSilent ? timeout : latency);
-    if (isSilent) return "silent";
+    const isUnresponsive = state === "dark" || state === undefined;
+    await pause(this.clock, isUnresponsive ? timeout : latency);
+    if (isUnresponsive) return "silent";
     return state === "down" ? "refused" : "made";
   }
 
@@ -159,11 +159,11 @@
   }
 
   override limitConnections(): void {
-    // The lab counts no connections.
+    // The lab does not model connections.
   }
 
   override forget(): void {
-    // Nothing is kept for a replica.
+    // There is no state for each replica.
   }
 
   override [Symbol.asyncDispose](): Promise<void> {
@@ -176,12 +176,12 @@
   }
 
   private refuse(call: ReplicaCall, version: number, status: number): ReplicaAnswer {
-    const replica = this.fleet.find(call.replica.id) ?? unlimited;
+    const replica = this.fleet.find(call.replica.id) ?? nothingReported;
     const head = { ...headOf(call, version, replica), status, isNotRun: true, isMisdirected: status === 421 };
     return { head, body: createEmptyBody() };
   }
 
-  private turnAway(
+  private refuseWithBackoff(
     call: ReplicaCall,
     { entry, version }: LabReplica,
     { retryAfter }: LabRefusal,
@@ -193,14 +193,14 @@
 
   private run(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
     const replica = this.fleet.find(call.replica.id);
-    const pieces = createPieces();
+    const events = createEventStream();
     return new Promise((resolve, reject) => {
-      let hasBegun = false;
-      const begin = (): void => {
-        hasBegun = true;
-        const body = pieces.read(() => cancel?.());
+      let hasStarted = false;
+      const start = (): void => {
+        hasStarted = true;
+        const body = events.read(() => cancel?.());
         if (replica?.isDraining === true) this.fleet.reports.recordDraining(replica.entry.id, this.router);
-        resolve({ head: headOf(call, replica?.version ?? 1, replica ?? unlimited), body });
+        resolve({ head: headOf(call, replica?.version ?? 1, replica ?? nothingReported), body });
       };
       const cancel = replica?.engine.submit({
         priority: call.priority ?? 5,
@@ -210,8 +210,8 @@
         saveTo: this.fleet.cacheAt(call.saveTo),
         onEvent: () =>
           this.clock.after(latency, () => {
-            pieces.add();
-            if (!hasBegun) begin();
+            events.add();
+            if (!hasStarted) start();
           }),
         onEnd: (ended) =>
           this.clock.after(latency, () => {
@@ -219,16 +219,16 @@
             const failure = upstreamError(
               "the connection failed",
               "closed_early",
-              hasBegun ? "streaming" : "sent",
+              hasStarted ? "streaming" : "sent",
             );
-            pieces.end(ended === "failed" ? failure : undefined);
+            events.end(ended === "failed" ? failure : undefined);
             if (ended === "failed") reject(failure);
           }),
       });
       const abort = (): void => {
         cancel?.();
-        const error = upstreamError("cancelled", "cancelled", hasBegun ? "streaming" : "sent");
-        pieces.end(error);
+        const error = upstreamError("cancelled", "cancelled", hasStarted ? "streaming" : "sent");
+        events.end(error);
         reject(error);
       };
       if (cancel === undefined) reject(upstreamError("cannot connect", "unreachable", "not_sent"));
@@ -238,5 +238,5 @@
 }
 
 const createEmptyBody = async function* (): AsyncGenerator<Buffer, void> {
-  // A refusal's status says it all.
+  // A refusal has no body.
 };
--- a/bench/lab/batchEngine.ts
+++ b/bench/lab/batchEngine.ts
@@ -1,8 +1,8 @@
 /**
- * A model engine in simulated time that computes in steps: in each step one token for every answer under way, and a
- * chunk of the prompts that are not computed yet. Running requests and cached parts share its memory; the parts
- * used longest ago yield, and where none is left the newest of the least urgent requests is put back and computed
- * anew.
+ * An inference engine with continuous batching in simulated time. Each step generates one token of every running answer
+ * and prefills a chunk of the prompts that are not complete. Running requests and cached prompt parts share the memory:
+ * the least recently used parts are evicted first, and if there are none, the newest of the least urgent requests is
+ * preempted and later computed from the start.
  */
 import { createPrefixCache } from "../model/prefixCache.ts";
 import type { EngineSpecification } from "./experiment.ts";
@@ -11,55 +11,63 @@
   admitWaiting,
   countComputed,
   enqueue,
-  pinDone,
+  pinDoneLevels,
   preempt,
   promptTokensOf,
   removeTask,
-  saveParts,
+  savePrompt,
 } from "./batchState.ts";
 
-/** See {@link createBatchEngine}. */
+/** An engine that a run submits jobs to and injects faults into. */
 export interface BatchEngine extends CacheEndpoint {
-  /** @returns A function that cancels the job; nothing if the engine is down. */
+  /** @returns A function that cancels the job; `undefined` if the engine is down. */
   readonly submit: (job: BatchJob) => (() => void) | undefined;
-  /** Fails all work and loses the cache. @param isSilent - Callers hear nothing of it. */
-  readonly crash: (isSilent: boolean) => void;
+  /**
+   * Drops all jobs and the cache.
+   *
+   * @param isUnreachable - Whether the jobs end without `onEnd`, as if the engine had become unreachable.
+   */
+  readonly crash: (isUnreachable: boolean) => void;
   readonly restart: () => void;
-  /** What is kept is of no use any more; runs go on. */
+  /** Evicts the cached parts that no running request uses; running requests continue. */
   readonly dropCache: () => void;
 }
 
-/** Tokens of an answer that its caller gets together. */
-const pieceTokens = 4;
+/** Tokens of an answer in one event of its stream. */
+const tokensPerEvent = 4;
 
-/** A part of a prompt that one step computes. */
-interface Chunk {
+/** Consecutive tokens of a prompt that one step computes. */
+interface PrefillChunk {
   readonly task: Task;
   readonly from: number;
   readonly tokens: number;
 }
 
-/** Divides a step's prompt tokens among the tasks whose prompts are not there, in their order. */
-const planChunks = (tasks: readonly Task[], most: number): readonly Chunk[] => {
-  const chunks: Chunk[] = [];
-  let left = most;
+/** Distributes the prompt tokens of a step over the tasks with incomplete prompts, in order. */
+const planPrefillChunks = (tasks: readonly Task[], maximumTokens: number): readonly PrefillChunk[] => {
+  const chunks: PrefillChunk[] = [];
+  let remaining = maximumTokens;
   for (const task of tasks) {
-    const tokens = Math.min(promptTokensOf(task) - task.doneTokens, left);
+    const tokens = Math.min(promptTokensOf(task) - task.doneTokens, remaining);
     if (tokens > 0) chunks.push({ task, from: task.doneTokens, tokens });
-    left -= Math.max(0, tokens);
+    remaining -= Math.max(0, tokens);
   }
   return chunks;
 };
 
-/** Creates an idle engine. */
+/**
+ * Creates an idle engine with an empty cache.
+ *
+ * @param environment - What the engines of a run share.
+ */
 export const createBatchEngine = (
   specification: EngineSpecification,
   dataCentre: string,
-  surroundings: BatchEnvironment,
+  environment: BatchEnvironment,
 ): BatchEngine => {
-  const { clock } = surroundings;
+  const { clock } = environment;
   const state: BatchState = {
-    ...surroundings,
+    ...environment,
     specification,
     cache: createPrefixCache(specification.memoryTokens),
     link: { dataCentre, megabitsPerSecond: specification.linkMegabits, freeAt: 0 },
@@ -69,49 +77,50 @@
   const { cache, link } = state;
   let sequence = 0;
   let isUp = true;
-  let callOffStep: (() => void) | undefined;
+  let cancelStep: (() => void) | undefined;
 
   const isRunning = (task: Task): boolean => state.running.includes(task);
 
-  const makeToken = (task: Task): void => {
+  const generateToken = (task: Task): void => {
     task.generatedTokens += 1;
-    const isOver = task.generatedTokens >= task.job.answerTokens;
+    const isFinished = task.generatedTokens >= task.job.answerTokens;
     if (task.generatedTokens === 1) {
       cache.grow(task.job.levels.at(-1)?.key ?? "", task.job.answerTokens);
-      saveParts(state, task);
+      savePrompt(state, task);
     }
-    if (task.generatedTokens === 1 || isOver || task.generatedTokens % pieceTokens === 0) task.job.onEvent();
-    if (!isOver) return;
+    if (task.generatedTokens === 1 || isFinished || task.generatedTokens % tokensPerEvent === 0)
+      task.job.onEvent();
+    if (!isFinished) return;
     removeTask(state, task);
     task.job.onEnd("finished");
   };
 
-  const endStep = (chunks: readonly Chunk[], decoding: readonly Task[]): void => {
-    callOffStep = undefined;
+  const endStep = (chunks: readonly PrefillChunk[], decoding: readonly Task[]): void => {
+    cancelStep = undefined;
     for (const { task, from, tokens } of chunks) {
       if (!isRunning(task)) continue;
       task.doneTokens += tokens;
       countComputed(state, task, from);
-      pinDone(state, task);
+      pinDoneLevels(state, task);
     }
     preempt(state);
-    decoding.filter(isRunning).forEach(makeToken);
-    pump();
+    decoding.filter(isRunning).forEach(generateToken);
+    advance();
   };
 
   const startStep = (): void => {
     const active = state.running.filter(({ isCopying }) => !isCopying);
     const decoding = active.filter((task) => task.doneTokens >= promptTokensOf(task));
-    const chunks = planChunks(active, specification.chunkTokens);
+    const chunks = planPrefillChunks(active, specification.chunkTokens);
     const computed = chunks.reduce((sum, { tokens }) => sum + tokens, 0);
     const { step, stepPerRequest, prefillRate } = specification;
     const duration = step + stepPerRequest * active.length + computed / prefillRate;
-    callOffStep = clock.after(duration, () => endStep(chunks, decoding));
+    cancelStep = clock.after(duration, () => endStep(chunks, decoding));
   };
 
-  const pump = (): void => {
-    if (!isUp || callOffStep !== undefined) return;
-    admitWaiting(state, pump);
+  const advance = (): void => {
+    if (!isUp || cancelStep !== undefined) return;
+    admitWaiting(state, advance);
     if (state.running.some(({ isCopying }) => !isCopying)) startStep();
   };
 
@@ -123,21 +132,21 @@
       sequence += 1;
       const task = { job, sequence, doneTokens: 0, pinnedLevels: 0, generatedTokens: 0, isCopying: false };
       enqueue(state, task);
-      pump();
+      advance();
       return () => {
         removeTask(state, task);
-        pump();
+        advance();
       };
     },
-    crash: (isSilent) => {
+    crash: (isUnreachable) => {
       const lost = [...state.waiting, ...state.running];
       state.waiting = [];
       state.running = [];
-      callOffStep?.();
-      callOffStep = undefined;
+      cancelStep?.();
+      cancelStep = undefined;
       isUp = false;
       cache.clear();
-      if (!isSilent) for (const { job } of lost) job.onEnd("failed");
+      if (!isUnreachable) for (const { job } of lost) job.onEnd("failed");
     },
     restart: () => {
       isUp = true;
--- a/bench/lab/caller.ts
+++ b/bench/lab/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of the lab: tries, comes back when told, resumes nothing, and leaves at its deadline or before. */
+/** A simulated caller: it retries refused requests as asked, never resumes streams, and cancels by its deadline. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import type { Forwarder } from "../../src/coordination/forwarding/forwarder.ts";
@@ -7,25 +7,25 @@
 import type { LabFleet } from "./fleet.ts";
 import type { LabArrival } from "./workload.ts";
 
-/** What became of a request. */
+/** Result of a request. */
 export interface LabRecord {
   readonly arrival: LabArrival;
+  /** `left`: cancelled by its caller before the deadline. */
   outcome: "served" | "refused" | "failed" | "left";
-  /** From the first try to the first token, milliseconds. */
+  /** From the first attempt to the first token, milliseconds. */
   firstTokenAfter: number | undefined;
   tries: number;
 }
 
-/** What a caller works with. */
 export interface CallerDependencies {
   readonly clock: Clock;
   readonly fleet: LabFleet;
-  /** @returns The router that a try reaches. */
+  /** @returns The router that the next attempt is sent to. */
   readonly pickRouter: () => Forwarder;
 }
 
-/** Callers wait at most this share of what they have left before they come back. */
-const waitingShare = 1 / 3;
+/** Callers wait at most this share of their remaining time before they retry. */
+const maximumWaitShare = 1 / 3;
 
 const millisecondsPerSecond = 1_000;
 
@@ -33,7 +33,7 @@
   { kind, prompt }: LabArrival,
   id: string,
   arrivedAt: number,
-  left: number,
+  remaining: number,
 ): CallerRequest => ({
   id,
   method: "POST",
@@ -42,57 +42,61 @@
   headers: [],
   body: Buffer.alloc(0),
   arrivedAt,
-  patience: left,
+  patience: remaining,
   key: undefined,
   prompt,
   countedTokens: undefined,
   lastEventId: undefined,
 });
 
-/** Runs one caller to its end. */
-export const runCaller = async (parts: CallerDependencies, record: LabRecord): Promise<void> => {
-  const { clock, fleet, pickRouter } = parts;
+/** Runs a caller until its request is served, fails or is cancelled, and fills in its record. */
+export const runCaller = async (dependencies: CallerDependencies, record: LabRecord): Promise<void> => {
+  const { clock, fleet, pickRouter } = dependencies;
   const { arrival } = record;
   const deadline = arrival.at + arrival.kind.deadline;
-  const leaving = new AbortController();
-  const callOff = clock.after(arrival.leavesAfter ?? arrival.kind.deadline, () => leaving.abort());
+  const abandonment = new AbortController();
+  const cancelTimer = clock.after(arrival.leavesAfter ?? arrival.kind.deadline, () => abandonment.abort());
 
-  const tryOnce = async (): Promise<void> => {
+  const sendOnce = async (): Promise<void> => {
     record.tries += 1;
     const id = `${arrival.id}.${record.tries}`;
     fleet.setAnswerTokens(id, arrival.answerTokens);
     const now = clock.monotonic();
-    const { body } = await pickRouter().forward(requestOf(arrival, id, now, deadline - now), leaving.signal);
-    if (Buffer.isBuffer(body)) throw new TypeError("streams are answered by streams");
-    for await (const piece of body) {
-      if (piece.length > 0) record.firstTokenAfter ??= clock.monotonic() - arrival.at;
+    const { body } = await pickRouter().forward(
+      requestOf(arrival, id, now, deadline - now),
+      abandonment.signal,
+    );
+    if (Buffer.isBuffer(body)) throw new TypeError("expected an event stream as the body of the answer");
+    for await (const chunk of body) {
+      if (chunk.length > 0) record.firstTokenAfter ??= clock.monotonic() - arrival.at;
     }
     record.outcome = "served";
   };
 
-  /** @returns Whether the caller may try again, after having waited as told. */
-  const mayComeBack = async (error: RequestError): Promise<boolean> => {
+  /** Waits as the refusal asks. @returns Whether the caller then tries again. */
+  const waitForRetry = async (error: RequestError): Promise<boolean> => {
     record.outcome = error.failure.status === 503 ? "refused" : "failed";
     const { retryAfterSeconds } = error.failure;
     if (record.outcome !== "refused" || record.tries >= arrival.kind.callerTries) return false;
-    const left = deadline - clock.monotonic();
-    const told = (retryAfterSeconds ?? 0) * millisecondsPerSecond;
-    await pause(clock, Math.min(told, left * waitingShare), leaving.signal);
-    return !leaving.signal.aborted;
+    const remaining = deadline - clock.monotonic();
+    const requestedWait = (retryAfterSeconds ?? 0) * millisecondsPerSecond;
+    await pause(clock, Math.min(requestedWait, remaining * maximumWaitShare), abandonment.signal);
+    return !abandonment.signal.aborted;
   };
 
   try {
     for (;;) {
       try {
-        await tryOnce();
+        await sendOnce();
         return;
       } catch (error) {
-        if (leaving.signal.aborted) record.outcome = arrival.leavesAfter === undefined ? "failed" : "left";
-        else if (error instanceof RequestError && (await mayComeBack(error))) continue;
+        if (abandonment.signal.aborted)
+          record.outcome = arrival.leavesAfter === undefined ? "failed" : "left";
+        else if (error instanceof RequestError && (await waitForRetry(error))) continue;
         return;
       }
     }
   } finally {
-    callOff();
+    cancelTimer();
   }
 };
--- a/bench/lab/experiment.ts
+++ b/bench/lab/experiment.ts
@@ -1,4 +1,4 @@
-/** An experiment as its file says: load, faults, seeds, and the policies that are compared. */
+/** Schema and reader of experiment files: load, faults, seeds, and the policies to compare. */
 import { readFileSync } from "node:fs";
 import { z } from "zod";
 import type { LoadPolicy } from "../../src/coordination/forwarding/loadPolicy.ts";
@@ -13,44 +13,44 @@
 
 const engineSchema = z.strictObject({
   count: whole,
-  /** Requests in one batch. */
+  /** Maximum requests in one batch. */
   slots: whole,
-  /** Milliseconds of a step that computes one token for each request. */
+  /** Duration of a step that generates one token for each request, milliseconds. */
   step: positive,
-  /** Added for each request in the batch, milliseconds. */
+  /** Added to the step for each request in the batch, milliseconds. */
   stepPerRequest: nonNegative.default(0),
-  /** Prompt tokens computed in a millisecond. */
+  /** Prompt tokens computed per millisecond. */
   prefillRate: positive,
-  /** Prompt tokens in one step at most. */
+  /** Maximum prompt tokens in one step. */
   chunkTokens: whole,
   memoryTokens: whole,
   bytesPerToken: whole,
   linkMegabits: positive,
-  /** Milliseconds that new weights take. */
+  /** Time to load new weights, milliseconds. */
   loadTime: nonNegative.default(400),
 });
 
 const kindSchema = z.strictObject({
   name: z.string().min(1),
   perSecond: positive,
-  /** Latency objective of the first token, milliseconds. */
+  /** Latency objective for the first token, milliseconds. */
   objective: positive,
-  /** How long callers wait, milliseconds. */
+  /** Time after which callers cancel, milliseconds. */
   deadline: positive,
   /** 0 is the most urgent. */
   priority: nonNegative,
   isResumable: z.boolean().default(false),
   maximumAttempts: whole.default(1),
-  /** Tries of a caller that is told to come back. */
+  /** Maximum attempts of a caller whose request is refused. */
   callerTries: whole.default(2),
-  /** What an answer in time is worth to its caller. */
+  /** Value of an answer whose first token meets the objective, and of a later one, in any unit. */
   worth: positive,
   lateWorth: nonNegative,
-  /** Texts that many subjects begin with. */
+  /** Prompt beginnings, each shared by many subjects. */
   openings: z.strictObject({ count: whole, tokens: whole }),
-  /** Texts that requests about one thing share, and how unevenly they are asked for (Zipf's exponent). */
+  /** Prompt parts after the opening, shared by requests about one subject; `skew` is the exponent of Zipf's law. */
   subjects: z.strictObject({ count: whole, tokens: whole, skew: nonNegative }),
-  /** Mean tokens of the prompt's own end, exponentially distributed. */
+  /** Mean tokens of the end of the prompt that no other request shares, exponentially distributed. */
   ownTokens: positive,
   /** Mean tokens of the answer, exponentially distributed. */
   answerTokens: positive,
@@ -59,19 +59,19 @@
 const during = { at: nonNegative, seconds: positive };
 
 const faultSchema = z.discriminatedUnion("kind", [
-  /** Engines go dark: connections stay and nothing comes. */
+  /** Engines stop responding: their connections stay open and carry no data. */
   z.strictObject({ kind: z.literal("dark"), ...during, engines: whole }),
-  /** Engines crash, reset their connections and come back empty. */
+  /** Engines crash, reset their connections and restart with an empty cache. */
   z.strictObject({ kind: z.literal("crash"), ...during, engines: whole }),
-  /** Many times the usual requests come. */
+  /** The request rate is multiplied by `factor`. */
   z.strictObject({ kind: z.literal("burst"), ...during, factor: positive }),
-  /** A share of a kind's requests is about one thing. */
+  /** A share of the requests of the kind `of` is about the same subject. */
   z.strictObject({ kind: z.literal("hotSubject"), ...during, of: z.string(), share }),
-  /** New weights are named; engines load in turn. */
+  /** The operator publishes a new weights version, and engines load it in groups. */
   z.strictObject({ kind: z.literal("weights"), at: nonNegative }),
-  /** A share of the callers leaves early. */
+  /** A share of the callers cancels early. */
   z.strictObject({ kind: z.literal("leaving"), ...during, share }),
-  /** Engines say in their answers how many requests they take, and refuse what is more only if they are said to. */
+  /** Engines have a rate limit; `isNamed`: they report it in answers; `refuses`: they refuse requests above it. */
   z.strictObject({
     kind: z.literal("limited"),
     ...during,
@@ -80,16 +80,16 @@
     isNamed: z.boolean().default(true),
     refuses: z.boolean().default(false),
   }),
-  /** Engines report draining in their answers, which the registry doesn't, and are gone for good after that. */
+  /** Engines report in their answers, but not in the registry, that they drain, and stop for good at the end. */
   z.strictObject({ kind: z.literal("draining"), ...during, engines: whole }),
-  /** Engines turn everything away and ask for backoff, seconds; without it they don't say for how long. */
+  /** Engines refuse all requests; `retryAfter` is the backoff that they ask for, seconds, if any. */
   z.strictObject({
     kind: z.literal("backingOff"),
     ...during,
     engines: whole,
     retryAfter: nonNegative.optional(),
   }),
-  /** The store of prompt parts is down and comes back empty. */
+  /** The cache store is down and restarts empty. */
   z.strictObject({ kind: z.literal("storeDown"), ...during }),
 ]);
 
@@ -105,12 +105,12 @@
 const experimentSchema = z.strictObject({
   name: z.string().min(1),
   seconds: positive,
-  /** Requests that come earlier than this are not counted, seconds. */
+  /** Requests that arrive earlier than this are not counted, seconds. */
   warmUp: nonNegative.default(3),
   seeds: z.array(z.int()).min(1),
   routers: whole,
   dataCentres: whole.default(1),
-  /** One way between routers, milliseconds. */
+  /** One-way latency between routers, milliseconds. */
   messageDelay: nonNegative.default(2),
   engines: engineSchema,
   store: z.strictObject({ memoryTokens: whole, linkMegabits: positive }).optional(),
@@ -119,19 +119,19 @@
   policies: z.record(z.string().min(1), policySchema),
 });
 
-/** A checked experiment. */
+/** A validated experiment. */
 export type Experiment = z.output<typeof experimentSchema>;
 export type EngineSpecification = Experiment["engines"];
 export type KindSpecification = Experiment["kinds"][number];
 export type Fault = Experiment["faults"][number];
 
-/** @returns The usual policy with what a file changes of it. */
+/** @returns The default policy with the changes of an experiment's policy. */
 export const policyOf = (changes: Experiment["policies"][string]): LoadPolicy => ({
   ...defaultLoadPolicy,
   ...changes,
 });
 
-/** What the schema can't see: names that refer to others. */
+/** Lists problems that the schema cannot express: references between fields. */
 const listReferenceProblems = ({ faults, kinds, engines }: Experiment) =>
   faults.flatMap((fault, index) => {
     const path = `faults.${index}`;
@@ -139,18 +139,25 @@
       return [{ path: `${path}.of`, cause: `there is no kind "${fault.of}"` }];
     }
     if ("engines" in fault && fault.engines >= engines.count) {
-      return [{ path: `${path}.engines`, cause: `fewer than all ${engines.count} engines` }];
+      return [
+        { path: `${path}.engines`, cause: `must be less than the number of engines, ${engines.count}` },
+      ];
     }
     return [];
   });
 
-/** @returns The experiment; throws `FileError` that names each place at fault. */
+/**
+ * Parses and validates an experiment.
+ *
+ * @param file - Name of the file, for errors.
+ * @throws FileError that lists every invalid field with its path.
+ */
 export const parseExperiment = (text: string, file: string): Experiment => {
   let json: unknown;
   try {
     json = JSON.parse(text);
   } catch (error) {
-    throw fileError(file, [{ path: "", cause: error instanceof Error ? error.message : "is no JSON" }]);
+    throw fileError(file, [{ path: "", cause: error instanceof Error ? error.message : "is not JSON" }]);
   }
   const parsed = experimentSchema.safeParse(json);
   if (!parsed.success) throw fileError(file, listSchemaProblems(parsed.error));
@@ -159,7 +166,11 @@
   return parsed.data;
 };
 
-/** Reads an experiment's file. */
+/**
+ * Reads and validates an experiment file.
+ *
+ * @throws FileError if the file cannot be read or is invalid.
+ */
 export const readExperiment = (file: string): Experiment => {
   let text: string;
   try {
--- a/bench/lab/fleet.ts
+++ b/bench/lab/fleet.ts
@@ -1,4 +1,4 @@
-/** The engines and the store of prompt parts of one run, and what befalls them. */
+/** The engines and the cache store of one run, with the faults that can be injected. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import { upstreamError } from "../../src/protocol/errors.ts";
@@ -12,77 +12,89 @@
 import { createBatchEngine } from "./batchEngine.ts";
 import type { Experiment } from "./experiment.ts";
 
-/** Names that the lab gives. */
+/** Names of the service, the model and the cache store in every experiment. */
 export const labNames = { service: "engines", model: "m", store: "10.9.0.1:9000" } as const;
 
-/** One engine as it stands in the registry. */
+/** An engine with its registry entry and its present faults. */
 export interface LabReplica {
   readonly entry: ReplicaEntry;
   readonly engine: BatchEngine;
+  /** `dark`: does not respond. `down`: refuses connections. `loading`: loads new weights. */
   state: "up" | "dark" | "down" | "loading";
   version: number;
-  /** What it takes; nothing if it takes all that comes. */
+  /** Its rate limit; `undefined` if it has none. */
   limit: LabLimit | undefined;
-  /** Its answers report that it drains. */
+  /** Whether its answers report that it drains. */
   isDraining: boolean;
-  /** Set while it turns everything away. */
+  /** Set while it refuses all requests. */
   refusal: LabRefusal | undefined;
-  /** When requests came, milliseconds. */
+  /** Times of the requests that arrived, milliseconds. */
   readonly arrivals: number[];
 }
 
-/** What an engine takes from all routers together. */
+/** The rate limit of an engine, for all routers together. */
 export interface LabLimit {
   readonly perSecond: number;
+  /** When the limit was set, milliseconds. */
   readonly since: number;
-  /** Whether its answers say so. */
+  /** Whether the engine's answers report the limit. */
   readonly isNamed: boolean;
-  /** Whether it refuses what is more. */
+  /** Whether the engine refuses requests above the limit. */
   readonly refuses: boolean;
 }
 
-/** How an engine turns requests away. */
+/** How an engine refuses requests. */
 export interface LabRefusal {
-  /** The backoff that it asks for, milliseconds. */
+  /** The backoff that it asks for, milliseconds; `undefined` if it names none. */
   readonly retryAfter: number | undefined;
 }
 
-/** Engines that turned everything away, and when that was over, milliseconds. */
+/** A period in which the first `engines` engines refuse all requests, and its end, milliseconds. */
 export interface RefusalPeriod {
   readonly engines: number;
   readonly until: number;
 }
 
-/** A limit that an engine had. */
+/** A limit with its end, and the times of the requests that arrived at the engine, milliseconds. */
 export interface LimitPeriod extends LabLimit {
   readonly until: number;
   readonly arrivals: readonly number[];
 }
 
-/** See {@link createFleet}. */
+/** The engines and the cache store of a run. Faults affect the first engines, `count` of them. */
 export interface LabFleet {
   readonly model: string;
   readonly replicas: readonly LabReplica[];
   readonly totals: WorkTotals;
   readonly find: (id: string) => LabReplica | undefined;
+  /** @returns The cache of the store or a running engine at this address. */
   readonly cacheAt: (address: string | undefined) => CacheEndpoint | undefined;
-  /** Tokens of the answer that a request gets, wherever it runs. */
+  /** Tokens of a request's answer, whichever engine runs it. */
   readonly answerTokens: (request: string) => number;
   readonly setAnswerTokens: (request: string, tokens: number) => void;
   readonly readStoreChanges: (since: number) => Promise<CacheChanges>;
-  /** Takes engines down and brings them back. */
+  /**
+   * Takes engines down, and restarts them after a time.
+   *
+   * @param isDark - Whether they stop responding instead of refusing connections.
+   */
   readonly takeEnginesDown: (count: number, isDark: boolean, seconds: number) => void;
-  /** Limits engines for a while. */
+  /** Limits engines for a time. */
   readonly limit: (count: number, limit: Omit<LabLimit, "since">, seconds: number) => void;
-  /** Limits that there were, with what came from all routers. */
+  /** All limits so far. */
   readonly limits: readonly LimitPeriod[];
-  /** Lets engines report draining, then ends them. */
+  /** Makes engines report that they drain, and stops them after a time. */
   readonly drain: (count: number, seconds: number) => void;
-  /** Lets engines turn everything away for a while. */
+  /** Makes engines refuse all requests for a time. */
   readonly refuse: (count: number, refusal: LabRefusal, seconds: number) => void;
   readonly refusals: readonly RefusalPeriod[];
   readonly reports: ReportLog;
-  /** @param onLoaded - An engine runs the new weights. */
+  /**
+   * Loads new weights on all engines, in groups.
+   *
+   * @param onChanging - An engine gets no new requests until about `until`.
+   * @param onLoaded - An engine runs the new weights.
+   */
   readonly loadWeights: (
     version: number,
     onChanging: (replica: LabReplica, until: number) => void,
@@ -91,11 +103,11 @@
   readonly takeStoreDown: (seconds: number) => void;
 }
 
-/** Engines that load weights at the same time. */
-const loadsAtOnce = 2;
+/** Number of engines that load weights at the same time. */
+const concurrentLoads = 2;
 
-/** How long engines get no new work before they load, milliseconds. */
-const emptyingTime = 250;
+/** Time between announcing that an engine changes its weights and the start of loading, milliseconds. */
+const drainTime = 250;
 
 const millisecondsPerSecond = 1_000;
 
@@ -111,31 +123,31 @@
   weights: new Map([[labNames.model, 1]]),
 });
 
-/** The store with the changes that it tells. */
+/** Creates the cache store with the feed of its changes. */
 const createStore = ({ store, engines }: Experiment, clock: Clock) => {
   const changes: CacheChange[] = [];
   let incarnation = 1;
   let isUp = true;
-  const tell = ({ kind, key }: UnitEvent): void => {
+  const recordChange = ({ kind, key }: UnitEvent): void => {
     const separator = key.lastIndexOf(" ");
     const isKept = kind === "stored";
     changes.push({ isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
   };
-  const megabits = store?.linkMegabits ?? engines.linkMegabits;
-  const keeper: CacheEndpoint = {
-    link: { dataCentre: "centre-0", megabitsPerSecond: megabits, freeAt: 0 },
-    cache: createPrefixCache(store?.memoryTokens ?? 1, tell),
+  const megabitsPerSecond = store?.linkMegabits ?? engines.linkMegabits;
+  const endpoint: CacheEndpoint = {
+    link: { dataCentre: "centre-0", megabitsPerSecond, freeAt: 0 },
+    cache: createPrefixCache(store?.memoryTokens ?? 1, recordChange),
   };
   return {
-    keeper,
+    endpoint,
     isUp: () => isUp && store !== undefined,
     read: (since: number): Promise<CacheChanges> =>
       isUp
         ? Promise.resolve({ incarnation, next: changes.length, changes: changes.slice(since) })
         : Promise.reject(upstreamError("cannot connect", "unreachable", "not_sent")),
-    strike: (seconds: number): void => {
+    takeDown: (seconds: number): void => {
       isUp = false;
-      keeper.cache.clear();
+      endpoint.cache.clear();
       changes.length = 0;
       clock.after(seconds * millisecondsPerSecond, () => {
         incarnation += 1;
@@ -145,16 +157,16 @@
   };
 };
 
-/** Creates the engines that an experiment names, spread over its data centres. */
+/** Creates the engines and the store of an experiment; the engines are spread over its data centres. */
 export const createFleet = (experiment: Experiment, clock: Clock): LabFleet => {
   const { engines, dataCentres } = experiment;
   const totals: WorkTotals = { computed: 0, recomputed: 0, copied: 0, preempted: 0 };
-  const surroundings = { clock, totals, lastCachedAt: new Map<string, number>() };
+  const environment = { clock, totals, lastCachedAt: new Map<string, number>() };
   const store = createStore(experiment, clock);
   const answers = new Map<string, number>();
   const replicas = Array.from({ length: engines.count }, (_, index): LabReplica => {
     const dataCentre = `centre-${index % dataCentres}`;
-    const engine = createBatchEngine(engines, dataCentre, surroundings);
+    const engine = createBatchEngine(engines, dataCentre, environment);
     return {
       entry: entryOf(index, dataCentre, engines.slots),
       engine,
@@ -182,7 +194,7 @@
     }
   };
 
-  const bringBack = (replica: LabReplica): void => {
+  const restartEngine = (replica: LabReplica): void => {
     replica.engine.restart();
     replica.state = "up";
   };
@@ -215,7 +227,7 @@
     totals,
     find: (id) => byId.get(id),
     cacheAt: (address) => {
-      if (address === labNames.store) return store.isUp() ? store.keeper : undefined;
+      if (address === labNames.store) return store.isUp() ? store.endpoint : undefined;
       const replica = byAddress.get(address ?? "");
       return replica?.state === "up" ? replica.engine : undefined;
     },
@@ -228,7 +240,7 @@
       for (const replica of replicas.slice(0, count)) {
         replica.engine.crash(isDark);
         replica.state = isDark ? "dark" : "down";
-        clock.after(seconds * millisecondsPerSecond, () => bringBack(replica));
+        clock.after(seconds * millisecondsPerSecond, () => restartEngine(replica));
       }
     },
     drain,
@@ -238,23 +250,23 @@
     limit: limitEngines,
     limits,
     loadWeights: async (version, onChanging, onLoaded) => {
-      for (let first = 0; first < replicas.length; first += loadsAtOnce) {
-        const turn = replicas.slice(first, first + loadsAtOnce).filter(({ state }) => state === "up");
-        const until = clock.monotonic() + emptyingTime + engines.loadTime;
-        for (const replica of turn) onChanging(replica, until);
-        await pause(clock, emptyingTime);
-        for (const replica of turn) {
+      for (let first = 0; first < replicas.length; first += concurrentLoads) {
+        const group = replicas.slice(first, first + concurrentLoads).filter(({ state }) => state === "up");
+        const until = clock.monotonic() + drainTime + engines.loadTime;
+        for (const replica of group) onChanging(replica, until);
+        await pause(clock, drainTime);
+        for (const replica of group) {
           replica.state = "loading";
           replica.engine.dropCache();
         }
         await pause(clock, engines.loadTime);
-        for (const replica of turn) {
+        for (const replica of group) {
           replica.version = version;
           replica.state = "up";
           onLoaded(replica);
         }
       }
     },
-    takeStoreDown: store.strike,
+    takeStoreDown: store.takeDown,
   };
 };
--- a/bench/lab/lab.test.ts
+++ b/bench/lab/lab.test.ts
@@ -1,4 +1,4 @@
-/** The loads that the kept decisions answer, replayed in simulated time with and without each of them. */
+/** Replays loads in simulated time, with and without the load decisions that were made for them. */
 import { readdirSync } from "node:fs";
 import { describe, it } from "node:test";
 import { expect } from "earl";
@@ -46,7 +46,7 @@
     expect(figuresOf(await runLab(short, defaultLoadPolicy, 8), 0).computed === once.computed).toEqual(false);
   });
 
-  it("names each place at fault in an experiment's file", () => {
+  it("reports the path of each invalid field of an experiment file", () => {
     const broken = (changes: object): (() => unknown) => {
       const text = JSON.stringify({ ...enginesLost, ...changes });
       return () => parseExperiment(text, "file.json");
@@ -58,17 +58,17 @@
     expect(broken({ faults: [{ kind: "dark", at: 1, seconds: 1, engines: 8 }] })).toThrow(
       /faults\.0\.engines/,
     );
-    const hot = { kind: "hotSubject", at: 1, seconds: 1, of: "none", share: 0.5 };
-    expect(broken({ faults: [hot] })).toThrow(/faults\.0\.of/);
+    const hotSubject = { kind: "hotSubject", at: 1, seconds: 1, of: "none", share: 0.5 };
+    expect(broken({ faults: [hotSubject] })).toThrow(/faults\.0\.of/);
   });
 
-  it("has examples that can all be read", () => {
+  it("reads all example files", () => {
     for (const file of readdirSync("examples/lab")) readExperiment(`examples/lab/${file}`);
   });
 });
 
 describe("memory that holds less than what prompts share", () => {
-  it("costs less computing again where lost parts are saved in a store", async () => {
+  it("recomputes less where parts that would be lost are saved in a store", async () => {
     const saved = await runAll(enginesLost);
     const unsaved = await runAll(enginesLost, { saveLinkShare: 0, lossWorthSaving: 1 });
     expect(mean(saved, "again")).toBeLessThan(mean(unsaved, "again") * 0.85);
@@ -78,7 +78,7 @@
 });
 
 describe("weights that are named again and again", () => {
-  it("cost less computing again where requests wait for a part that is being computed", async () => {
+  it("cause less recomputation where requests wait for a part that is being computed", async () => {
     const waited = await runAll(weightsNamed);
     const unwaited = await runAll(weightsNamed, { partWaitShare: 0 });
     expect(mean(waited, "again")).toBeLessThan(mean(unwaited, "again") * 0.8);
@@ -87,27 +87,28 @@
 });
 
 describe("a burst while engines are lost", () => {
-  it("fails fewer and answers sooner where what would be late is turned away, and no fewer in time", async () => {
-    const turnedAway = await runAll(overload);
-    const letIn = await runAll(overload, { latenessTurnedAway: 1_000 });
-    expect(mean(turnedAway, "failed")).toBeLessThan(mean(letIn, "failed") * 0.7);
-    expect(mean(turnedAway, "firstTokenP99")).toBeLessThan(mean(letIn, "firstTokenP99") * 0.7);
-    expect(mean(turnedAway, "inTime")).toBeGreaterThan(mean(letIn, "inTime") - 0.02);
-    expect(mean(turnedAway, "worth")).toBeGreaterThan(mean(letIn, "worth"));
+  it("fails fewer requests, lowers p99 to first token and serves as many in time where late requests are shed", async () => {
+    const shed = await runAll(overload);
+    const unshed = await runAll(overload, { latenessTurnedAway: 1_000 });
+    expect(mean(shed, "failed")).toBeLessThan(mean(unshed, "failed") * 0.7);
+    expect(mean(shed, "firstTokenP99")).toBeLessThan(mean(unshed, "firstTokenP99") * 0.7);
+    expect(mean(shed, "inTime")).toBeGreaterThan(mean(unshed, "inTime") - 0.02);
+    expect(mean(shed, "worth")).toBeGreaterThan(mean(unshed, "worth"));
   });
 });
 
 describe("many routers before the same engines", () => {
-  it("serve a calm load as well as few do, since the owners of replicas are asked", async () => {
+  it("serve a calm load about as well as few do, since they ask the owners of replicas", async () => {
     const few = await runAll({ ...manyRouters, routers: 6 });
     const many = await runAll(manyRouters);
     expect(mean(many, "worth")).toBeGreaterThan(mean(few, "worth") * 0.98);
     expect(mean(many, "inTime")).toBeGreaterThan(mean(few, "inTime") * 0.97);
-    // The owner of a part's home knows where else it is: 133,000 tokens were read again without that, 92,000 with it (2 seeds).
+    // The owner of a part's home replica knows which other replicas have the part: over 2 seeds, 92,000 tokens are
+    // recomputed, and 133,000 without that.
     expect(mean(many, "again")).toBeLessThan(mean(few, "again") * 1.25);
   });
 
-  it("serve a burst with engines that went dark nearly as well as few do", async () => {
+  it("serve a burst with unresponsive engines nearly as well as few do", async () => {
     const few = await runAll({ ...manyRoutersBurst, routers: 6 });
     const many = await runAll(manyRoutersBurst);
     expect(mean(many, "worth")).toBeGreaterThan(mean(few, "worth") * 0.95);
@@ -115,7 +116,7 @@
 });
 
 describe("engines that name a limit", () => {
-  it("get no more than it allows and what it is good for, and others take over, before few routers and many", async () => {
+  it("get no more than it allows but most of it, and other engines take over, with few routers and many", async () => {
     for (const routers of [6, 58]) {
       const experiment = { ...replicasLimited, routers };
       const free = figuresOf(
@@ -134,7 +135,7 @@
   const runWith = async (experiment: Experiment, routers: number): Promise<LabFigures> =>
     figuresOf(await runLab({ ...experiment, routers }, defaultLoadPolicy, 1), experiment.warmUp);
 
-  it("get nothing of routers that were told, and others serve, before few routers and many", async () => {
+  it("get no requests from routers that know of it, and others serve, with few routers and many", async () => {
     for (const routers of [6, 58]) {
       const backingOff = await runWith(replicasBackingOff, routers);
       expect(backingOff.worstInBackoff).toBeLessThanOrEqual(2);
--- a/bench/lab/lab.ts
+++ b/bench/lab/lab.ts
@@ -12,11 +12,11 @@
 import { figuresOf, spreadOf } from "./figures.ts";
 import { runLab } from "./simulation.ts";
 
-/** One policy's runs, a run for each seed. */
+/** The runs of one policy, one for each seed. */
 interface PolicyRuns {
   readonly policy: string;
   readonly runs: readonly LabFigures[];
-  /** Of a run of the simulation, milliseconds: of use beside another policy or experiment only. */
+  /** Mean processor time of a run of the simulation, milliseconds; only meaningful in comparison with other runs. */
   readonly processorTime: number;
 }
 
@@ -41,10 +41,10 @@
   "messages",
 ];
 
-/** Figures from this size on are printed without decimals. */
-const large = 10;
+/** Figures below this are printed with decimals. */
+const decimalsBelow = 10;
 
-const format = (value: number): string => value.toFixed(value < large ? 3 : 0);
+const format = (value: number): string => value.toFixed(value < decimalsBelow ? 3 : 0);
 
 const runPolicies = async (
   experiment: Experiment,
@@ -86,21 +86,21 @@
 const microsecondsPerMillisecond = 1_000;
 
 const chartOf = ({ name }: Experiment, compared: readonly PolicyRuns[]): BarChart => {
-  const drawn = ["worth", "worstWindow", "inTime"] as const;
+  const charted = ["worth", "worstWindow", "inTime"] as const;
   const colours = ["#2f6f4f", "#b35c1e", "#3b5b92"];
   return {
     title: name,
     unit: "%",
-    series: drawn.map((figure, index) => ({ name: figure, colour: colours[index] ?? "grey" })),
+    series: charted.map((figure, index) => ({ name: figure, colour: colours[index] ?? "grey" })),
     groups: compared.map(({ policy, runs }) => ({
       label: policy,
-      values: drawn.map((figure) => spreadOf(runs, figure).mean * percent),
+      values: charted.map((figure) => spreadOf(runs, figure).mean * percent),
     })),
     most: percent,
   };
 };
 
-const checkNames = ({ policies }: Experiment, only: readonly string[], file: string): void => {
+const checkPolicyNames = ({ policies }: Experiment, only: readonly string[], file: string): void => {
   const problems = only
     .filter((name) => policies[name] === undefined)
     .map((name) => ({ path: "policies", cause: `there is no policy "${name}"` }));
@@ -117,10 +117,11 @@
     },
   });
   const [file] = positionals;
-  if (file === undefined) throw fileError("command line", [{ path: "FILE", cause: "name an experiment" }]);
+  if (file === undefined)
+    throw fileError("command line", [{ path: "FILE", cause: "name an experiment file" }]);
   const experiment = readExperiment(file);
   const only = values.only.split(",").filter((name) => name !== "");
-  checkNames(experiment, only, file);
+  checkPolicyNames(experiment, only, file);
   const compared = await runPolicies(experiment, only);
   if (values.report !== undefined) writeFile(values.report, drawBarChart(chartOf(experiment, compared)));
   console.log(
--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -1,4 +1,4 @@
-/** A router of the lab: the decisions that serve, with beliefs of their own and peers over delayed datagrams. */
+/** A simulated router: the production decisions with their own state, and peers over delayed datagrams. */
 import { createRequestAdmission } from "../../src/coordination/forwarding/requestAdmission.ts";
 import { createCacheHolders } from "../../src/coordination/forwarding/cacheHolders.ts";
 import { followCacheStores } from "../../src/coordination/forwarding/cacheStoreFollower.ts";
@@ -37,28 +37,28 @@
 import { StorePosition } from "../../src/protocol/StorePosition.ts";
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
-/** One router of a run. */
+/** A router of a run. */
 export interface LabRouter {
   readonly forwarder: Forwarder;
   readonly replicas: ReplicaTable;
   readonly configuration: ConfigurationState;
-  /** The operator publishes something. */
+  /** Applies a record as if an operator had published it. */
   readonly publish: (record: OperatorRecord) => void;
 }
 
-/** What a router is made of. */
 export interface LabRouterDependencies {
   readonly experiment: Experiment;
   readonly policy: LoadPolicy;
   readonly clock: ManualClock;
   readonly fleet: LabFleet;
   readonly self: RouterEntry;
+  /** All routers of the run, `self` included. */
   readonly allRouters: readonly RouterEntry[];
   readonly link: DatagramLink;
   readonly random: () => number;
 }
 
-/** Time limits as deployments name them; the lab's faults touch few of them. */
+/** Settings of the routers as deployments have them; the lab's faults affect few of them. Times are milliseconds. */
 const bounds: ForwardingBounds = {
   keyRevocation: 5_000,
   drain: 2_000,
@@ -73,10 +73,10 @@
   limitReserve: 0,
 };
 
-/** Between two proofs that the configuration is in force, milliseconds. */
-const proofInterval = 500;
+/** Time between two confirmations that the configuration is current, milliseconds. */
+const confirmationInterval = 500;
 
-/** The configuration that an experiment stands for. */
+/** @returns The routers' configuration for an experiment. */
 export const labConfiguration = ({ kinds, engines, store }: Experiment): ForwardingConfiguration => ({
   version: 1,
   routes: kinds.map((kind) => ({
@@ -113,27 +113,27 @@
   limits: { headerBytes: 16_384, bodyBytes: 1_000_000, headerTimeout: 3_000, idleTimeout: 15_000 },
 });
 
-/** Starts a router. */
-export const createLabRouter = (parts: LabRouterDependencies): LabRouter => {
-  const { experiment, policy, clock, fleet, self, allRouters: all, link, random } = parts;
+/** Creates and starts a router. */
+export const createLabRouter = (dependencies: LabRouterDependencies): LabRouter => {
+  const { experiment, policy, clock, fleet, self, allRouters, link, random } = dependencies;
   const client = new LabReplicaClient(fleet, clock, self.name);
   const replicas = createReplicaTable();
   for (const { entry } of fleet.replicas) replicas.put(entry);
   const configuration = createConfigurationState(clock);
-  const start = new StorePosition(defaultEpoch, 0);
+  const startPosition = new StorePosition(defaultEpoch, 0);
   const publish = (record: OperatorRecord): void =>
     configuration.apply({
-      records: [{ position: start, key: record.kind, value: record }],
-      next: start.advancedBy(1),
+      records: [{ position: startPosition, key: record.kind, value: record }],
+      next: startPosition.advancedBy(1),
       isComplete: true,
     });
   publish({ kind: "configuration", configuration: labConfiguration(experiment) });
 
-  const prove = (): void => {
+  const confirmConfiguration = (): void => {
     configuration.confirm(clock.monotonic());
-    clock.after(proofInterval, prove);
+    clock.after(confirmationInterval, confirmConfiguration);
   };
-  prove();
+  confirmConfiguration();
 
   const holders = createCacheHolders({
     clock,
@@ -155,7 +155,7 @@
     ...noEpochs,
     quarantine: noQuarantine,
   });
-  peers.add(all);
+  peers.add(allRouters);
   const owners = createReplicaOwners({
     self,
     link,
@@ -165,7 +165,7 @@
     peers,
     cacheStores: () => configuration.table()?.cacheStores ?? [],
   });
-  const keeping = createKeyCoordination({
+  const coordination = createKeyCoordination({
     self,
     link,
     clock,
@@ -192,7 +192,7 @@
       cacheStore,
       limits: noUsageLimits,
       replicaLimits: createReplicaLimits({
-        coordination: keeping,
+        coordination,
         replicas,
         clock,
         announce: peers.tellLimit,
--- a/bench/lab/links.ts
+++ b/bench/lab/links.ts
@@ -1,35 +1,39 @@
-/** Copies of prompt parts between engines: each link carries them one after another. */
+/** Copies of prompt parts between engines and the store; each link carries one copy at a time. */
 import type { Clock } from "../../src/coordination/clock.ts";
 
-/** One end of copies. */
+/** The network link of an engine or the store. */
 export interface Link {
   readonly dataCentre: string;
   readonly megabitsPerSecond: number;
-  /** When it has carried what waits, simulated milliseconds. */
+  /** When the last reserved copy ends, simulated milliseconds. */
   freeAt: number;
 }
 
-/** A copy that would wait longer is not begun, milliseconds. */
-const longestWait = 2_000;
+/** A copy that would wait longer than this is not started, milliseconds. */
+const maximumWait = 2_000;
 
-/** Setting a copy up, milliseconds. */
-const setup = 3;
+/** Time to set up a copy, milliseconds. */
+const setupTime = 3;
 
-/** How much longer a copy between data centres takes. */
-const farFactor = 2;
+/** A copy between data centres takes this many times as long as one within a data centre. */
+const crossDataCentreFactor = 2;
 
 const bitsPerByte = 8;
 const bitsPerMegabitMillisecond = 1_000;
 
-/** @returns Milliseconds until the copy has arrived; nothing if it is not begun. */
+/**
+ * Reserves both links for a copy.
+ *
+ * @returns Time until the copy has arrived, milliseconds; `undefined` if it would wait too long and is not started.
+ */
 export const reserveCopy = (clock: Clock, from: Link, to: Link, bytes: number): number | undefined => {
   const now = clock.monotonic();
-  const begin = Math.max(now, from.freeAt, to.freeAt);
-  if (begin - now > longestWait) return undefined;
+  const startsAt = Math.max(now, from.freeAt, to.freeAt);
+  if (startsAt - now > maximumWait) return undefined;
   const rate = Math.min(from.megabitsPerSecond, to.megabitsPerSecond) * bitsPerMegabitMillisecond;
-  const distance = from.dataCentre === to.dataCentre ? 1 : farFactor;
-  const end = begin + setup + ((bytes * bitsPerByte) / rate) * distance;
-  from.freeAt = end;
-  to.freeAt = end;
-  return end - now;
+  const factor = from.dataCentre === to.dataCentre ? 1 : crossDataCentreFactor;
+  const endsAt = startsAt + setupTime + ((bytes * bitsPerByte) / rate) * factor;
+  from.freeAt = endsAt;
+  to.freeAt = endsAt;
+  return endsAt - now;
 };
--- a/bench/lab/reportLog.ts
+++ b/bench/lab/reportLog.ts
@@ -1,17 +1,18 @@
-/** What engines reported to each router, and what came from that router afterwards. */
+/** Records what engines reported to each router and counts the requests that the router sent them afterwards. */
 import type { Clock } from "../../src/coordination/clock.ts";
 
-/** Requests under way when an engine reports something may still arrive for so long, milliseconds. */
-const grace = { draining: 2_000, backoff: 500 } as const;
+/** Time for which requests may still arrive that were on their way when an engine reported something, milliseconds. */
+const gracePeriods = { draining: 2_000, backoff: 500 } as const;
 
-/** See {@link createReportLog}. */
+/** Reports of engines and later arrivals, by engine and router. */
 export interface ReportLog {
   readonly recordDraining: (engine: string, router: string) => void;
+  /** @param duration - The backoff that the engine asked for, milliseconds. */
   readonly recordBackoff: (engine: string, router: string, duration: number) => void;
   readonly recordArrival: (engine: string, router: string) => void;
-  /** Arrivals from routers that an engine had told that it drains. */
+  /** @returns Number of arrivals from routers to which the engine had reported that it drains. */
   readonly afterDraining: () => number;
-  /** The most arrivals from one router within one backoff. */
+  /** @returns The most arrivals from one router within one backoff. */
   readonly worstInBackoff: () => number;
 }
 
@@ -47,14 +48,14 @@
     recordBackoff: (engine, router, duration) => {
       const key = keyOf(engine, router);
       const now = clock.monotonic();
-      const backoff = { from: now + grace.backoff, until: now + duration, arrivals: 0 };
+      const backoff = { from: now + gracePeriods.backoff, until: now + duration, arrivals: 0 };
       backoffs.set(key, [...(backoffs.get(key) ?? []), backoff]);
     },
     recordArrival: (engine, router) => {
       const key = keyOf(engine, router);
       const now = clock.monotonic();
       const since = drainingSince.get(key);
-      if (since !== undefined && now > since + grace.draining) afterDraining += 1;
+      if (since !== undefined && now > since + gracePeriods.draining) afterDraining += 1;
       if (backoffs.has(key)) countBackoffs(key, now);
     },
     afterDraining: () => afterDraining,
--- a/bench/lab/simulation.ts
+++ b/bench/lab/simulation.ts
@@ -1,4 +1,4 @@
-/** One run of an experiment in simulated time: a policy and a random seed. */
+/** Runs an experiment in simulated time with one policy and one random seed. */
 import { setImmediate as macrotask } from "node:timers/promises";
 import type { LoadPolicy } from "../../src/coordination/forwarding/loadPolicy.ts";
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
@@ -16,13 +16,13 @@
 import { createLabRouter } from "./labRouter.ts";
 import { createLabArrivals } from "./workload.ts";
 
-/** What came of a run. */
+/** Result of a run. */
 export interface LabResult {
   readonly records: readonly LabRecord[];
   readonly totals: Readonly<WorkTotals>;
   readonly limits: readonly LimitPeriod[];
   readonly fleet: Pick<LabFleet, "replicas" | "refusals" | "reports">;
-  /** Datagrams between routers. */
+  /** Number of datagrams between routers. */
   readonly messages: number;
 }
 
@@ -30,10 +30,10 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Requests under way at the end of arrivals are given this time, simulated milliseconds. */
-const endTime = 16_000;
+/** Time for requests in progress to finish after the last arrival, simulated milliseconds. */
+const finishTime = 16_000;
 
-const entriesOf = ({ routers, dataCentres }: Experiment): readonly RouterEntry[] =>
+const routerEntriesOf = ({ routers, dataCentres }: Experiment): readonly RouterEntry[] =>
   Array.from({ length: routers }, (_, index) => ({
     name: `router-${index}`,
     incarnation: `process-${index}`,
@@ -42,7 +42,7 @@
     port: firstPort + index,
   }));
 
-/** Names new weights; routers hear of each engine's change as peers would tell them. */
+/** Publishes a new weights version; routers learn of each engine's change after the message delay, as from peers. */
 const changeWeights = (
   { messageDelay }: Experiment,
   clock: ManualClock,
@@ -53,24 +53,24 @@
   for (const { publish } of routers) {
     publish({ kind: "weights", target: { model: labNames.model, version } });
   }
-  const tell = (change: (router: LabRouter) => void): void => {
+  const announce = (change: (router: LabRouter) => void): void => {
     clock.after(messageDelay, () => routers.forEach(change));
   };
   void fleet.loadWeights(
     version,
     ({ entry }, until) =>
-      tell(({ replicas }) => {
+      announce(({ replicas }) => {
         const state = replicas.get(entry.id);
         if (state !== undefined) state.changingUntil = until;
       }),
     ({ entry }) =>
-      tell(({ replicas }) => {
+      announce(({ replicas }) => {
         replicas.noteWeights(entry.id, labNames.model, version);
       }),
   );
 };
 
-const strike = (
+const applyFault = (
   fault: Fault,
   experiment: Experiment,
   clock: ManualClock,
@@ -84,12 +84,12 @@
   else if (fault.kind === "draining") fleet.drain(fault.engines, fault.seconds);
   else if (fault.kind === "backingOff") {
     const { retryAfter } = fault;
-    const asked = retryAfter === undefined ? undefined : retryAfter * millisecondsPerSecond;
-    fleet.refuse(fault.engines, { retryAfter: asked }, fault.seconds);
+    const backoff = retryAfter === undefined ? undefined : retryAfter * millisecondsPerSecond;
+    fleet.refuse(fault.engines, { retryAfter: backoff }, fault.seconds);
   } else if (fault.kind === "storeDown") fleet.takeStoreDown(fault.seconds);
 };
 
-/** Advances from timer to timer; promises settle in between. */
+/** Advances the clock from timer to timer, and lets promises settle after each. */
 const runUntil = async (clock: ManualClock, end: number): Promise<void> => {
   for (let at = clock.nextTimer(); at !== undefined && at <= end; at = clock.nextTimer()) {
     clock.advanceTo(at);
@@ -97,7 +97,7 @@
   }
 };
 
-/** Runs one policy under one seed. */
+/** Runs an experiment with one policy and one seed. */
 export const runLab = async (
   experiment: Experiment,
   policy: LoadPolicy,
@@ -107,16 +107,16 @@
   const network = new MemoryNetwork(clock);
   network.delay = experiment.messageDelay;
   const fleet = createFleet(experiment, clock);
-  const all = entriesOf(experiment);
-  const routers = all.map((self) => {
+  const allRouters = routerEntriesOf(experiment);
+  const routers = allRouters.map((self) => {
     const { uniform: random } = createRandom(seed, self.name);
     const link = network.open(self.port);
-    return createLabRouter({ experiment, policy, clock, fleet, self, allRouters: all, link, random });
+    return createLabRouter({ experiment, policy, clock, fleet, self, allRouters, link, random });
   });
   const balancer = createRandom(seed, "balancer");
   const pickRouter = () => {
     const router = routers[balancer.index(routers.length)];
-    if (router === undefined) throw new RangeError("an experiment has routers");
+    if (router === undefined) throw new RangeError("the experiment has no routers");
     return router.forwarder;
   };
   const records = createLabArrivals(experiment, seed).map((arrival): LabRecord => ({
@@ -129,9 +129,9 @@
     clock.after(record.arrival.at, () => void runCaller({ clock, fleet, pickRouter }, record));
   }
   for (const fault of experiment.faults) {
-    clock.after(fault.at * millisecondsPerSecond, () => strike(fault, experiment, clock, fleet, routers));
+    clock.after(fault.at * millisecondsPerSecond, () => applyFault(fault, experiment, clock, fleet, routers));
   }
-  await runUntil(clock, experiment.seconds * millisecondsPerSecond + endTime);
+  await runUntil(clock, experiment.seconds * millisecondsPerSecond + finishTime);
   return {
     records,
     totals: fleet.totals,
--- a/bench/lab/workload.ts
+++ b/bench/lab/workload.ts
@@ -1,11 +1,11 @@
-/** Requests of an experiment: when they come, what their prompts share, and how long their answers are. */
+/** Generates the requests of an experiment: their arrival times, prompts and lengths of answers. */
 import type { Prompt } from "../../src/protocol/forwarding/types.ts";
 import type { Random } from "../model/random.ts";
 import { createRandom, createWeightedIndex, zipfWeights } from "../model/random.ts";
 import type { Experiment, KindSpecification } from "./experiment.ts";
 import { labNames } from "./fleet.ts";
 
-/** One request as its caller makes it. */
+/** A generated request. */
 export interface LabArrival {
   readonly id: string;
   /** Simulated milliseconds. */
@@ -13,19 +13,19 @@
   readonly kind: KindSpecification;
   readonly prompt: Prompt;
   readonly answerTokens: number;
-  /** After how many milliseconds the caller leaves, if it doesn't wait for its deadline. */
+  /** Time after which the caller cancels, milliseconds; `undefined` if it waits until its deadline. */
   readonly leavesAfter: number | undefined;
 }
 
-/** Callers that leave early do so within half of the objective. */
-const leavingShare = 0.5;
+/** Callers that cancel early do so within this share of the latency objective. */
+const latestLeaveShare = 0.5;
 
 const millisecondsPerSecond = 1_000;
 
 const isDuring = ({ at, seconds }: { readonly at: number; readonly seconds: number }, now: number): boolean =>
   now >= at * millisecondsPerSecond && now < (at + seconds) * millisecondsPerSecond;
 
-const rateAt = ({ faults }: Experiment, now: number): number =>
+const rateFactorAt = ({ faults }: Experiment, now: number): number =>
   faults.reduce(
     (factor, fault) => (fault.kind === "burst" && isDuring(fault, now) ? factor * fault.factor : factor),
     1,
@@ -35,17 +35,17 @@
   { faults }: Experiment,
   kind: KindSpecification,
   now: number,
-  usual: number,
+  usualSubject: number,
   random: Random,
 ): number => {
   for (const fault of faults) {
     const isHot = fault.kind === "hotSubject" && fault.of === kind.name && isDuring(fault, now);
     if (isHot && random.uniform() < fault.share) return 0;
   }
-  return usual;
+  return usualSubject;
 };
 
-const leavingAt = (
+const leaveDelayAt = (
   { faults }: Experiment,
   kind: KindSpecification,
   now: number,
@@ -53,19 +53,19 @@
 ): number | undefined => {
   for (const fault of faults) {
     const leaves = fault.kind === "leaving" && isDuring(fault, now) && random.uniform() < fault.share;
-    if (leaves) return random.uniform() * kind.objective * leavingShare;
+    if (leaves) return random.uniform() * kind.objective * latestLeaveShare;
   }
   return undefined;
 };
 
-const createPrompt = (kind: KindSpecification, subject: number, own: number, id: string): Prompt => {
+const createPrompt = (kind: KindSpecification, subject: number, ownTokens: number, id: string): Prompt => {
   const { openings, subjects } = kind;
   const parts = [
     { id: `${kind.name}-opening-${subject % openings.count}`, tokens: openings.tokens },
     { id: `${kind.name}-subject-${subject}`, tokens: subjects.tokens },
-    { id: `own-${id}`, tokens: own },
+    { id: `own-${id}`, tokens: ownTokens },
   ];
-  const tokens = openings.tokens + subjects.tokens + own;
+  const tokens = openings.tokens + subjects.tokens + ownTokens;
   return { model: labNames.model, tokens, answerTokens: kind.answerTokens, parts };
 };
 
@@ -80,18 +80,18 @@
   const arrivals: LabArrival[] = [];
   let at = 0;
   for (;;) {
-    at += random.exponential(millisecondsPerSecond / (kind.perSecond * rateAt(experiment, at)));
+    at += random.exponential(millisecondsPerSecond / (kind.perSecond * rateFactorAt(experiment, at)));
     if (at >= end) return arrivals;
     const id = `${kind.name}-${arrivals.length}`;
     const subject = subjectAt(experiment, kind, at, pickSubject(random), random);
-    const own = 1 + Math.round(random.exponential(kind.ownTokens));
+    const ownTokens = 1 + Math.round(random.exponential(kind.ownTokens));
     arrivals.push({
       id,
       at,
       kind,
-      prompt: createPrompt(kind, subject, own, id),
+      prompt: createPrompt(kind, subject, ownTokens, id),
       answerTokens: 1 + Math.round(random.exponential(kind.answerTokens)),
-      leavesAfter: leavingAt(experiment, kind, at, random),
+      leavesAfter: leaveDelayAt(experiment, kind, at, random),
     });
   }
 };
