--- a/bench/lab/LabReplicaClient.ts
+++ b/bench/lab/LabReplicaClient.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import { upstreamError } from "../../src/protocol/errors.ts";
-import type { ConnectionTrial } from "../../src/protocol/forwarding/ReplicaClient.ts";
+import type { ConnectionProbeResult } from "../../src/protocol/forwarding/ReplicaClient.ts";
 import { ReplicaClient } from "../../src/protocol/forwarding/ReplicaClient.ts";
 import type {
   AnswerHead,
@@ -38,7 +38,7 @@
   limit: limit?.isNamed === true ? limit.perSecond : undefined,
   isDraining,
   retryAfter: undefined,
-  closes: false,
+  closesConnection: false,
 });
 
 /** The reports of an engine that reports neither a limit nor draining. */
@@ -114,7 +114,7 @@
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
     await pause(this.clock, latency, signal);
-    if (signal.aborted || !call.mayLeave()) throw upstreamError("cancelled", "cancelled", "not_sent");
+    if (signal.aborted || !call.maySend()) throw upstreamError("cancelled", "cancelled", "not_sent");
     const replica = this.fleet.find(call.replica.id);
     if (replica === undefined || replica.state === "dark") return this.hang(signal);
     if (replica.state === "down") throw upstreamError("cannot connect", "unreachable", "not_sent");
@@ -128,7 +128,7 @@
     return isEnded ? this.refuse(call, replica.version, 503) : this.run(call, signal);
   }
 
-  override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionTrial> {
+  override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const state = this.fleet.find(id)?.state;
     const isUnresponsive = state === "dark" || state === undefined;
     await pause(this.clock, isUnresponsive ? timeout : latency);
--- a/bench/lab/caller.ts
+++ b/bench/lab/caller.ts
@@ -42,7 +42,7 @@
   headers: [],
   body: Buffer.alloc(0),
   arrivedAt,
-  patience: remaining,
+  timeout: remaining,
   key: undefined,
   prompt,
   countedTokens: undefined,
--- a/bench/lab/fleet.ts
+++ b/bench/lab/fleet.ts
@@ -131,7 +131,7 @@
   const recordChange = ({ kind, key }: UnitEvent): void => {
     const separator = key.lastIndexOf(" ");
     const isKept = kind === "stored";
-    changes.push({ isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
+    changes.push({ isStored: isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
   };
   const megabitsPerSecond = store?.linkMegabits ?? engines.linkMegabits;
   const endpoint: CacheEndpoint = {
--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -195,7 +195,7 @@
         coordination,
         replicas,
         clock,
-        announce: peers.tellLimit,
+        announce: peers.announceLimit,
         random,
       }),
       quarantine: noQuarantine,
--- a/bench/model/runRequest.ts
+++ b/bench/model/runRequest.ts
@@ -85,7 +85,7 @@
   promptTokens: arrival.promptTokens,
   maximumTokens: arrival.outputTokens,
   excluded,
-  furtherAttempt,
+  alreadyAdmitted: furtherAttempt,
 });
 
 /** Runs an attempt on the engine until the answer ends, the caller cancels, or the network or the engine fails. */
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -192,7 +192,7 @@
     const state = router.state();
     if (state.limit !== undefined && router.time.clock.monotonic() < state.limitedUntil && patience === 0)
       return false;
-    const promised = router.limits.take(state, patience);
+    const promised = router.limits.acquire(state, patience);
     if (promised === undefined) {
       sendTo(index, id);
       return true;
