--- a/bench/lab/figures.ts
+++ b/bench/lab/figures.ts
@@ -1,7 +1,7 @@
 /** Computes the figures of experiment runs: shares of requests, worth, latency, tokens and limits. */
 import type { LabRecord } from "./caller.ts";
 import type { LimitPeriod } from "./fleet.ts";
-import { allowedInWindow, mostInAnyWindow } from "../../tests/support/statedLimit.ts";
+import { allowedInWindow, mostInAnyWindow } from "../../tests/support/limitAllowance.ts";
 import type { LabResult } from "./simulation.ts";
 
 /**
