--- a/bench/lab/figures.ts
+++ b/bench/lab/figures.ts
@@ -1,7 +1,7 @@
 /** What runs of an experiment come to: shares of requests, worth and where it was lost, tokens. */
 import type { LabRecord } from "./caller.ts";
 import type { KeptLimit } from "./fleet.ts";
-import { allowedInWindow, mostInAnyWindow } from "../../tests/support/statedLimit.ts";
+import { allowedInWindow, mostInAnyWindow } from "../../tests/support/limitAllowance.ts";
 import type { LabResult } from "./simulation.ts";
 
 /** Figures of one run. Shares are of requests that are owed an answer, 0 to 1; tokens are thousands. */
--- a/bench/lab/simulation.ts
+++ b/bench/lab/simulation.ts
@@ -4,7 +4,7 @@
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
 import type { RouterEntry } from "../../src/protocol/forwarding/types.ts";
-import { MemoryNetwork } from "../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../tests/support/MemoryNetwork.ts";
 import { createRandom } from "../model/random.ts";
 import type { WorkTotals } from "./batchTypes.ts";
 import type { LabRecord } from "./caller.ts";
--- a/soak/platform/callers.ts
+++ b/soak/platform/callers.ts
@@ -10,7 +10,7 @@
   keys,
   promptHeaders,
 } from "../../standIns/platform/system.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import type { RouterPlace } from "./system.ts";
 import type { CallerRecord, RequestName } from "./types.ts";
 
@@ -44,7 +44,7 @@
 }
 
 const headersOf = ({ id, name, key }: Ask, { name: router }: RouterPlace): Record<string, string> => ({
-  [throughHeader]: router,
+  [routerHeader]: router,
   host: name === "read" || name === "post" ? hosts.desk : hosts.model,
   ...callHeaders(id, key, times.patience),
   ...(name === "ask" || name === "tag" ? promptHeaders() : {}),
--- a/soak/platform/checks.ts
+++ b/soak/platform/checks.ts
@@ -1,7 +1,7 @@
 /** What must hold whatever went wrong, on what callers and replicas saw. */
 import type { Arrival, ReceivedOrder } from "../../standIns/platform/replica.ts";
 import { cacheSaltOf } from "../../standIns/platform/system.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import type { Violation } from "../types.ts";
 import type { CallerRecord, History, ReplicaRecord, RequestName, StepRecord } from "./types.ts";
 
@@ -136,7 +136,7 @@
       }));
   });
 
-const routerOf = ({ headers }: Arrival): string => String(headers[throughHeader]);
+const routerOf = ({ headers }: Arrival): string => String(headers[routerHeader]);
 
 /** Whether a router lost what it knew, or could not act on it, between two moments. */
 const isRouterStruck = (steps: readonly StepRecord[], router: string, since: number, at: number): boolean =>
--- a/tests/support/returningStore.ts
+++ b/tests/support/restoredStore.ts
@@ -5,12 +5,12 @@
 import { call, configuration, hosts, isReady, startPlatformSystem } from "../../standIns/platform/system.ts";
 
 /** How long the store is away before it returns, milliseconds. */
-export const awayTime = 400;
+export const storeOutage = 400;
 
-export const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+export const readCall: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
 /** Served by configurations that have the added route. */
-export const added: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
+export const addedRouteCall: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
 /** Keys of an organisation whose key may be revoked. */
 export const revocableKey = "key-three";
@@ -23,7 +23,7 @@
   configuration(version, { routes: [...usual.routes, addedRoute] });
 
 /** A configuration with a third organisation, whose key is there or revoked. */
-export const withRevocable = (version: number, isRevoked: boolean) =>
+export const withRevocableKey = (version: number, isRevoked: boolean) =>
   configuration(version, {
     tenants: [
       ...usual.tenants,
@@ -32,13 +32,13 @@
   });
 
 /** Starts a system whose routers are all ready. */
-export const startReturningSystem = async (
+export const startRestorableSystem = async (
   settings: PlatformSystemSettings = {},
   routers = 6,
 ): Promise<PlatformSystem> => {
   const system = await startPlatformSystem({ desks: 4, engines: 5, ...settings });
   while (system.routers.length < routers) await system.startRouter();
-  await awaitThat(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   return system;
 };
 
@@ -78,15 +78,15 @@
 const longestSetUp = 10_000;
 
 /** Waits until something holds; throws if it takes too long. */
-export const awaitThat = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
+export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
   const time = await timeUntil(longestSetUp, condition);
   if (!Number.isFinite(time))
     throw new Error(`A condition of the test did not hold within ${longestSetUp} ms.`);
 };
 
 /** Waits until all routers answer a request with a status. */
-export const awaitStatus = (
+export const waitForStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
   asked: CallerCall,
-): Promise<void> => awaitThat(async () => (await countStatus(routers, status, asked)) === routers.length);
+): Promise<void> => waitUntil(async () => (await countStatus(routers, status, asked)) === routers.length);
