--- a/tests/support/FakeLogService.ts
+++ b/tests/support/FakeLogService.ts
@@ -1,5 +1,5 @@
-/** A log service in memory whose answers, arrivals and clock a test controls. */
-import { setImmediate as nextTurn } from "node:timers/promises";
+/** A log service in memory. A test controls which answers and appends are lost or delayed, and the timestamps. */
+import { setImmediate as nextLoopTurn } from "node:timers/promises";
 import type { PlatformError } from "../../src/protocol/errors.ts";
 import { platformError } from "../../src/protocol/errors.ts";
 import { LogService } from "../../src/protocol/LogService.ts";
@@ -7,34 +7,34 @@
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
-/** Enough for every promise that waits for nothing outside to settle. */
-const turnsBeforeTimePasses = 3;
+/** Turns of the event loop after which every promise that waits for neither the log nor a timer has settled. */
+const idleTurnsBeforeAdvance = 3;
 
-const lost = (): PlatformError => platformError("no answer", "unreachable", true);
-const refused = (): PlatformError => platformError("cannot connect", "unreachable", false);
+const answerLost = (): PlatformError => platformError("no answer", "unreachable", true);
+const connectionRefused = (): PlatformError => platformError("cannot connect", "unreachable", false);
 
-/** Streams in memory. */
+/** Streams in memory, with faults. */
 export class FakeLogService extends LogService {
-  /** Appends and reads are refused before they take effect. */
+  /** Appends and reads fail before they take effect. */
   isDown = false;
   readsFail = false;
-  /** The next N appends take effect, but nobody learns of it. */
+  /** The next N appends take effect, but their answers are lost. */
   loseAnswers = 0;
-  /** The next N appends are lost, which nobody learns of. */
+  /** The next N appends are lost without effect and without an answer. */
   loseAppends = 0;
-  /** The next N appends take effect only at {@link applyDelayedAppends}, and nobody learns of it. */
+  /** The next N appends take effect only at {@link applyDelayedAppends}, and their answers are lost. */
   delayAppends = 0;
   appends = 0;
   reads = 0;
-  /** Calls that have not been answered. */
+  /** Calls without an answer so far. */
   pendingCalls = 0;
-  /** Added to the wall clock. */
+  /** Added to the wall clock for the timestamps of records, milliseconds. */
   clockOffset = 0;
 
   private readonly clock: ManualClock;
   private readonly streams = new Map<string, LogRecord[]>();
   private readonly earliest = new Map<string, number>();
-  private delayed: (() => void)[] = [];
+  private delayedAppends: (() => void)[] = [];
 
   constructor(clock: ManualClock) {
     super();
@@ -59,24 +59,24 @@
   }
 
   private async appendNow(stream: string, records: readonly string[]): Promise<AppendedRecords> {
-    await nextTurn();
-    if (this.isDown) throw refused();
+    await nextLoopTurn();
+    if (this.isDown) throw connectionRefused();
     this.appends += 1;
-    const take = (): readonly number[] => this.take(stream, records);
-    if (this.loseAppends-- > 0) throw lost();
+    const apply = (): readonly number[] => this.appendRecords(stream, records);
+    if (this.loseAppends-- > 0) throw answerLost();
     if (this.delayAppends-- > 0) {
-      this.delayed.push(take);
-      throw lost();
+      this.delayedAppends.push(apply);
+      throw answerLost();
     }
-    const offsets = take();
-    await nextTurn();
-    if (this.loseAnswers-- > 0) throw lost();
+    const offsets = apply();
+    await nextLoopTurn();
+    if (this.loseAnswers-- > 0) throw answerLost();
     return { offsets, epoch: defaultEpoch };
   }
 
   private async readNow(stream: string, fromOffset: number, limit: number): Promise<LogPage> {
-    await nextTurn();
-    if (this.isDown || this.readsFail) throw refused();
+    await nextLoopTurn();
+    if (this.isDown || this.readsFail) throw connectionRefused();
     this.reads += 1;
     const records = this.streams.get(stream) ?? [];
     const earliestOffset = this.earliest.get(stream) ?? 0;
@@ -89,18 +89,18 @@
     };
   }
 
-  /** Lets what was delayed take effect. */
+  /** Applies the appends that were delayed. */
   applyDelayedAppends(): void {
-    const arriving = this.delayed;
-    this.delayed = [];
-    for (const take of arriving) take();
+    const due = this.delayedAppends;
+    this.delayedAppends = [];
+    for (const apply of due) apply();
   }
 
-  /** Forgets all records older than a time. */
+  /** Expires all records that were appended before a time. */
   expire(before: number): void {
     for (const [stream, records] of this.streams) {
-      const kept = records.findIndex(({ appendedAt }) => appendedAt >= before);
-      this.earliest.set(stream, kept === -1 ? records.length : kept);
+      const firstKept = records.findIndex(({ appendedAt }) => appendedAt >= before);
+      this.earliest.set(stream, firstKept === -1 ? records.length : firstKept);
     }
   }
 
@@ -108,7 +108,7 @@
     return [...this.streams.values()].flat();
   }
 
-  private take(stream: string, data: readonly string[]): readonly number[] {
+  private appendRecords(stream: string, data: readonly string[]): readonly number[] {
     const records = this.streams.get(stream) ?? [];
     this.streams.set(stream, records);
     const appendedAt = this.clock.wall() + this.clockOffset;
@@ -119,29 +119,29 @@
 }
 
 /**
- * Moves a clock on to its next timer whenever nothing else is under way, so that waits take no real time and
- * every run takes the same course.
+ * Advances a clock to its next timer whenever no call is pending and all promises have settled. So waits take no real
+ * time and every run is deterministic.
  *
- * @returns Ends it when disposed.
+ * @returns Stops driving the clock when disposed.
  */
 export const driveClock = (clock: ManualClock, log: FakeLogService): AsyncDisposable => {
   let stopped = false;
   const drive = async (): Promise<void> => {
-    let quietTurns = 0;
+    let idleTurns = 0;
     while (!stopped) {
-      await nextTurn();
-      quietTurns = log.pendingCalls > 0 ? 0 : quietTurns + 1;
+      await nextLoopTurn();
+      idleTurns = log.pendingCalls > 0 ? 0 : idleTurns + 1;
       const next = clock.nextTimer();
-      if (quietTurns < turnsBeforeTimePasses || next === undefined) continue;
+      if (idleTurns < idleTurnsBeforeAdvance || next === undefined) continue;
       clock.advanceTo(next);
-      quietTurns = 0;
+      idleTurns = 0;
     }
   };
-  const driving = drive();
+  const driven = drive();
   return {
     [Symbol.asyncDispose]: () => {
       stopped = true;
-      return driving;
+      return driven;
     },
   };
 };
--- a/tests/support/MemoryNetwork.ts
+++ b/tests/support/MemoryNetwork.ts
@@ -1,25 +1,24 @@
-/** Datagrams between routers in one process, under a test's clock. */
+/** Datagrams between routers in one process, on the clock of a test. */
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import type { DatagramAddress } from "../../src/protocol/forwarding/DatagramLink.ts";
 import { DatagramLink } from "../../src/protocol/forwarding/DatagramLink.ts";
 
-/** Datagrams in memory, with a delay, and none while the network is down. */
+/** Delivers datagrams in memory after a delay, with the faults that a test sets. Times in milliseconds. */
 export class MemoryNetwork {
   delay = 1;
   isDown = false;
-  /** One datagram of so many is lost; none with 0. */
+  /** Loses every n-th datagram; 0 for none. */
   loseEveryNth = 0;
-  /** One datagram of so many comes twice; none with 0. */
+  /** Delivers every n-th datagram twice; 0 for none. */
   duplicateEveryNth = 0;
-  /** One datagram of so many comes later by {@link extraDelay}; none with 0. */
+  /** Delivers every n-th datagram later by {@link extraDelay}; 0 for none. */
   delayEveryNth = 0;
-  /** Milliseconds. */
   extraDelay = 0;
-  /** Ports that reach only one another. */
+  /** Ports that can reach only one another. */
   isolatedPorts: ReadonlySet<number> = new Set();
-  /** Datagrams so far. */
+  /** Datagrams sent so far, lost ones included. */
   sent = 0;
-  /** Ports whose processes stand still: what comes for them waits, and they send nothing. */
+  /** Ports of paused processes, with the deliveries that wait for them. They send nothing. */
   private readonly frozen = new Map<number, (() => void)[]>();
   private readonly clock: ManualClock;
   private readonly listeners = new Map<number, ((datagram: Buffer, from: DatagramAddress) => void)[]>();
@@ -38,19 +37,19 @@
     for (const deliver of waiting) deliver();
   }
 
-  /** Whether the last datagram is one of each so many. */
-  private isEach(count: number): boolean {
+  /** Whether the last datagram sent is an n-th one. */
+  private isNth(count: number): boolean {
     return count > 0 && this.sent % count === 0;
   }
 
   open(port: number): DatagramLink {
     const from = { address: "10.0.0.1", port };
-    // A process that starts anew at a port takes the place of the one before.
+    // A new process at a port replaces the one before it.
     this.listeners.delete(port);
     const send = (to: DatagramAddress, datagram: Buffer): void => {
       this.sent += 1;
       if (this.isDown || this.frozen.has(port)) return;
-      if (this.isEach(this.loseEveryNth) || this.isolatedPorts.has(port) !== this.isolatedPorts.has(to.port))
+      if (this.isNth(this.loseEveryNth) || this.isolatedPorts.has(port) !== this.isolatedPorts.has(to.port))
         return;
       const deliver = (): void => {
         for (const listener of this.listeners.get(to.port) ?? []) listener(datagram, from);
@@ -60,8 +59,8 @@
         if (waiting === undefined) deliver();
         else waiting.push(deliver);
       };
-      this.clock.after(this.delay + (this.isEach(this.delayEveryNth) ? this.extraDelay : 0), arrive);
-      if (this.isEach(this.duplicateEveryNth)) this.clock.after(this.delay * 2, arrive);
+      this.clock.after(this.delay + (this.isNth(this.delayEveryNth) ? this.extraDelay : 0), arrive);
+      if (this.isNth(this.duplicateEveryNth)) this.clock.after(this.delay * 2, arrive);
     };
     const receive = (listener: (datagram: Buffer, from: DatagramAddress) => void): void => {
       this.listeners.set(port, [...(this.listeners.get(port) ?? []), listener]);
--- a/tests/support/configuration.ts
+++ b/tests/support/configuration.ts
@@ -1,14 +1,14 @@
-/** Configurations and a log for tests of the configuration. */
+/** Configurations and an in-memory log for tests that publish or read configurations. */
 import { configurationSchema } from "../../src/protocol/configuration/schema.ts";
 import type { Configuration } from "../../src/protocol/configuration/schema.ts";
 import type { LogPage, LogRecord } from "../../src/protocol/types.ts";
 import type { ConfigurationHistory } from "../../src/state/configurationHistory.ts";
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
-/** Whoever publishes in tests. */
+/** Author and time of the records that tests publish. */
 export const publisher = { publishedBy: "layla", publishedAt: 1_700_000_000_000 };
 
-/** A configuration with one organisation for each standing given. */
+/** @returns A valid configuration with one organisation for each of the standings. */
 export const configurationOf = (...standings: readonly number[]): Configuration =>
   configurationSchema.parse({
     schema: 1,
@@ -41,7 +41,7 @@
     limits: { claimRetention: 60_000, leaseDuration: 10_000, simultaneousLoads: 2 },
   });
 
-/** A log that keeps everything, and shows less of it. */
+/** Creates a log in memory. Records before the offset given to `expire` are not returned, as after log retention. */
 export const createMemoryLog = () => {
   const records: LogRecord[] = [];
   let earliestOffset = 0;
@@ -64,10 +64,9 @@
   };
 };
 
-/** See {@link createMemoryLog}. */
 export type MemoryLog = ReturnType<typeof createMemoryLog>;
 
-/** Reads what a history has not read yet. */
+/** Applies all records that a history has not read yet. */
 export const readAll = (history: ConfigurationHistory, log: MemoryLog): void => {
   const from = history.readTo();
   history.applyPage(from, log.read(from, Number.POSITIVE_INFINITY));
--- a/tests/support/crashingReplicas.ts
+++ b/tests/support/crashingReplicas.ts
@@ -1,23 +1,23 @@
-/** Replicas that crash under some requests and are back as new incarnations after a while, before real routers. */
+/** Replicas behind real routers. They crash on certain requests and restart later as new incarnations. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ReplicaSettings, ReplicaStandIn, Run } from "../../standIns/platform/replica.ts";
 import { startReplicaStandIn } from "../../standIns/platform/replica.ts";
 import type { PlatformSystem } from "../../standIns/platform/system.ts";
 
-/** How a body asks for what becomes of the replica that runs it. */
+/** Request bodies that crash the replica that runs them: at the start, or in the middle of the answer. */
 export const bodies = { deadly: "deadly", deadlyToo: "deadly too", deadlyMidway: "deadly midway" } as const;
 
-/** Until the registry names a crashed replica no more, and until it is back, milliseconds. */
-const times = { registered: 500, gone: 1_000 } as const;
+/** Time from a crash until the registry entry is removed, and until the replica is restarted, milliseconds. */
+const restartTimes = { deregistered: 500, restarted: 1_000 } as const;
 
 const pollInterval = 5;
 
-/** Keeps a number of replicas of each service running. */
+/** A number of replicas of each service, restarted after crashes. */
 export interface CrashingReplicas extends AsyncDisposable {
-  /** Runs of all incarnations with a body, the first one first. */
+  /** Runs of requests with a body, by incarnation in the order in which they started. */
   readonly runsOf: (body: string) => readonly Run[];
   readonly crashes: () => number;
-  /** Those that run now. */
+  /** The incarnations that have not crashed. */
   readonly running: () => readonly ReplicaStandIn[];
 }
 
@@ -26,39 +26,46 @@
   return body === bodies.deadly || body === bodies.deadlyToo ? "begin" : "never";
 };
 
-/** @param engineFields - Of every engine. */
+/**
+ * @param count - Replicas to run: `desks` serve the plain service, `engines` the model.
+ * @param engineFields - Settings of every engine.
+ */
 export const startCrashingReplicas = async (
   { store, register }: Pick<PlatformSystem, "store" | "register">,
   count: { readonly desks: number; readonly engines: number },
   engineFields: Partial<ReplicaSettings> = {},
 ): Promise<CrashingReplicas> => {
   const all: ReplicaStandIn[] = [];
-  const over = new AbortController();
+  const disposal = new AbortController();
 
-  /** Looks after one place until the end: whatever runs there is replaced once it has crashed. */
-  const keepUp = async (name: string, settings: Omit<ReplicaSettings, "id">, first: ReplicaStandIn) => {
+  /** Starts a new incarnation each time the replica has crashed, until the fixture is disposed. */
+  const restartAfterCrashes = async (
+    name: string,
+    settings: Omit<ReplicaSettings, "id">,
+    first: ReplicaStandIn,
+  ) => {
     let replica = first;
     for (let start = 2; ; start += 1) {
       while (!replica.hasCrashed()) {
-        if (over.signal.aborted) return;
+        if (disposal.signal.aborted) return;
         await sleep(pollInterval);
       }
       const { id } = replica;
-      await sleep(times.registered);
+      await sleep(restartTimes.deregistered);
       store.put("keyed.servers", id, undefined);
-      await sleep(times.gone - times.registered);
+      await sleep(restartTimes.restarted - restartTimes.deregistered);
       replica = await startReplicaStandIn({ ...settings, id: `${name}-start${start}` });
       all.push(replica);
       register(replica, settings.model === undefined ? { service: "desk" } : {});
     }
   };
 
-  const tasks: Promise<void>[] = [];
+  const restarts: Promise<void>[] = [];
   const start = async (name: string, settings: Omit<ReplicaSettings, "id">): Promise<void> => {
     const replica = await startReplicaStandIn({ ...settings, id: `${name}-start1` });
     all.push(replica);
     register(replica, settings.model === undefined ? { service: "desk" } : {});
-    tasks.push(keepUp(name, settings, replica));
+    restarts.push(restartAfterCrashes(name, settings, replica));
   };
   for (let index = 0; index < count.desks; index += 1) await start(`plain-${index}`, { crashesOn });
   for (let index = 0; index < count.engines; index += 1) {
@@ -70,8 +77,8 @@
     crashes: () => all.filter((replica) => replica.hasCrashed()).length,
     running: () => all.filter((replica) => !replica.hasCrashed()),
     [Symbol.asyncDispose]: async () => {
-      over.abort();
-      await Promise.all(tasks);
+      disposal.abort();
+      await Promise.all(restarts);
       await Promise.all(all.map((replica) => replica[Symbol.asyncDispose]()));
     },
   };
--- a/tests/support/eventStream.ts
+++ b/tests/support/eventStream.ts
@@ -1,8 +1,8 @@
-/** Reads streamed answers as their callers do. */
+/** Reads streamed answers as a caller does. */
 import { createParser } from "eventsource-parser";
 import type { EventSourceMessage } from "eventsource-parser";
 
-/** What a caller has read of a stream. */
+/** The part of a stream that a caller has received. */
 export interface ReadStream {
   readonly status: number;
   readonly events: readonly EventSourceMessage[];
@@ -18,21 +18,21 @@
   readonly error?: { readonly code: string; readonly outcome: string };
 }
 
-/** The end mark of a whole stream. */
+/** The data of the event that ends a complete stream. */
 export const endMarker = "[DONE]";
 
 const chunksOf = ({ events }: ReadStream): readonly Chunk[] =>
   events.filter(({ data }) => data !== endMarker).map(({ data }) => JSON.parse(data) as Chunk);
 
 /**
- * Reads a stream.
+ * Reads a stream until it ends or breaks.
  *
- * @param most - Stops after so many events, and drops the connection.
- * @param onEvent - Told after each event how many there are.
+ * @param maxEvents - The number of events after which the connection is closed.
+ * @param onEvent - Called after each event with the number of events so far.
  */
 export const readStream = async (
   answer: Response,
-  most = Infinity,
+  maxEvents = Infinity,
   onEvent?: (count: number) => void,
 ): Promise<ReadStream> => {
   const events: EventSourceMessage[] = [];
@@ -44,33 +44,33 @@
   });
   const decoder = new TextDecoder();
   const reader = answer.body?.getReader();
-  while (events.length < most) {
-    // A connection that breaks ends what the caller has.
+  while (events.length < maxEvents) {
+    // A broken connection ends the stream; the events received so far are returned.
     const next = await reader?.read().catch(() => undefined);
     const bytes = next?.value as Uint8Array | undefined;
     if (bytes === undefined) break;
     parser.feed(decoder.decode(bytes, { stream: true }));
   }
   await reader?.cancel().catch(() => undefined);
-  return { status: answer.status, events: events.slice(0, most) };
+  return { status: answer.status, events: events.slice(0, maxEvents) };
 };
 
-/** The text of one stream, or of several read one after another. */
+/** @returns The text of one stream, or of several that continue one another. */
 export const textOf = (...streams: readonly ReadStream[]): string =>
   streams
     .flatMap(chunksOf)
     .map(({ choices }) => choices?.[0]?.delta?.content ?? choices?.[0]?.text ?? "")
     .join("");
 
-/** True if the stream ended as whole, with its end mark last and once. */
+/** Whether the stream is complete: it has exactly one end marker, as its last event. */
 export const isComplete = ({ events }: ReadStream): boolean =>
   events.findIndex(({ data }) => data === endMarker) === events.length - 1 && events.length > 0;
 
-/** The failure that a stream ended with. */
+/** @returns The error that a stream ended with, if any. */
 export const failureOf = (stream: ReadStream): Chunk["error"] =>
   stream.events.at(-1)?.event === "error" ? chunksOf(stream).at(-1)?.error : undefined;
 
-/** Finish reason and usage of one stream, or of several read one after another. */
+/** @returns Finish reasons and usage of one stream, or of several that continue one another. */
 export const endingOf = (...streams: readonly ReadStream[]) => {
   const chunks = streams.flatMap(chunksOf);
   return {
@@ -79,14 +79,14 @@
   };
 };
 
-/** The id of the last event that has one. */
+/** @returns The id of the last event that has one; empty if there is none. */
 export const lastEventIdOf = ({ events }: ReadStream): string =>
   events.findLast(({ id }) => id !== undefined)?.id ?? "";
 
-/** Tokens that {@link streamedRequest} asks for. */
+/** Tokens in the answer to {@link streamedRequest}. */
 export const streamedTokens = 12;
 
-/** A question whose streamed answer is always as long as it may be. */
+/** The body of a request whose streamed answer always has the maximum length. */
 export const streamedRequest = {
   model: "records-assistant",
   max_tokens: streamedTokens,
--- a/tests/support/forwardingFixture.ts
+++ b/tests/support/forwardingFixture.ts
@@ -1,4 +1,4 @@
-/** Pieces that tests of forwarding's decisions share. */
+/** Configuration, routes, records and replicas that tests of forwarding share. */
 import type { ForwardingBounds } from "../../src/coordination/forwarding/types.ts";
 import type {
   ForwardingConfiguration,
@@ -51,7 +51,7 @@
   limits: { headerBytes: 16_384, bodyBytes: 100_000, headerTimeout: 3_000, idleTimeout: 15_000 },
 });
 
-/** A page of a feed that holds one record. */
+/** @returns A page of a feed with one record. */
 export const pageOf = (value: OperatorRecord, offset = 0) => ({
   records: [{ position: positionAt(offset), key: value.kind, value }],
   next: positionAt(offset + 1),
--- a/tests/support/limitAllowance.ts
+++ b/tests/support/limitAllowance.ts
@@ -1,15 +1,19 @@
-/** What a replica that names a limit may get, as it is stated; tests and the lab judge by it. */
+/** How many requests a replica that reports a rate limit may receive: the bound that tests and the lab check. */
 
-/** Beside the limit's rate; the grace of a router that has passed on such an answer, and windows: milliseconds. */
+/**
+ * The allowance over the reported limit: in any window a replica may receive `rateFactor` times the limit, and `extra`
+ * requests more. A router's requests count once `grace` has passed since it forwarded an answer that reports a limit.
+ * `grace` and `window` are in milliseconds.
+ */
 export const allowance = { rateFactor: 1.5, extra: 5, grace: 500, window: 4_000 } as const;
 
 const millisecondsPerSecond = 1_000;
 
-/** @returns What may come in a window, not rounded. */
+/** @returns The number of requests that a replica may receive in a window, not rounded. */
 export const allowedInWindow = (perSecond: number): number =>
   (allowance.rateFactor * perSecond * allowance.window) / millisecondsPerSecond + allowance.extra;
 
-/** @returns The most that came in any window, of moments in any order. */
+/** @returns The highest number of arrivals in any window; the moments may be in any order. */
 export const mostInAnyWindow = (moments: readonly number[]): number => {
   const sorted = [...moments].sort((left, right) => left - right);
   let most = 0;
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -1,4 +1,4 @@
-/** Routers in simulated time that keep to the limit of one replica, and what the replica gets. */
+/** Routers in simulated time that enforce the limit of one replica, and the requests that reach the replica. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { createCoordinators } from "../../src/coordination/coordinators/coordinators.ts";
 import { createKeyCoordination } from "../../src/coordination/coordinators/keyCoordination.ts";
@@ -14,14 +14,14 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Between two steps of the clock, milliseconds. */
+/** Length of a step of the clock, milliseconds. */
 const step = 5;
 
-/** Between two messages by which routers hear of one another where there are few, milliseconds. */
-const usualBeat = 400;
+/** Interval of heartbeats between routers unless a test sets another, milliseconds. */
+const defaultHeartbeatInterval = 400;
 
-/** Until a router's news of a limit is at the others, milliseconds. */
-const newsTime = 12;
+/** Time until an announced limit reaches the other routers, milliseconds. */
+const announcementDelay = 12;
 
 const dataCentres = 4;
 
@@ -31,27 +31,30 @@
   readonly router: number;
 }
 
-/** What is simulated. */
+/** What to simulate. */
 export interface LimitRoutersSettings {
   readonly routers: number;
-  /** What the replica's answers name at a moment, milliseconds since the start; nothing for no limit. */
+  /** The limit that the replica reports at a time of the clock, milliseconds; `undefined` if it reports none. */
   readonly limitAt: (time: number) => number | undefined;
-  /** How long an answer's head takes, milliseconds. */
-  readonly answerTime?: (turn: number) => number;
-  /** Whether routers tell one another of a limit. */
+  /** Time until the head of an answer arrives, milliseconds. */
+  readonly answerTime?: (requestNumber: number) => number;
+  /** Whether routers announce limits to one another. */
   readonly announcesLimits?: boolean;
-  /** Between two messages by which routers hear of one another, milliseconds: longer where there are many. */
+  /** Interval of heartbeats between routers, milliseconds; longer where there are many routers. */
   readonly heartbeatInterval?: number;
 }
 
-/** A router's clock, which stands still together with its process while it is suspended, or goes on without it. */
+/**
+ * A router's clock. While the VM is suspended, both the clock and the process are stopped; while only the process is
+ * paused, the clock goes on and timers run late.
+ */
 const createSuspendableClock = (clock: ManualClock) => {
-  let lost = 0;
+  let suspendedTime = 0;
   let isStalled = false;
   let suspendedAt: number | undefined;
   let waiting: (() => void)[] = [];
   const own: Clock = {
-    monotonic: () => (suspendedAt ?? clock.monotonic()) - lost,
+    monotonic: () => (suspendedAt ?? clock.monotonic()) - suspendedTime,
     wall: clock.wall,
     after: (delay, callback) =>
       clock.after(delay, () => {
@@ -66,7 +69,7 @@
   };
   return {
     clock: own,
-    /** The process alone stands still. */
+    /** Pauses the process only. */
     pauseProcess: (): void => {
       isStalled = true;
     },
@@ -79,29 +82,29 @@
     },
     resume: (): void => {
       if (suspendedAt === undefined) return;
-      lost += clock.monotonic() - suspendedAt;
+      suspendedTime += clock.monotonic() - suspendedAt;
       suspendedAt = undefined;
       runDue();
     },
   };
 };
 
-/** Starts routers that have run long enough for one of them to grant. */
+/** Starts routers, and runs them until a coordinator may grant requests. */
 export const createLimitRouters = async (settings: LimitRoutersSettings) => {
   const {
     limitAt,
     answerTime = () => 60,
-    announcesLimits: isTold = true,
-    heartbeatInterval: beatInterval = usualBeat,
+    announcesLimits = true,
+    heartbeatInterval = defaultHeartbeatInterval,
   } = settings;
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
   const arrivals: Arrival[] = [];
-  /** By router: when it first passed on an answer that names a limit. */
-  const toldAt = new Map<number, number>();
+  /** By router: when it first forwarded an answer that reports a limit. */
+  const firstReportedAt = new Map<number, number>();
   let replicaId = "engine-1";
-  let turns = 0;
-  let heads = 0;
+  let nextRouter = 0;
+  let requests = 0;
 
   const entries = Array.from({ length: settings.routers }, (_, index) => ({
     name: `router-${index}`,
@@ -121,26 +124,26 @@
     const time = createSuspendableClock(clock);
     const replicas = createReplicaTable();
     replicas.put(engineEntry(replicaId, { dataCentre: "centre-0" }));
-    const keeping = createKeyCoordination({
+    const coordination = createKeyCoordination({
       self,
       link,
       clock: time.clock,
       others: () => others,
-      nearestDataCentre: (subject) => replicas.get(subject)?.entry.dataCentre,
+      nearestDataCentre: (key) => replicas.get(key)?.entry.dataCentre,
       random: () => 0.5,
     });
-    const tell = ({ limit }: ReplicaState): void => {
-      if (limit === undefined || !isTold) return;
-      const told = toReportedLimitMessage(limit, time.clock.monotonic());
-      clock.after(newsTime, () => {
-        if (!network.isDown) routers.forEach((each) => each.hearNews(index, told));
+    const announce = ({ limit }: ReplicaState): void => {
+      if (limit === undefined || !announcesLimits) return;
+      const message = toReportedLimitMessage(limit, time.clock.monotonic());
+      clock.after(announcementDelay, () => {
+        if (!network.isDown) routers.forEach((each) => each.receiveLimit(index, message));
       });
     };
     const limits = createReplicaLimits({
-      coordination: keeping,
+      coordination,
       replicas,
       clock: time.clock,
-      announce: tell,
+      announce,
       random: () => 0.5,
     });
     const state = (): ReplicaState => {
@@ -148,19 +151,19 @@
       if (known === undefined) throw new Error("The replica is not registered.");
       return known;
     };
-    const beat = (): void => {
+    const sendHeartbeats = (): void => {
       for (const { at } of others) link.send(at, Buffer.from([0]));
-      time.clock.after(beatInterval, beat);
+      time.clock.after(heartbeatInterval, sendHeartbeats);
     };
-    beat();
+    sendHeartbeats();
     return {
       time,
       replicas,
       limits,
       state,
-      hearNews: (from: number, told: ReturnType<typeof toReportedLimitMessage>): void => {
+      receiveLimit: (from: number, message: ReturnType<typeof toReportedLimitMessage>): void => {
         const isCut = network.isolatedPorts.has(self.port) !== network.isolatedPorts.has(from + 1);
-        if (from !== index && !isCut) noteAnnouncedLimit(state(), told, time.clock.monotonic());
+        if (from !== index && !isCut) noteAnnouncedLimit(state(), message, time.clock.monotonic());
       },
     };
   };
@@ -173,51 +176,52 @@
     return router;
   };
 
-  /** The request leaves, and its answer's head comes back a while later. */
+  /** Sends a request; the head of its answer arrives after the answer time. */
   const sendTo = (index: number, id: string): void => {
     const router = routerAt(index);
     const askedAt = router.time.clock.monotonic();
     arrivals.push({ at: clock.monotonic(), router: index });
-    heads += 1;
-    clock.after(answerTime(heads), () => {
-      const named = limitAt(clock.monotonic());
+    requests += 1;
+    clock.after(answerTime(requests), () => {
+      const perSecond = limitAt(clock.monotonic());
       const state = router.replicas.get(id);
       if (state === undefined) return;
-      if (named !== undefined && !toldAt.has(index)) toldAt.set(index, clock.monotonic());
+      if (perSecond !== undefined && !firstReportedAt.has(index))
+        firstReportedAt.set(index, clock.monotonic());
       const span = { askedAt, receivedAt: router.time.clock.monotonic() };
-      if (named === undefined) router.limits.observeNoLimit(state, span);
-      else router.limits.observeLimit(state, { perSecond: named, ...span });
+      if (perSecond === undefined) router.limits.observeNoLimit(state, span);
+      else router.limits.observeLimit(state, { perSecond, ...span });
     });
   };
 
-  /** A router would like to send a request there; it goes elsewhere if it has no turn. */
-  const send = async (index: number, patience = 0): Promise<boolean> => {
+  /** Sends a request to the replica if the router gets a grant within the longest wait, milliseconds. */
+  const send = async (index: number, maxWait = 0): Promise<boolean> => {
     const router = routerAt(index);
     const id = replicaId;
     const state = router.state();
-    if (state.limit !== undefined && router.time.clock.monotonic() < state.limitedUntil && patience === 0)
+    if (state.limit !== undefined && router.time.clock.monotonic() < state.limitedUntil && maxWait === 0)
       return false;
-    const promised = router.limits.take(state, patience);
-    if (promised === undefined) {
+    const promisedGrant = router.limits.take(state, maxWait);
+    if (promisedGrant === undefined) {
       sendTo(index, id);
       return true;
     }
-    const turn = await promised;
-    if (turn === undefined) return false;
-    const leave = (): void => {
-      if (router.time.clock.monotonic() < turn.until) sendTo(index, id);
+    const grant = await promisedGrant;
+    if (grant === undefined) return false;
+    const sendBeforeExpiry = (): void => {
+      if (router.time.clock.monotonic() < grant.until) sendTo(index, id);
     };
-    const wait = turn.from - router.time.clock.monotonic();
-    if (wait > 0) router.time.clock.after(wait, leave);
-    else leave();
+    const wait = grant.from - router.time.clock.monotonic();
+    if (wait > 0) router.time.clock.after(wait, sendBeforeExpiry);
+    else sendBeforeExpiry();
     return true;
   };
 
   const advance = async (milliseconds: number): Promise<void> => {
-    const until = clock.monotonic() + milliseconds;
-    while (clock.monotonic() < until) {
-      clock.advanceTo(Math.min(until, clock.monotonic() + step));
-      for (let turn = 0; turn < 8; turn += 1) await Promise.resolve();
+    const end = clock.monotonic() + milliseconds;
+    while (clock.monotonic() < end) {
+      clock.advanceTo(Math.min(end, clock.monotonic() + step));
+      for (let microtask = 0; microtask < 8; microtask += 1) await Promise.resolve();
     }
   };
 
@@ -232,7 +236,7 @@
     startedAt,
     send,
     advance,
-    /** A VM stands still: its process, its clock and its datagrams. */
+    /** Suspends a VM: its process, its clock and its datagrams. */
     suspend: (index: number): void => {
       network.freeze(index + 1);
       routerAt(index).time.suspend();
@@ -241,7 +245,7 @@
       routerAt(index).time.resume();
       network.thaw(index + 1);
     },
-    /** A process stands still, and its datagrams with it. */
+    /** Pauses a process and its datagrams; the clock goes on. */
     pauseProcess: (index: number): void => {
       network.freeze(index + 1);
       routerAt(index).time.pauseProcess();
@@ -250,12 +254,12 @@
       routerAt(index).time.resumeProcess();
       network.thaw(index + 1);
     },
-    /** A process starts anew in the place of a router's. */
+    /** Replaces a router by a new process without state. */
     restart: (index: number): void => {
       routers[index] = start(index);
-      toldAt.delete(index);
+      firstReportedAt.delete(index);
     },
-    /** The replica crashes and is back under another id, maybe at the same address. */
+    /** The replica crashes and is replaced by one with another id, possibly at the same address. */
     replaceReplica: (id: string): void => {
       const before = replicaId;
       replicaId = id;
@@ -263,9 +267,9 @@
         replicas.remove(before);
         replicas.put(engineEntry(id, { dataCentre: "centre-0" }));
       }
-      toldAt.clear();
+      firstReportedAt.clear();
     },
-    /** @returns The routers in the order in which they keep the limit. */
+    /** @returns The routers in the order of the replica's key: its coordinator and the successors. */
     coordinators: (): readonly number[] => {
       const all = entries.map(({ name, dataCentre, address, port }) => ({
         name,
@@ -283,25 +287,25 @@
       const order = coordinators.orderFor(replicaId);
       return order.map(({ name }) => entries.findIndex((entry) => entry.name === name));
     },
-    /** Sends at a pace from routers in turn. */
-    flood: async (perSecond: number, seconds: number, patience = 0): Promise<void> => {
+    /** Sends requests at a constant rate from the routers in turn, without waiting for grants. */
+    flood: async (perSecond: number, seconds: number, maxWait = 0): Promise<void> => {
       for (let count = 0; count < perSecond * seconds; count += 1) {
-        void send(turns % routers.length, patience);
-        turns += 1;
+        void send(nextRouter % routers.length, maxWait);
+        nextRouter += 1;
         await advance(millisecondsPerSecond / perSecond);
       }
     },
-    /** @returns The most that came in any window from routers that had been told a moment before. */
+    /** @returns The most arrivals in any window from routers that had known the limit for the grace time. */
     highestIntake: (from = 0): number =>
       mostInAnyWindow(
         arrivals
           .filter(
             ({ at, router }) =>
-              at >= from && at >= (toldAt.get(router) ?? Number.POSITIVE_INFINITY) + allowance.grace,
+              at >= from && at >= (firstReportedAt.get(router) ?? Number.POSITIVE_INFINITY) + allowance.grace,
           )
           .map(({ at }) => at),
       ),
-    /** @returns What came in the last milliseconds. */
+    /** @returns The number of arrivals in the last milliseconds. */
     countRecentArrivals: (milliseconds: number): number =>
       arrivals.filter(({ at }) => at > clock.monotonic() - milliseconds).length,
   };
--- a/tests/support/localSystem.ts
+++ b/tests/support/localSystem.ts
@@ -1,4 +1,4 @@
-/** Routers and stand-ins in one process over real sockets, for tests that need no process to die. */
+/** Routers and stand-ins in one process over real sockets, for tests in which no process is killed. */
 import { createHash } from "node:crypto";
 import { readFile } from "node:fs/promises";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -22,10 +22,10 @@
 import type { ResourceStack } from "../../src/protocol/resourceStack.ts";
 import { createResourceStack } from "../../src/protocol/resourceStack.ts";
 
-/** The operators' key of test routers. */
+/** The operator key that test routers accept. */
 export const operatorKey = "test-operator-key";
 
-/** What to start; the configuration is that of `examples/demo.json`, changed as wanted. */
+/** What to start. The configuration is `examples/demo.json`, changed by `changeConfiguration`. */
 export interface LocalSystemOptions {
   readonly routers?: number;
   /** Replicas of `records-assistant`. */
@@ -47,17 +47,19 @@
   readonly services: readonly ServiceStandIn[];
   readonly logService: LogServiceStandIn;
   readonly vmList: VmListStandIn;
-  /** A call to a router as an organisation; `petra-wings` unless named. */
+  /** Calls a router as an organisation. */
   readonly call: (path: string, options?: CallOptions) => Promise<Response>;
-  /** Ends a router abruptly, as far as that goes within one process. */
+  /** Stops a router as abruptly as is possible within one process. */
   readonly stopRouter: (index: number) => Promise<void>;
-  /** Starts a router in the place of one that was stopped; resolves as soon as it listens. */
+  /** Starts a router in place of one that was stopped; resolves as soon as it listens. */
   readonly startRouter: (index: number, changes?: Partial<RouterSettings>) => Promise<Router>;
 }
 
 /** A call to a router. */
 export interface CallOptions {
+  /** The index of the router; 0 by default. */
   readonly router?: number;
+  /** `petra-wings` by default. */
   readonly organisation?: string;
   readonly method?: string;
   readonly body?: unknown;
@@ -69,7 +71,7 @@
 const readyPolls = 400;
 const readyInterval = 10;
 
-/** Upstreams are named POOL-NUMBER. */
+/** @returns The entry of an upstream, whose name is POOL-NUMBER. */
 const listUpstream = (role: "engine" | "service", standIn: EngineStandIn | ServiceStandIn): ListedVm => ({
   id: standIn.name,
   dataCentre,
@@ -84,7 +86,7 @@
   readonly replicas: number;
 }
 
-/** The names of the replicas to start, with their pools. */
+/** @returns The names of the replicas to start, with their pools. */
 const listReplicas = <T extends Pool>(
   pools: readonly T[],
   counts: ReadonlyMap<string, number>,
@@ -238,7 +240,7 @@
   };
 };
 
-/** The headers of a call that may run at most once. */
+/** @returns The headers of a call that may run at most once. */
 export const atMostOnceHeaders = (key: string): Readonly<Record<string, string>> => ({
   [headers.idempotent]: "false",
   [headers.idempotencyKey]: key,
--- a/tests/support/peerNodes.ts
+++ b/tests/support/peerNodes.ts
@@ -1,4 +1,4 @@
-/** Routers' memberships joined by a fake network whose connections a test cuts, under a clock that it moves. */
+/** Router memberships connected by a fake network. A test cuts its connections and advances the clock. */
 import { fromBinary } from "@bufbuild/protobuf";
 import { ConfigurationExchange } from "../../src/coordination/membership/configurationExchange.ts";
 import { peerTimeouts } from "../../src/coordination/membership/constants.ts";
@@ -26,10 +26,10 @@
 import type { PeerDirectory } from "../../src/state/peerDirectory.ts";
 import { createPeerDirectory } from "../../src/state/peerDirectory.ts";
 
-/** Milliseconds of one step of the clock. */
+/** Length of a step of the clock, milliseconds. */
 const step = 25;
 
-/** One router's membership. */
+/** The membership of one router. */
 export interface PeerNode {
   readonly name: string;
   readonly membership: Membership;
@@ -38,24 +38,24 @@
   readonly engines: EngineDirectory;
   readonly history: ConfigurationHistory;
   readonly exchange: ConfigurationExchange;
-  /** Names of the live peers, itself among them. */
+  /** @returns The joined names of the live peers, including its own. */
   readonly live: () => string;
-  /** Says that the log has been read now. */
+  /** Records that the log was read just now. */
   readonly noteLogRead: () => void;
 }
 
-/** The nodes and what is between them. */
+/** The nodes and the network between them. */
 export interface PeerNodes extends AsyncDisposable {
   readonly node: (name: string) => PeerNode;
-  /** Starts a node; in place of an earlier one of its name, if there was one. */
+  /** Starts a node, replacing the one of the same name if there is one. */
   readonly start: (name: string, dataCentre?: string) => PeerNode;
-  /** A connection breaks, and no new one is made. */
+  /** Breaks the connections between two nodes, and prevents new ones until {@link PeerNodes.heal}. */
   readonly cut: (left: string, right: string) => void;
   readonly heal: () => void;
-  /** A process stands still: its connections stay, but it neither sends nor takes anything. */
+  /** Pauses a process: its connections stay open, but it neither sends nor receives. */
   readonly freeze: (name: string) => void;
   readonly thaw: (name: string) => void;
-  /** Tells every node of all nodes. */
+  /** Gives every node the list of all nodes, as the platform's VM list would. */
   readonly publishVmList: () => void;
   readonly advance: (milliseconds: number) => Promise<void>;
   readonly now: () => number;
@@ -63,7 +63,7 @@
 
 const urlOf = (name: string): string => `http://${name}`;
 
-/** Makes an empty set of nodes. */
+/** Creates an empty set of nodes. */
 export const createPeerNodes = (): PeerNodes => {
   const clock = createManualClock();
   const nodes = new Map<string, PeerNode>();
@@ -94,12 +94,12 @@
   const open = (from: string, to: string, session: Uint8Array): PeerLink => {
     const handler = handlers.get(to);
     const router = sessions.get(Buffer.from(session).toString("hex"));
-    let over = false;
+    let hasEnded = false;
     let resolve = (): void => undefined;
     const ended = new Promise<void>((settle) => (resolve = settle));
     const end = (): void => {
-      if (over) return;
-      over = true;
+      if (hasEnded) return;
+      hasEnded = true;
       links.delete(link);
       resolve();
       if (router !== undefined && !frozen.has(to)) handler?.streamEnded(router);
@@ -107,10 +107,10 @@
     const link = { from, to, end };
     links.add(link);
     const send = (message: Uint8Array): boolean => {
-      if (over || handler === undefined || router === undefined) return false;
+      if (hasEnded || handler === undefined || router === undefined) return false;
       if (isFrozen(from, to)) return true;
       if (!handler.receive(router, fromBinary(PeerMessageSchema, message))) end();
-      return !over;
+      return !hasEnded;
     };
     return {
       send,
@@ -140,7 +140,7 @@
     }
   }
 
-  const make = (name: string, dataCentre: string): PeerNode => {
+  const createNode = (name: string, dataCentre: string): PeerNode => {
     const network = new FakePeerNetwork(name);
     const peers = createPeerDirectory(name, peerTimeouts);
     const history = createConfigurationHistory();
@@ -148,10 +148,10 @@
     let logReadAt: number | undefined;
     const nodeClock = {
       ...clock,
-      // Timers of a process that stands still run late, when it goes on.
+      // Timers of a paused process run late, when it resumes.
       after: (delay: number, callback: () => void) =>
         clock.after(delay, () => {
-          if (frozen.has(name)) held.push({ name, callback });
+          if (frozen.has(name)) deferredTimers.push({ name, callback });
           else callback();
         }),
     };
@@ -200,7 +200,7 @@
     };
   };
 
-  let held: { readonly name: string; readonly callback: () => void }[] = [];
+  let deferredTimers: { readonly name: string; readonly callback: () => void }[] = [];
   const endLinks = (matches: (from: string, to: string) => boolean): void => {
     for (const { from, to, end } of [...links]) {
       if (matches(from, to)) end();
@@ -213,7 +213,7 @@
     return found;
   };
 
-  const announce = (): void => {
+  const publishVmList = (): void => {
     const vms = [...nodes.keys()].map((id): ListedVm => ({
       id,
       dataCentre: dataCentres.get(id) ?? "",
@@ -231,9 +231,9 @@
     start: (name, dataCentre = "amman-north") => {
       endLinks((from, to) => from === name || to === name);
       dataCentres.set(name, dataCentre);
-      const made = make(name, dataCentre);
-      nodes.set(name, made);
-      return made;
+      const started = createNode(name, dataCentre);
+      nodes.set(name, started);
+      return started;
     },
     cut: (left, right) => {
       cuts.add(`${left} ${right}`);
@@ -243,11 +243,11 @@
     freeze: (name) => frozen.add(name),
     thaw: (name) => {
       frozen.delete(name);
-      const due = held.filter((item) => item.name === name);
-      held = held.filter((item) => item.name !== name);
+      const due = deferredTimers.filter((item) => item.name === name);
+      deferredTimers = deferredTimers.filter((item) => item.name !== name);
       for (const { callback } of due) callback();
     },
-    publishVmList: announce,
+    publishVmList,
     advance: async (milliseconds) => {
       const end = clock.monotonic() + milliseconds;
       while (clock.monotonic() < end) {
--- a/tests/support/positions.ts
+++ b/tests/support/positions.ts
@@ -1,4 +1,4 @@
-/** Positions of a store without epochs. */
+/** Positions in a store that reports no epoch. */
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 import { StorePosition } from "../../src/protocol/StorePosition.ts";
 
--- a/tests/support/quarantineRouters.ts
+++ b/tests/support/quarantineRouters.ts
@@ -1,5 +1,5 @@
-/** Routers that hold back requests together: datagrams and the store's records in memory, under a test's clock. */
-import { setImmediate as settled } from "node:timers/promises";
+/** Routers that quarantine requests together, on the clock of a test. Datagrams and the store's records are in memory. */
+import { setImmediate as nextLoopTurn } from "node:timers/promises";
 import { createQuarantine } from "../../src/coordination/crashes/quarantine.ts";
 import type { Quarantine } from "../../src/coordination/crashes/quarantine.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
@@ -18,16 +18,16 @@
 import type { StoreEpochs } from "../../src/state/storeEpochs.ts";
 import { createStoreEpochs } from "../../src/state/storeEpochs.ts";
 
-/** The store's records of one topic. */
+/** The records of one topic in the store. */
 export interface MemoryRecords {
   readonly log: FeedRecord<QuarantineRecord>[];
-  /** Ports of routers that the store does not answer. */
+  /** Ports of routers that can't reach the store. */
   readonly cutOffPorts: Set<number>;
   reads: number;
   epoch: StoreEpoch;
 }
 
-/** One router's way to them. */
+/** The access of one router to the records. */
 class MemoryFeed extends RecordFeed<QuarantineRecord> {
   readonly epochs = createStoreEpochs();
   private readonly records: MemoryRecords;
@@ -86,7 +86,7 @@
   }
 }
 
-/** A request of one caller. */
+/** @returns A request of the same caller and path, whatever its body. */
 export const requestOf = (body: string, id = body): CallerRequest => ({
   id,
   method: "POST",
@@ -107,24 +107,25 @@
   hasBegun,
 });
 
-/** A router, and what a test lets happen there. */
+/** One router. */
 export interface QuarantineRouter {
   readonly port: number;
   readonly quarantine: Quarantine;
 }
 
-/** Milliseconds between two turns in which promises settle, and between two messages to peers. */
+/** Length of a step of the clock, after which promises settle; milliseconds. */
 const step = 10;
-const beatInterval = 200;
+/** Interval of the messages that routers send to one another, milliseconds. */
+const heartbeatInterval = 200;
 
-/** Starts routers that know one another. */
+/** Starts routers that know one another, at ports from 1 on. */
 export const createQuarantineRouters = (count: number) => {
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
   const records: MemoryRecords = { log: [], cutOffPorts: new Set(), reads: 0, epoch: 1 };
   const routers: QuarantineRouter[] = [];
-  const trackers: StoreEpochs[] = [];
-  /** Ports that exchange no datagrams with the rest. */
+  const allEpochs: StoreEpochs[] = [];
+  /** Ports that exchange no messages with the rest. */
   const isolatedPorts = new Set<number>();
 
   const start = (port: number): QuarantineRouter => {
@@ -135,7 +136,7 @@
         .map((other) => ({ at: { address: "10.0.0.1", port: other.port } }));
     const feed = new MemoryFeed(records, port);
     const { epochs } = feed;
-    trackers.push(epochs);
+    allEpochs.push(epochs);
     const random = (): number => port / (count + 100);
     const quarantine = createQuarantine({ link, clock, feed, epochs, others, random });
     const router = { port, quarantine };
@@ -144,31 +145,31 @@
   };
   for (let port = 1; port <= count; port += 1) start(port);
 
-  /** The store loses all records from an offset on. */
+  /** Restores the store from an older copy: all records from an offset on are lost, and a new epoch begins. */
   const restoreStore = (length: number): void => {
     records.log.length = length;
     records.epoch += 1;
-    // Routers read other topics all the time.
-    for (const epochs of trackers) epochs.observe(records.epoch);
+    // Routers also read other topics, and so soon observe the new epoch.
+    for (const epochs of allEpochs) epochs.observe(records.epoch);
   };
 
-  /** What routers' messages to one another say all the time. */
-  const beat = (): void => {
+  /** Exchanges the digests that routers' messages to one another contain. */
+  const sendHeartbeats = (): void => {
     for (const { port, quarantine } of routers) {
       for (const other of routers) {
         if (isolatedPorts.has(other.port) === isolatedPorts.has(port))
           other.quarantine.notePeerDigest(quarantine.digest());
       }
     }
-    clock.after(beatInterval, beat);
+    clock.after(heartbeatInterval, sendHeartbeats);
   };
-  beat();
+  sendHeartbeats();
 
   const advance = async (milliseconds: number): Promise<void> => {
-    const until = clock.monotonic() + milliseconds;
-    while (clock.monotonic() < until) {
-      clock.advanceTo(Math.min(until, clock.monotonic() + step));
-      for (let turn = 0; turn < 3; turn += 1) await settled();
+    const end = clock.monotonic() + milliseconds;
+    while (clock.monotonic() < end) {
+      clock.advanceTo(Math.min(end, clock.monotonic() + step));
+      for (let loop = 0; loop < 3; loop += 1) await nextLoopTurn();
     }
   };
 
@@ -194,7 +195,11 @@
     },
     at,
     advance,
-    /** A replica crashes with requests in flight at one router. @param begun - Bodies whose answer had begun. */
+    /**
+     * A replica crashes with requests of one router in flight.
+     *
+     * @param begun - Bodies of requests whose answer had begun.
+     */
     crash: (
       index: number,
       replica: string,
@@ -204,15 +209,19 @@
       const suspects = bodies.map((body) => suspectOf(body, begun.includes(body)));
       at(index).quarantine.noteCrash({ replica, suspects });
     },
-    /** At which routers a request would not be sent. */
+    /** @returns Ports of the routers that quarantine a request. */
     quarantinedAt: (body: string): readonly number[] =>
       routers.filter(({ quarantine }) => quarantine.isQuarantined(requestOf(body))).map(({ port }) => port),
-    /** Asks whether a request may be passed on; moves on until there is an answer. */
+    /**
+     * Requests admission for a request, and advances the clock until it is decided.
+     *
+     * @returns The wait that the quarantine gives if it does not admit the request; `undefined` if it does.
+     */
     admit: async (index: number, body: string, id = `${body}-${clock.monotonic()}-${index}`) => {
       const request = requestOf(body, id);
       let result: { readonly wait: number | undefined } | undefined;
-      const asked = at(index).quarantine.admit(request) ?? Promise.resolve(undefined);
-      void asked.then((wait) => {
+      const admission = at(index).quarantine.admit(request) ?? Promise.resolve(undefined);
+      void admission.then((wait) => {
         result = { wait };
       });
       while (result === undefined) await advance(step);
--- a/tests/support/replicaReports.ts
+++ b/tests/support/replicaReports.ts
@@ -1,4 +1,4 @@
-/** Arrivals at replicas that report draining or ask for backoff, by router. */
+/** Counts arrivals, by router, at replicas that report draining or request backoff. */
 import type { Arrival, ReplicaStandIn } from "../../standIns/platform/replica.ts";
 import { drainingReplicaOf } from "../../standIns/platform/system.ts";
 import type { ReceivedAnswer } from "./limitedReplicas.ts";
@@ -6,12 +6,16 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Requests under way when a replica asks for backoff may arrive for so long, milliseconds. */
+/** Time for which requests already sent may still arrive after a replica requested backoff, milliseconds. */
 const backoffGrace = 500;
 
 const routerOf = ({ headers }: Pick<Arrival, "headers">): string => String(headers[routerHeader]);
 
-/** @returns Arrivals from routers that had passed on an answer that reports draining longer than a bound before. */
+/**
+ * @param answers - All answers that callers received.
+ * @param bound - Milliseconds.
+ * @returns The number of arrivals from a router later than the bound after it forwarded an answer that reports draining.
+ */
 export const arrivalsAfterDraining = (
   replica: Pick<ReplicaStandIn, "id" | "arrivals">,
   answers: readonly ReceivedAnswer[],
@@ -29,7 +33,11 @@
   }).length;
 };
 
-/** @returns Arrivals from each router longer than a bound after the first one since a moment. */
+/**
+ * @param since - Earlier arrivals don't count; milliseconds on this process's monotonic clock.
+ * @param bound - Milliseconds.
+ * @returns The number of arrivals later than the bound after the first one from the same router.
+ */
 export const arrivalsAfterFirst = (
   { arrivals }: Pick<ReplicaStandIn, "arrivals">,
   since: number,
@@ -41,7 +49,7 @@
   return later.filter((arrival) => arrival.at > (first.get(routerOf(arrival)) ?? arrival.at) + bound).length;
 };
 
-/** @returns The most requests that one router sent to a replica within one backoff that the replica had asked for. */
+/** @returns The most requests that one router sent to a replica within one backoff that the replica had requested. */
 export const worstInBackoff = ({ arrivals }: Pick<ReplicaStandIn, "arrivals">): number => {
   const counts = arrivals.map(({ headers, refusedAt, retryAfter }) => {
     const backoff = Number(retryAfter === "" ? Number.NaN : retryAfter) * millisecondsPerSecond;
--- a/tests/support/restoredStore.ts
+++ b/tests/support/restoredStore.ts
@@ -1,32 +1,32 @@
-/** A system whose store returns from older copies, and what operator and replicas then write again. */
+/** A system whose store is restored from older copies, and what operator and replicas then write again. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
 import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
 import { call, configuration, hosts, isReady, startPlatformSystem } from "../../standIns/platform/system.ts";
 
-/** How long the store is away before it returns, milliseconds. */
+/** Time for which the store is unavailable before it is restored, milliseconds. */
 export const storeOutage = 400;
 
 export const readCall: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
-/** Served by configurations that have the added route. */
+/** A call that is served if the configuration has the added route. */
 export const addedRouteCall: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
-/** Keys of an organisation whose key may be revoked. */
+/** The key of the organisation that {@link withRevocableKey} adds. */
 export const revocableKey = "key-three";
 
-const usual = configuration(1);
+const baseConfiguration = configuration(1);
 
-const addedRoute = { ...usual.routes[0], name: "added", pathPrefix: "/added/" };
+const addedRoute = { ...baseConfiguration.routes[0], name: "added", pathPrefix: "/added/" };
 
 export const withAddedRoute = (version: number) =>
-  configuration(version, { routes: [...usual.routes, addedRoute] });
+  configuration(version, { routes: [...baseConfiguration.routes, addedRoute] });
 
-/** A configuration with a third organisation, whose key is there or revoked. */
+/** @returns A configuration with a third organisation, whose key is valid or revoked. */
 export const withRevocableKey = (version: number, isRevoked: boolean) =>
   configuration(version, {
     tenants: [
-      ...usual.tenants,
+      ...baseConfiguration.tenants,
       { name: "three", apiKeys: isRevoked ? [] : [revocableKey], priority: 1, isolated: false },
     ],
   });
@@ -42,51 +42,51 @@
   return system;
 };
 
-/** @returns How many routers answer a request with a status. */
+/** @returns The number of routers that answer a request with a status. */
 export const countStatus = async (
   routers: readonly ForwardingRouter[],
   status: number,
-  asked: CallerCall,
+  request: CallerCall,
 ): Promise<number> => {
-  const answers = await Promise.all(routers.map((router) => call(router, asked)));
+  const answers = await Promise.all(routers.map((router) => call(router, request)));
   return answers.filter((answer) => answer.status === status).length;
 };
 
-/** @returns Milliseconds until something held; infinity if it didn't within a time. */
+/** @returns Milliseconds until a condition held; infinity if it did not within the timeout, milliseconds. */
 export const timeUntil = async (
-  longest: number,
+  timeout: number,
   condition: () => boolean | Promise<boolean>,
 ): Promise<number> => {
   const since = performance.now();
-  while (performance.now() - since < longest) {
+  while (performance.now() - since < timeout) {
     if (await condition()) return performance.now() - since;
     await sleep(20);
   }
   return Number.POSITIVE_INFINITY;
 };
 
-/** @returns Milliseconds until all routers answer a request with a status. */
+/** @returns Milliseconds until all routers answered a request with a status; infinity after the timeout. */
 export const timeUntilAll = (
   { routers }: Pick<PlatformSystem, "routers">,
-  longest: number,
+  timeout: number,
   status: number,
-  asked: CallerCall,
+  request: CallerCall,
 ): Promise<number> =>
-  timeUntil(longest, async () => (await countStatus(routers, status, asked)) === routers.length);
+  timeUntil(timeout, async () => (await countStatus(routers, status, request)) === routers.length);
 
-/** Longest wait for what a test begins with, milliseconds. */
-const longestSetUp = 10_000;
+/** Timeout of the conditions that a test begins with, milliseconds. */
+const setUpTimeout = 10_000;
 
-/** Waits until something holds; throws if it takes too long. */
+/** Waits until a condition holds; throws after a timeout. */
 export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
-  const time = await timeUntil(longestSetUp, condition);
+  const time = await timeUntil(setUpTimeout, condition);
   if (!Number.isFinite(time))
-    throw new Error(`A condition of the test did not hold within ${longestSetUp} ms.`);
+    throw new Error(`A condition of the test did not hold within ${setUpTimeout} ms.`);
 };
 
 /** Waits until all routers answer a request with a status. */
 export const waitForStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
-  asked: CallerCall,
-): Promise<void> => waitUntil(async () => (await countStatus(routers, status, asked)) === routers.length);
+  request: CallerCall,
+): Promise<void> => waitUntil(async () => (await countStatus(routers, status, request)) === routers.length);
--- a/tests/support/rollOutSystem.ts
+++ b/tests/support/rollOutSystem.ts
@@ -1,4 +1,4 @@
-/** Engines, log and weight store as stand-ins, with order holders beside them, for tests of roll-outs. */
+/** Stand-ins of engines, log and weight store, with holders that give orders to the engines, for tests of roll-outs. */
 import { readFile } from "node:fs/promises";
 import { setTimeout as sleep } from "node:timers/promises";
 import { Agent } from "undici";
@@ -23,14 +23,14 @@
 import { createWeightStoreStandIn } from "../../standIns/stores.ts";
 import type { WeightStoreStandIn } from "../../standIns/stores.ts";
 
-/** The model whose engines are brought over, and the weights that they start with. */
+/** The model whose engines get new weights, and the weights that they start with. */
 export const model = "records-assistant";
 export const initialWeights = "2026-05";
 
 const leaseDuration = 600;
 const pollInterval = 5;
-/** Only so that a test that hangs ends. */
-const longestWait = 10_000;
+/** Ends a test that hangs. */
+const waitTimeout = 10_000;
 
 /** What to start. */
 export interface RollOutSystemOptions {
@@ -38,28 +38,29 @@
   readonly fencing?: "checked" | "ignored";
   readonly longestOrder?: number;
   readonly engineSettings?: Partial<EngineStandInSettings>;
-  /** How long the weight store takes, milliseconds. */
+  /** Time that the weight store takes to load weights, milliseconds. */
   readonly loadMilliseconds?: number;
 }
 
-/** A holder process in all but name. */
+/** A holder as its own process would run it: the lease and the orders of a deployment. */
 export interface TestHolder extends AsyncDisposable {
   readonly orders: DeploymentOrders;
-  /** Cuts it off from the log, as an outage of its network would. */
+  /** Disconnects the holder from the log, as a network failure would. */
   readonly disconnectFromLog: () => Promise<void>;
 }
 
-/** A running system. Holders start by {@link RollOutSystem.startHolder}. */
+/** A running system, without holders until {@link RollOutSystem.startHolder}. */
 export interface RollOutSystem extends AsyncDisposable {
   readonly engines: readonly EngineStandIn[];
   readonly logService: LogServiceStandIn;
   readonly weightStore: WeightStoreStandIn;
   readonly metrics: MemoryMetrics;
   readonly startHolder: (name: string) => TestHolder;
-  /** Puts a configuration in force that names these weights and adapters. */
+  /** Puts into force a configuration with these weights and adapters. */
   readonly publish: (weightsVersion: string, adapters?: Configuration["models"][number]["adapters"]) => void;
-  /** Marks an engine as leaving in the platform's list. */
+  /** Marks an engine as leaving in the platform's list of VMs. */
   readonly markLeaving: (engine: EngineStandIn) => void;
+  /** Waits until a condition holds, or returns after a timeout. */
   readonly until: (condition: () => boolean) => Promise<void>;
 }
 
@@ -76,7 +77,7 @@
   limits: { ...configuration.limits, leaseDuration },
 });
 
-/** Starts stand-ins; every engine serves {@link model}. */
+/** Starts the stand-ins. Every engine serves {@link model}. */
 export const startRollOutSystem = async (options: RollOutSystemOptions = {}): Promise<RollOutSystem> => {
   await using resources = createResourceStack();
   const base = parseConfiguration(await readFile("examples/demo.json", "utf8"), "examples/demo.json");
@@ -88,8 +89,8 @@
   for (let index = 0; index < (options.engines ?? 4); index += 1) {
     const settings = { name: `engine-${index}`, model, weightsVersion: initialWeights };
     const { fencing = "checked" } = options;
-    const more = { fencing, weightStoreUrl: weightStore.url, ...options.engineSettings };
-    engines.push(resources.use(await createEngineStandIn({ ...settings, ...more })));
+    const extraSettings = { fencing, weightStoreUrl: weightStore.url, ...options.engineSettings };
+    engines.push(resources.use(await createEngineStandIn({ ...settings, ...extraSettings })));
   }
   const holders = createResourceStack();
   const agent = new Agent();
@@ -145,7 +146,7 @@
   };
 
   const until = async (condition: () => boolean): Promise<void> => {
-    const end = performance.now() + longestWait;
+    const end = performance.now() + waitTimeout;
     while (!condition() && performance.now() < end) await sleep(pollInterval);
   };
 
--- a/tests/support/runnerFixture.ts
+++ b/tests/support/runnerFixture.ts
@@ -1,4 +1,4 @@
-/** A completion runner over engines that follow a script, under a test's clock. */
+/** A completion runner whose engines follow a script, on the clock of a test. */
 import { createCompletionRunner } from "../../src/coordination/requests/completionRunner.ts";
 import type { RetryBudget } from "../../src/coordination/requests/retryBudget.ts";
 import type { BindWeights } from "../../src/coordination/weightsBinder.ts";
@@ -13,14 +13,14 @@
 import { MemoryMetrics } from "../../src/state/MemoryMetrics.ts";
 import { createSchedulingFixture, poolName, settlePromises } from "./schedulingFixture.ts";
 
-/** What an engine does with a call; the pieces come as they are yielded. */
+/** How an engine answers a call: frames arrive as they are yielded. */
 export type EngineScript = (
   call: EngineCall,
   engineId: string,
   signal: AbortSignal,
 ) => AsyncGenerator<readonly AnswerFrame[], void, void>;
 
-/** A piece with text. */
+/** @returns A frame with text. */
 export const textFrame = (text: string): AnswerFrame => ({
   text,
   extra: undefined,
@@ -28,10 +28,10 @@
   usage: undefined,
 });
 
-/** The piece that ends an answer. */
+/** The frame that ends an answer. */
 export const lastFrame: AnswerFrame = { ...textFrame(""), finishReason: "stop" };
 
-/** Never ends by itself. */
+/** Rejects when the signal is aborted, and never settles before. */
 export const untilAborted = (signal: AbortSignal): Promise<never> =>
   new Promise((_, reject) => {
     const abort = (): void => reject(upstreamError("cancelled", "cancelled", "sent"));
@@ -39,9 +39,9 @@
     signal.addEventListener("abort", abort);
   });
 
-const unused = (): Promise<never> => Promise.reject(upstreamError("not scripted", "failed", "refused"));
+const notScripted = (): Promise<never> => Promise.reject(upstreamError("not scripted", "failed", "refused"));
 
-/** An engine that follows a script, and notes what it is asked. */
+/** An engine that follows a script, and records the calls and cancellations that it gets. */
 class ScriptedEngine extends ModelEngine {
   private readonly id: string;
   private readonly script: EngineScript;
@@ -65,10 +65,10 @@
     return Promise.resolve();
   }
 
-  override resume = unused;
-  override readLoad = unused;
-  override readCacheEvents = unused;
-  override order = unused;
+  override resume = notScripted;
+  override readLoad = notScripted;
+  override readCacheEvents = notScripted;
+  override order = notScripted;
 }
 
 class NoClaims extends ClaimLedger {
@@ -79,14 +79,14 @@
   }
 }
 
-/** How a request ended for its caller. */
+/** What the caller of a request received. */
 export interface CallerResult {
   readonly frames: readonly AnswerFrame[];
   readonly text: string;
   readonly failure: RequestError["failure"] | undefined;
 }
 
-/** Makes a fixture. */
+/** Creates a runner whose engines follow the script. */
 export const createRunnerFixture = (
   script: EngineScript,
   classChanges: Partial<ClassConfiguration> = {},
@@ -130,21 +130,21 @@
     };
   };
 
-  /** Reads a whole answer, or up to its failure. */
+  /** Runs a request and reads its answer to the end, or up to its failure. */
   const read = async (signal = new AbortController().signal): Promise<CallerResult> => {
-    const pieces: AnswerFrame[] = [];
+    const frames: AnswerFrame[] = [];
     let failure: RequestError["failure"] | undefined;
     try {
       const answer = await runner.run(createJob(), signal);
-      for await (const batch of answer.batches) pieces.push(...batch.frames);
+      for await (const batch of answer.batches) frames.push(...batch.frames);
     } catch (error) {
       if (!(error instanceof RequestError)) throw error;
       ({ failure } = error);
     }
-    return { frames: pieces, text: pieces.map(({ text }) => text).join(""), failure };
+    return { frames, text: frames.map(({ text }) => text).join(""), failure };
   };
 
-  /** Moves the clock on while work is under way; engines report as healthy all the while. */
+  /** Advances the clock until the work has ended. Engines keep reporting that they are healthy. */
   const finish = async <T>(work: Promise<T>): Promise<T> => {
     const progress = { ended: false };
     void work.finally(() => (progress.ended = true)).catch(() => undefined);
--- a/tests/support/schedulingFixture.ts
+++ b/tests/support/schedulingFixture.ts
@@ -1,4 +1,4 @@
-/** A scheduler over engines that exist only as reports, under a test's clock. */
+/** A scheduler whose engines exist only as load reports, on the clock of a test. */
 import { createConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
@@ -12,14 +12,14 @@
 import type { EngineLoad, ListedVm, Usage } from "../../src/protocol/types.ts";
 import { createEngineDirectory } from "../../src/state/engineDirectory.ts";
 
-/** The only pool and model of the fixture. */
+/** The name of the only pool and model. */
 export const poolName = "modelli";
 const weightsVersion = "1";
 const dataCentre = "catania-a";
 
 const keyHashOf = (index: number): string => index.toString(16).padStart(64, "0");
 
-/** Two interactive classes, one batch class, and organisations by name and standing. */
+/** @returns A configuration with two interactive classes, one batch class, and organisations by name and standing. */
 const configurationOf = (
   standings: Readonly<Record<string, number>>,
   maximumRunning: number,
@@ -75,7 +75,7 @@
   return check.configuration;
 };
 
-/** What to build; engines are named `engine-0` and on. */
+/** What to create. Engines are named `engine-0`, `engine-1` and so on. */
 export interface FixtureOptions {
   readonly engines?: number;
   readonly maximumRunning?: number;
@@ -84,25 +84,25 @@
   readonly dependencies?: Partial<PredictiveSchedulerDependencies>;
 }
 
-/** A piece of work, with what matters to a test. */
+/** A piece of work to schedule. */
 export interface WorkOptions {
   readonly organisation?: string;
   readonly requestClass?: string;
-  /** Text of each level; 4 characters are one token. */
+  /** The text of each prefix level; 4 characters are one token. */
   readonly segments?: readonly string[];
   readonly excluded?: readonly string[];
 }
 
-/** What has become of a piece of work; neither is set while it waits. */
+/** The outcome for a piece of work; both are `undefined` while it waits. */
 export interface AssignmentProgress {
   assignment: Assignment | undefined;
   refusal: RequestError | undefined;
 }
 
-/** Text of so many tokens that differs by name. */
+/** @returns A text of a number of tokens, different for each name. */
 export const textOf = (name: string, tokens: number): string => name.padEnd(tokens * 4, ".");
 
-/** The report of an answer that came whole. */
+/** @returns The report of an attempt whose answer was complete. */
 export const finished = (assignment: Assignment, usage?: Usage): AttemptReport => ({
   ended: "finished",
   incarnation: assignment.incarnation,
@@ -110,7 +110,7 @@
   usage,
 });
 
-/** Makes a fixture whose engines are live and idle. */
+/** Creates a scheduler whose engines are live and idle. */
 export const createSchedulingFixture = (options: FixtureOptions = {}) => {
   const { engines = 4, maximumRunning = 4, concurrentRequests = 1_000 } = options;
   const configuration = configurationOf(
@@ -163,23 +163,23 @@
     ...options.dependencies,
   });
 
-  let questions = 0;
+  let workCount = 0;
   const createWork = (work: WorkOptions = {}): Work => {
     const organisation = index.organisations.get(work.organisation ?? "noto");
     const requestClass = index.classes.get(work.requestClass ?? "line-tagging");
     if (organisation === undefined || requestClass === undefined) throw new TypeError("unknown name");
-    questions += 1;
+    workCount += 1;
     const segments = work.segments ?? [
       textOf("rules", 1_000),
       textOf("season", 1_000),
-      `question ${questions}`,
+      `question ${workCount}`,
     ];
     const scope = { organisation: organisation.name, model: poolName, adapter: undefined, weightsVersion };
     const levels = computePrefixLevels(scope, segments);
     const now = clock.monotonic();
     return {
       context: {
-        requestId: `request-${questions}`,
+        requestId: `request-${workCount}`,
         organisation,
         requestClass,
         idempotent: true,
@@ -199,15 +199,15 @@
   };
 
   const begin = (work: Work, signal: AbortSignal = new AbortController().signal): AssignmentProgress => {
-    const begun: AssignmentProgress = { assignment: undefined, refusal: undefined };
+    const progress: AssignmentProgress = { assignment: undefined, refusal: undefined };
     scheduler.assign(work, signal).then(
-      (assignment) => (begun.assignment = assignment),
+      (assignment) => (progress.assignment = assignment),
       (error: unknown) => {
         if (!(error instanceof RequestError)) throw error;
-        begun.refusal = error;
+        progress.refusal = error;
       },
     );
-    return begun;
+    return progress;
   };
 
   const assign = (work: Work): Promise<Assignment> => scheduler.assign(work, new AbortController().signal);
@@ -215,5 +215,5 @@
   return { clock, directory, scheduler, index, ids, list, report, createWork, begin, assign };
 };
 
-/** Lets promises that are settled call back. */
+/** Runs the callbacks of all settled promises. */
 export const settlePromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
