--- a/tests/golden/sessions.test.ts
+++ b/tests/golden/sessions.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whole sessions of both deployments, compared with golden files: what was asked, which upstream answered,
- * every frame, every error. Ids and times are normalised. `npm run golden` writes the files anew.
+ * Complete sessions of both deployments, compared with golden files: requests, the upstreams that answered, every frame
+ * and every error. Ids and times are normalised. `npm run golden` regenerates the files.
  */
 import { readFile, writeFile } from "node:fs/promises";
 import { describe, it } from "node:test";
@@ -12,7 +12,7 @@
 import type { LocalSystem } from "../support/localSystem.ts";
 
 const folder = "tests/golden";
-/** Fresh, since routers refuse keys that were issued long ago. */
+/** Contains the current time, since routers refuse keys that were issued long ago. */
 const sessionKey = `${Date.now()}-golden-sign-off`;
 const shownHeaders = [
   headers.configurationVersion,
@@ -24,8 +24,8 @@
   "content-type",
 ];
 
-/** Mistakes that callers make, and a sign-off sent twice; their answers are part of the session. */
-const levantMistakes: readonly SessionStep[] = [
+/** Invalid requests of callers, and a sign-off sent a second time; their answers are part of the session. */
+const levantInvalidRequests: readonly SessionStep[] = [
   { organisation: "stranger", requestClass: "currency-check", path: "/v1/chat/completions", body: {} },
   {
     organisation: "petra-wings",
@@ -42,7 +42,7 @@
   },
 ];
 
-/** Ids become names in the order of their appearance; times become zero. */
+/** Creates a function that replaces ids by names in the order of their appearance, and times by zero. */
 const createNormaliser = () => {
   const names = new Map<string, string>();
   const nameOf = (id: string): string => {
@@ -57,12 +57,12 @@
       .replaceAll(/"created":\d+/g, '"created":0');
 };
 
-const longestShown = 60;
+const maxShownLength = 60;
 
-/** Long prompts are shown by their beginnings and lengths. */
+/** Shortens long prompts to their beginning and length. */
 const shorten = (_key: string, value: unknown): unknown =>
-  typeof value === "string" && value.length > longestShown
-    ? `${value.slice(0, longestShown)}… (${value.length} characters)`
+  typeof value === "string" && value.length > maxShownLength
+    ? `${value.slice(0, maxShownLength)}… (${value.length} characters)`
     : value;
 
 const stepHeaders = (step: SessionStep): Record<string, string> => ({
@@ -104,8 +104,8 @@
 };
 
 /**
- * The choice of engine must not depend on time: loads are reported once only, and nothing is hedged, since on a
- * busy machine a hedge begins and its engine answers.
+ * The choice of engine must not depend on time. So loads are read only once, and requests are not hedged: on a busy
+ * machine a hedge would start, and its engine might answer.
  */
 const startSystem = () =>
   startLocalSystem({
@@ -119,12 +119,12 @@
   });
 
 describe("golden sessions", () => {
-  it("of Levant", async () => {
+  it("match the golden file of Levant", async () => {
     await using system = await startSystem();
-    await compare("levant", await playSession(system, [...levantSession, ...levantMistakes]));
+    await compare("levant", await playSession(system, [...levantSession, ...levantInvalidRequests]));
   });
 
-  it("of Trinacria", async () => {
+  it("match the golden file of Trinacria", async () => {
     await using system = await startSystem();
     await compare("trinacria", await playSession(system, trinacriaSession));
   });
--- a/tests/platform/crashingRequests.test.ts
+++ b/tests/platform/crashingRequests.test.ts
@@ -1,14 +1,8 @@
 /**
- * A request whose content crashes the replica that runs it came again and again, each time under a new id and at any
- * router. Routers counted attempts by id and failures by replica, so that every try was a first one to all of them: it
- * went to two replicas, both ended, the caller got 502 and came back. On the recorded day one such request ended 27
- * engine processes and another 39, and each took the long streams with it that ran beside. Lines of the first run of
- * this test, from two routers, with the same content under two ids:
- *
- * `attempt_failed request=request-16 replica=plain-3-start1 fault=closed_early`,
- * `crashed replica=plain-3-start1 requests=b5d7eaa8d327de94`,
- * `attempt_failed request=request-17 replica=plain-1-start1 fault=closed_early`,
- * `crashed replica=plain-1-start1 requests=b5d7eaa8d327de94`.
+ * A request whose content crashes the replica that runs it, and which its caller repeats under new ids at any router,
+ * must not crash one replica after another. If routers count attempts by id and failures by replica, each try looks like
+ * the first one: it crashes two replicas, the caller gets 502 and tries again. Single requests have crashed 27 and 39
+ * engine processes in this way, and ended the long streams that these engines served.
  */
 import type { TestContext } from "node:test";
 import { describe, it } from "node:test";
@@ -27,10 +21,10 @@
 import type { CrashingReplicas } from "../support/crashingReplicas.ts";
 import { bodies, startCrashingReplicas } from "../support/crashingReplicas.ts";
 
-/** Crashes after which a request is no more to be run, and runs that may still follow. */
+/** Crashes after which a request must be quarantined, and runs that may still follow. */
 const allowed = { crashes: 3, further: 3 } as const;
 
-/** Between two tries of a caller, milliseconds: engines that crashed are back meanwhile. */
+/** Time between two tries of a caller, milliseconds. Crashed engines restart during the tries. */
 const tryInterval = 120;
 
 const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
@@ -57,27 +51,31 @@
 
 const isServed = ({ status, isCut }: CallerAnswer): boolean => status === 200 && !isCut;
 
-const routerOfTurn = ({ routers }: Pick<PlatformSystem, "routers">, turn: number): ForwardingRouter => {
-  const router = routers[turn % routers.length];
+const routerForTry = ({ routers }: Pick<PlatformSystem, "routers">, count: number): ForwardingRouter => {
+  const router = routers[count % routers.length];
   if (router === undefined) throw new Error("There is no router.");
   return router;
 };
 
-/** Sends the same again and again, each time to the next router. */
+/** Sends the same request a number of times, each time to the next router. */
 const repeat = async (
   system: PlatformSystem,
-  asked: CallerCall,
+  request: CallerCall,
   times: number,
 ): Promise<readonly CallerAnswer[]> => {
   const answers: CallerAnswer[] = [];
-  for (let turn = 0; turn < times; turn += 1) {
-    answers.push(await call(routerOfTurn(system, turn), asked));
+  for (let count = 0; count < times; count += 1) {
+    answers.push(await call(routerForTry(system, count), request));
     await sleep(tryInterval);
   }
   return answers;
 };
 
-/** Every run of such a request crashes its replica. @param before - Runs that were counted before. */
+/**
+ * Expects that the request was quarantined after the allowed crashes; each of its runs crashes a replica.
+ *
+ * @param before - Runs that don't count, since they were before.
+ */
 const expectBounded = (context: TestContext, replicas: CrashingReplicas, body: string, before = 0): void => {
   const runs = replicas.runsOf(body).length - before;
   context.diagnostic(`"${body}" ran ${runs} times`);
@@ -85,7 +83,7 @@
 };
 
 describe("a request that crashes the replicas that run it", () => {
-  it("reaches no more than three after it has crashed three, if it is plain", async (context) => {
+  it("runs at most three more times after three crashes, at a plain service", async (context) => {
     await using started = await startSystem();
     const { system, replicas } = started;
     for (const path of ["/read/2f", "/post/2f"]) {
@@ -95,45 +93,46 @@
     }
   });
 
-  it("reaches no more than three after it has crashed three, if it is a stream", async (context) => {
+  it("runs at most three more times after three crashes, as a stream", async (context) => {
     await using started = await startSystem();
     const { system, replicas } = started;
     await repeat(system, { ...tag, path: "/ask/2f", body: bodies.deadly }, 25);
     expectBounded(context, replicas, bodies.deadly);
-    // A stream that may be resumed crashes the engine that it goes on at as well.
+    // A resumable stream also crashes the engine at which it is resumed.
     await repeat(system, { ...tag, body: bodies.deadlyMidway }, 25);
     expectBounded(context, replicas, bodies.deadlyMidway);
   });
 });
 
-/** Longest time for an answer that needs no replica, milliseconds: many times what it takes on a busy machine. */
-const atOnce = 400;
+/** Longest time for an answer that needs no replica, milliseconds; leaves room for a busy machine. */
+const immediate = 400;
 
-const isHeldBack = ({ status, body }: CallerAnswer): boolean => status === 503 && body.includes("held_back");
+const isQuarantined = ({ status, body }: CallerAnswer): boolean =>
+  status === 503 && body.includes("held_back");
 
-/** Sends the same until it is refused as what it is. */
-const repeatUntilHeldBack = async (system: PlatformSystem, asked: CallerCall): Promise<void> => {
-  for (let turn = 0; !isHeldBack(await call(routerOfTurn(system, turn), asked)); turn += 1)
+/** Sends the same request until it is refused as quarantined. */
+const repeatUntilQuarantined = async (system: PlatformSystem, request: CallerCall): Promise<void> => {
+  for (let count = 0; !isQuarantined(await call(routerForTry(system, count), request)); count += 1)
     await sleep(tryInterval);
 };
 
-/** Every router refuses it at once, with a time to come back, and no replica runs it. */
-const expectHeldBackEverywhere = async (
+/** Expects that every router refuses the request at once, with `Retry-After`, and that no replica runs it. */
+const expectQuarantinedEverywhere = async (
   routers: readonly ForwardingRouter[],
   replicas: CrashingReplicas,
-  asked: CallerCall,
+  request: CallerCall,
 ): Promise<void> => {
-  const before = replicas.runsOf(asked.body ?? "").length;
+  const before = replicas.runsOf(request.body ?? "").length;
   for (const router of routers) {
     const begunAt = performance.now();
-    const answer = await call(router, asked);
-    expect([isHeldBack(answer), performance.now() - begunAt < atOnce]).toEqual([true, true]);
+    const answer = await call(router, request);
+    expect([isQuarantined(answer), performance.now() - begunAt < immediate]).toEqual([true, true]);
     expect(Number(answer.headers["retry-after"]) > 0).toEqual(true);
   }
-  expect(replicas.runsOf(asked.body ?? "").length).toEqual(before);
+  expect(replicas.runsOf(request.body ?? "").length).toEqual(before);
 };
 
-/** Trials of a request would let it run: they are over once both were made. */
+/** Marks both trials of each quarantined request as made: a trial would let the request run. */
 const endTrials = (system: PlatformSystem): void => {
   for (const [fingerprint] of system.store.topics.newest("keyed.quarantine")) {
     system.store.put("keyed.quarantine", fingerprint, { trials: 1, trial: "another router's" });
@@ -141,15 +140,15 @@
   }
 };
 
-describe("requests beside one that crashes replicas", () => {
-  it("are served again, the popular ones with the same path, caller and body above all", async (context) => {
+describe("requests in parallel with one that crashes replicas", () => {
+  it("are served again, even popular ones sent many times with the same path, caller and body", async (context) => {
     await using started = await startSystem();
     const { system, replicas } = started;
     const popular = { ...tag, body: "asked by many" };
-    const over = new AbortController();
+    const stopped = new AbortController();
     const answers: CallerAnswer[] = [];
     const ask = async (router: ForwardingRouter): Promise<void> => {
-      while (!over.signal.aborted) {
+      while (!stopped.signal.aborted) {
         answers.push(await call(router, popular));
         await sleep(20);
       }
@@ -157,18 +156,18 @@
     const asking = system.routers.map(ask);
     await repeat(system, { ...tag, body: bodies.deadly }, 25);
     await repeat(system, { ...tag, body: bodies.deadlyToo }, 25);
-    over.abort();
+    stopped.abort();
     await Promise.all(asking);
     expectBounded(context, replicas, bodies.deadly);
     expectBounded(context, replicas, bodies.deadlyToo);
     const served = answers.filter(isServed).length;
-    const heldBack = answers.filter(isHeldBack).length;
+    const heldBack = answers.filter(isQuarantined).length;
     context.diagnostic(`${answers.length} popular requests: ${served} served, ${heldBack} held back`);
     for (const router of system.routers) expect(isServed(await call(router, popular))).toEqual(true);
     expect(served > answers.length / 2).toEqual(true);
   });
 
-  it("are served while two such requests come at once", async (context) => {
+  it("are served while two such requests arrive at the same time", async (context) => {
     await using started = await startSystem();
     const { system, replicas } = started;
     await Promise.all(
@@ -181,21 +180,21 @@
 });
 
 describe("routers that did not see a request crash replicas", () => {
-  it("refuse it at once when they start later, and when all have started again together", async () => {
+  it("refuse it at once if they start later, and after all routers restarted together", async () => {
     await using started = await startSystem();
     const { system, replicas } = started;
     const deadly = { ...tag, path: "/ask/2f", body: bodies.deadly };
-    await repeatUntilHeldBack(system, deadly);
+    await repeatUntilQuarantined(system, deadly);
     await until(() => system.store.topics.newest("keyed.quarantine").size > 0);
     endTrials(system);
     const later = await system.startRouter();
     await until(() => isReady(later));
-    await expectHeldBackEverywhere([later], replicas, deadly);
+    await expectQuarantinedEverywhere([later], replicas, deadly);
     await system.stopRouters();
     const again = await Promise.all([system.startRouter(), system.startRouter()]);
     await until(async () => (await Promise.all(again.map(isReady))).every(Boolean));
-    await expectHeldBackEverywhere(again, replicas, deadly);
-    // Whoever asks something else, or another caller that asks the same, is served.
+    await expectQuarantinedEverywhere(again, replicas, deadly);
+    // A request with another body is served.
     await until(async () => isServed(await call(again[0], { ...tag, path: "/ask/2f" })));
   });
 });
--- a/tests/platform/replicaLimits.test.ts
+++ b/tests/platform/replicaLimits.test.ts
@@ -1,14 +1,10 @@
 /**
- * Engines in need named in their answers how many requests a second they take from all routers together, and got as
- * many as before. No router read the word: it was passed on to callers like any other header, and placement went by
- * queues alone. On the recorded day two engines that named 1.3 and 1.9 a second got 24 and 23 requests in 4 s from
- * routers that had passed on such an answer (13 and 16 are allowed), 1 to 8 from each of eight routers. Figures of the
- * first run of this test, with six routers, each of which had heard the word within half a second:
- *
- * `desk-0 names 1.6 a second and got up to 31 in 4 s (14 allowed)`,
- * `desk-1 names 1.8 a second and got up to 35 in 4 s (15 allowed)`,
- * `desk-2 names 0.4 a second and got up to 38 in 4 s (7 allowed)`; and with ten that named 2 a second 33 to 56 each,
- * where 17 are allowed, and no caller was turned away.
+ * Overloaded replicas report in their answers how many requests per second they accept from all routers together. A
+ * router that only forwards this header to the caller, and places requests by queues alone, exceeds the limit several
+ * times: two engines that reported 1.3 and 1.9 received 24 and 23 requests in 4 s (13 and 16 are allowed), 1 to 8 from
+ * each of eight routers. From six routers, each of which had received such an answer within half a second, replicas that
+ * reported 1.6, 1.8 and 0.4 received up to 31, 35 and 38 in 4 s (14, 15 and 7 are allowed); ten that reported 2 received
+ * 33 to 56 each (17 are allowed), and no caller was refused.
  */
 import type { TestContext } from "node:test";
 import { describe, it } from "node:test";
@@ -46,7 +42,7 @@
   return system;
 };
 
-/** A replica that names a limit got no more than that allows. */
+/** Whether a replica that reports a limit received no more requests than allowed. */
 const isBounded = (
   context: TestContext,
   replica: ReplicaStandIn,
@@ -55,7 +51,7 @@
 ): boolean => {
   const worst = worstIntake(replica, answers);
   context.diagnostic(
-    `${replica.id} names ${limit} a second and got up to ${worst} in 4 s (${allowedIntake(limit)} allowed)`,
+    `${replica.id} reports ${limit} per second and received up to ${worst} in 4 s (${allowedIntake(limit)} allowed)`,
   );
   return worst <= allowedIntake(limit);
 };
@@ -66,35 +62,35 @@
   limits: readonly number[],
   answers: readonly ReceivedAnswer[],
 ): void => {
-  const kept = limits.map((limit, index) => {
+  const areBounded = limits.map((limit, index) => {
     const replica = replicas[index];
     return replica !== undefined && isBounded(context, replica, limit, answers);
   });
-  expect(kept).toEqual(limits.map(() => true));
+  expect(areBounded).toEqual(limits.map(() => true));
 };
 
 const isServed = ({ status, isCut }: ReceivedAnswer): boolean => status === 200 && !isCut;
 
-/** Longest time for an answer that needs no replica, milliseconds: many times what it takes on a busy machine. */
-const atOnce = 400;
+/** Longest time for an answer that needs no replica, milliseconds; leaves room for a busy machine. */
+const immediate = 400;
 
-/** Those that were turned away learned it at once, with different times to come back. */
-const expectTrueRefusals = (answers: readonly ReceivedAnswer[]): void => {
+/** Expects that refused requests were refused at once, as not run and with `Retry-After` values that differ. */
+const expectImmediateRefusals = (answers: readonly ReceivedAnswer[]): void => {
   const refused = answers.filter(({ status }) => status === 503);
   expect(refused.length > 0).toEqual(true);
   expect(refused.every(({ body }) => body.includes("not_run"))).toEqual(true);
-  expect(refused.every(({ askedAt, answeredAt }) => answeredAt - askedAt < atOnce)).toEqual(true);
+  expect(refused.every(({ askedAt, answeredAt }) => answeredAt - askedAt < immediate)).toEqual(true);
   const times = refused.map(({ headers }) => Number(headers["retry-after"]));
   expect(times.every((time) => time > 0)).toEqual(true);
   expect(new Set(times.map((time) => time.toFixed(1))).size > 3).toEqual(true);
 };
 
-/** Every answer of a replica goes on like this. */
-const behaveForLong = (replica: ReplicaStandIn | undefined, ...behaviours: readonly Behaviour[]): void =>
+/** Makes a replica repeat the behaviours in a cycle. */
+const repeatBehaviours = (replica: ReplicaStandIn | undefined, ...behaviours: readonly Behaviour[]): void =>
   replica?.behave(...Array.from({ length: 400 }, () => behaviours).flat());
 
-describe("replicas that name a limit", () => {
-  it("get no more than it allows from all routers together, and others take over", async (context) => {
+describe("replicas that report a limit", () => {
+  it("receive no more than it allows from all routers together, and other replicas serve the rest", async (context) => {
     await using system = await startSystem({ desks: 10, engines: 0 });
     const limits = [1.6, 1.8, 0.4];
     limits.forEach((limit, index) => system.desks[index]?.nameLimit(String(limit)));
@@ -103,24 +99,24 @@
     expect(answers.every(isServed)).toEqual(true);
   });
 
-  it("make routers turn away at once what none of them may take", async (context) => {
+  it("make routers refuse at once the requests beyond the limits of all replicas", async (context) => {
     await using system = await startSystem({ desks: 10, engines: 0 });
     const limits = system.desks.map(() => 2);
     system.desks.forEach((desk) => desk.nameLimit("2"));
     const answers = await sendSteadily(system, read, { perSecond: 80, seconds: 10 });
     expectBounded(context, system.desks, limits, answers);
     context.diagnostic(`${answers.filter(isServed).length} served of ${answers.length}`);
-    expectTrueRefusals(answers);
+    expectImmediateRefusals(answers);
   });
 
-  it("are heard in answers that are no success, at plain services and in the heads of streams", async (context) => {
+  it("have it observed in answers that report a failure, at plain services and in the heads of streams", async (context) => {
     await using system = await startSystem({ desks: 4, engines: 4 });
     const [failing, refusing] = system.desks;
     const [engine] = system.engines;
     if (failing === undefined || refusing === undefined || engine === undefined) throw new Error("Too few.");
     for (const each of [failing, refusing, engine]) each.nameLimit("1.5");
-    behaveForLong(failing, "fail");
-    behaveForLong(refusing, "shed");
+    repeatBehaviours(failing, "fail");
+    repeatBehaviours(refusing, "shed");
     const [plain, streams] = await Promise.all([
       sendSteadily(system, read, { perSecond: 40, seconds: 7 }),
       sendSteadily(system, tag, { perSecond: 40, seconds: 7 }),
@@ -130,14 +126,14 @@
     expect(streams.every(isServed)).toEqual(true);
   });
 
-  it("get second attempts and resumed streams within the limit", async (context) => {
+  it("receive second attempts and resumed streams within the limit", async (context) => {
     await using system = await startSystem({ desks: 3, engines: 3 });
     const [desk, ...otherDesks] = system.desks;
     const [engine, ...otherEngines] = system.engines;
     if (desk === undefined || engine === undefined) throw new Error("Too few.");
     for (const each of [desk, engine]) each.nameLimit("1");
-    for (const each of otherDesks) behaveForLong(each, "fail", "well");
-    for (const each of otherEngines) behaveForLong(each, "cut", "well");
+    for (const each of otherDesks) repeatBehaviours(each, "fail", "well");
+    for (const each of otherEngines) repeatBehaviours(each, "cut", "well");
     const [plain, streams] = await Promise.all([
       sendSteadily(system, read, { perSecond: 30, seconds: 7 }),
       sendSteadily(system, tag, { perSecond: 30, seconds: 7 }),
@@ -146,19 +142,19 @@
     expectBounded(context, [engine], [1], streams);
   });
 
-  it("that are the only ones of their service are used as far as they go", async (context) => {
+  it("that are the only ones of their service are used up to the limit", async (context) => {
     await using system = await startSystem({ desks: 1, engines: 0 });
     system.desks[0]?.nameLimit("4");
     const answers = await sendSteadily(system, read, { perSecond: 30, seconds: 9 });
     expectBounded(context, system.desks, [4], answers);
-    expectTrueRefusals(answers);
+    expectImmediateRefusals(answers);
     const settled = answers.filter(({ askedAt }) => askedAt > (answers[0]?.askedAt ?? 0) + 2_000);
     const served = settled.filter(isServed).length;
-    context.diagnostic(`${served} of 28 that it takes in 7 s`);
+    context.diagnostic(`${served} served of the 28 that the limit allows in 7 s`);
     expect(served >= 20).toEqual(true);
   });
 
-  it("get no more than that from routers that start later, or all together", async (context) => {
+  it("receive no more than it allows from routers that start later, or restart all together", async (context) => {
     await using system = await startSystem({ desks: 4, engines: 0 }, 4);
     system.desks[0]?.nameLimit("1.6");
     const before = await sendSteadily(system, read, { perSecond: 40, seconds: 4 });
@@ -169,17 +165,17 @@
     await system.stopRouters();
     for (let count = 0; count < 4; count += 1) await system.startRouter();
     await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
-    const begunAt = performance.now();
+    const restartedAt = performance.now();
     const again = await sendSteadily(system, read, { perSecond: 40, seconds: 6 });
-    const sinceThen = system.desks.map((desk) => ({
+    const desksSinceRestart = system.desks.map((desk) => ({
       ...desk,
-      arrivals: desk.arrivals.filter(({ at }) => at >= begunAt),
+      arrivals: desk.arrivals.filter(({ at }) => at >= restartedAt),
     }));
-    expectBounded(context, sinceThen, [1.6], again);
+    expectBounded(context, desksSinceRestart, [1.6], again);
     expect([...before, ...later, ...again].every(isServed)).toEqual(true);
   });
 
-  it("are used like the others again once their answers name none", async () => {
+  it("are used like the others again once their answers report none", async () => {
     await using system = await startSystem({ desks: 3, engines: 0 }, 3);
     const [desk] = system.desks;
     desk?.nameLimit("2");
--- a/tests/platform/replicaReports.test.ts
+++ b/tests/platform/replicaReports.test.ts
@@ -19,7 +19,7 @@
 
 const tag: CallerCall = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() };
 
-/** Until a router that passed on an answer that reports draining must have stopped, milliseconds. */
+/** Time within which a router must stop sending to a replica after an answer that reports draining, milliseconds. */
 const drainBound = 600;
 
 const startSystem = async (
@@ -42,10 +42,10 @@
 const servedShare = (answers: readonly ReceivedAnswer[]): number =>
   answers.filter(isServed).length / answers.length;
 
-/** The busiest comes first. */
+/** Sorts the busiest replica first. */
 const byRuns = (left: ReplicaStandIn, right: ReplicaStandIn): number => right.runs.length - left.runs.length;
 
-/** Every answer of a replica goes on like this. */
+/** Makes a replica behave like this for all its answers. */
 const behaveAlways = (replica: ReplicaStandIn | undefined, behaviour: Behaviour): void =>
   replica?.behave(...Array.from({ length: 2_000 }, () => behaviour));
 
@@ -68,8 +68,8 @@
 };
 
 describe("a replica that reports draining", () => {
-  // The registry was the only source, so a replica kept its traffic while the store was unavailable.
-  it("gets no requests from routers that passed on such an answer, whatever the registry says", async (context) => {
+  // With the registry as the only source, a replica keeps its traffic while the store is unavailable.
+  it("gets no requests from routers that forwarded such an answer, whatever the registry says", async (context) => {
     await using system = await startSystem({ desks: 8, engines: 4 });
     await Promise.all([
       sendSteadily(system, read, { perSecond: 90, seconds: 1 }),
@@ -85,7 +85,7 @@
     const answers = [...plain, ...streams];
     expect(countAfterDraining(context, draining, answers)).toEqual([0, 0, 0]);
     expect(answers.every(isServed)).toEqual(true);
-    // The registry returns with `ready` and heartbeats, which is older than what the replica said.
+    // The registry is back with `ready` and heartbeats, which are older than the replica's report.
     system.store.faults.isSilent = false;
     draining.forEach((replica) => system.register(replica, { sequence: 2 }));
     const [plainLater, streamsLater] = await Promise.all([
@@ -98,8 +98,8 @@
   });
 });
 
-describe("a replica that reports draining in some kind of answer", () => {
-  it("gets nothing after a failure, a refusal or the head of a stream that says so", async (context) => {
+describe("a replica that reports draining in any kind of answer", () => {
+  it("gets no requests after a failure, a refusal or the head of a stream that reports it", async (context) => {
     await using system = await startSystem({ desks: 4, engines: 4 });
     const [failing, refusing] = system.desks;
     const [engine] = system.engines;
@@ -118,11 +118,11 @@
     context.diagnostic(`arrivals after the bound: ${counts.join(", ")}`);
     expect(counts).toEqual([0, 0, 0, 0]);
     expect(streams.every(isServed)).toEqual(true);
-    // With two attempts a request may meet both bad replicas once for each router.
+    // With two attempts, one request of each router may meet both bad replicas.
     expect(servedShare(plain) >= 0.9).toEqual(true);
   });
 
-  it("is not the one at which its broken stream is resumed", async () => {
+  it("is not used to resume its own broken stream", async () => {
     await using system = await startSystem({ desks: 0, engines: 2 }, 1);
     const [leaving, staying] = system.engines;
     if (leaving === undefined || staying === undefined) throw new Error("Too few.");
@@ -131,12 +131,12 @@
       each.behave("cut");
     }
     const [answer] = await sendSteadily(system, tag, { perSecond: 1, seconds: 1 });
-    // Both have reported draining by now: the stream ends rather than going back to either.
+    // Both have reported draining by now: the stream ends instead of being resumed at either.
     expect(answer?.isCut).toEqual(true);
     expect(leaving.arrivals.length + staying.arrivals.length).toEqual(2);
   });
 
-  it("serves again as a new incarnation under its id and address", async () => {
+  it("serves again as a new incarnation with the same id and address", async () => {
     await using system = await startSystem({ desks: 2, engines: 0 }, 2);
     const [desk, other] = system.desks;
     if (desk === undefined || other === undefined) throw new Error("Too few.");
@@ -154,32 +154,36 @@
     });
   });
 
-  it("makes routers reject at once where it is the only one of its service", async () => {
+  it("makes routers reject at once if it is the only replica of its service", async () => {
     await using system = await startSystem({ desks: 1, engines: 0 }, 2);
     system.desks[0]?.report(drainingReport);
     await sendSteadily(system, read, { perSecond: 20, seconds: 1 });
     const answers = await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
-    expectTrueRejections(answers, 0.5);
+    expectImmediateRejections(answers, 0.5);
   });
 });
 
-/** Longest time for an answer that needs no replica, milliseconds: many times what it takes on a busy machine. */
-const atOnce = 400;
+/** Longest time for an answer that needs no replica, milliseconds; leaves room for a busy machine. */
+const immediate = 400;
 
-/** @param least - The shortest time after which a caller may be told to return, seconds. */
-const expectTrueRejections = (answers: readonly ReceivedAnswer[], least: number): void => {
+/**
+ * Expects that all answers are immediate rejections as not run, with `Retry-After` values that differ.
+ *
+ * @param minRetryAfter - The lowest value that `Retry-After` may have, seconds.
+ */
+const expectImmediateRejections = (answers: readonly ReceivedAnswer[], minRetryAfter: number): void => {
   expect(answers.every(({ status }) => status === 503)).toEqual(true);
   expect(answers.every(({ body }) => body.includes("replicas_unavailable"))).toEqual(true);
   expect(answers.every(({ body }) => body.includes("not_run"))).toEqual(true);
-  expect(answers.every(({ askedAt, answeredAt }) => answeredAt - askedAt < atOnce)).toEqual(true);
+  expect(answers.every(({ askedAt, answeredAt }) => answeredAt - askedAt < immediate)).toEqual(true);
   const times = answers.map(({ headers }) => Number(headers["retry-after"]));
-  expect(times.every((time) => time >= least)).toEqual(true);
+  expect(times.every((time) => time >= minRetryAfter)).toEqual(true);
   expect(new Set(times.map((time) => time.toFixed(2))).size > 5).toEqual(true);
 };
 
-describe("a replica that asks for backoff", () => {
-  // A refusal left the replica idle, so that it looked like the best choice for the next request.
-  it("gets at most two requests of a router within it, and callers are served by the others", async (context) => {
+describe("a replica that requests backoff", () => {
+  // A refusal leaves the replica idle, which makes it look like the best choice for the next request.
+  it("gets at most two requests of each router within it, and callers are served by the others", async (context) => {
     await using system = await startSystem({ desks: 8, engines: 0 });
     const [always, half, alternating, unreadable] = system.desks;
     if (unreadable === undefined) throw new Error("Too few.");
@@ -189,8 +193,8 @@
     half?.report((behaviour): Record<string, string> =>
       behaviour === "shed" ? { "retry-after": "1.5" } : {},
     );
-    let turn = 0;
-    alternating?.report(() => ({ "retry-after": (turn += 1) % 2 === 0 ? "1" : "4" }));
+    let answerCount = 0;
+    alternating?.report(() => ({ "retry-after": (answerCount += 1) % 2 === 0 ? "1" : "4" }));
     unreadable.report({ "retry-after": "later" });
     const answers = await sendSteadily(system, read, { perSecond: 90, seconds: 8 });
     const worst = worstBackoffs(context, system.desks);
@@ -199,7 +203,7 @@
     expect(servedShare(answers) >= 0.98).toEqual(true);
   });
 
-  it("is kept away from together with replicas that name a limit, drain, or do all of it", async (context) => {
+  it("is avoided beside replicas that report a limit or draining, also in combination", async (context) => {
     await using system = await startSystem({ desks: 8, engines: 0 });
     const [limited, refusing, draining] = system.desks;
     if (limited === undefined || refusing === undefined || draining === undefined)
@@ -218,7 +222,7 @@
     expect(servedShare(answers) >= 0.98).toEqual(true);
   });
 
-  it("makes routers reject at once, until it ends, where all replicas do", async () => {
+  it("makes routers reject at once until the backoff ends, if all replicas request it", async () => {
     await using system = await startSystem({ desks: 3, engines: 0 }, 2);
     for (const desk of system.desks) {
       shedAlways(desk);
@@ -227,10 +231,10 @@
     await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
     const answers = await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
     // At most two of the four seconds have passed.
-    expectTrueRejections(answers, 1.9);
+    expectImmediateRejections(answers, 1.9);
   });
 
-  it("gets its share again within three seconds after its end", async (context) => {
+  it("gets its share again within three seconds after the end of the backoff", async (context) => {
     await using system = await startSystem({ desks: 4, engines: 0 });
     const [desk, ...others] = system.desks;
     shedAlways(desk);
@@ -246,7 +250,7 @@
     expect(own >= mean / 2).toEqual(true);
   });
 
-  it("gets no orders within it either", async (context) => {
+  it("gets no orders within the backoff either", async (context) => {
     await using system = await startSystem({ desks: 0, engines: 3 }, 1);
     await sendSteadily(system, tag, { perSecond: 20, seconds: 1 });
     const engine = [...system.engines].sort(byRuns)[0];
--- a/tests/platform/rules.test.ts
+++ b/tests/platform/rules.test.ts
@@ -1,4 +1,4 @@
-/** Configuration, keys, replicas, weights and ends, as the platform changes them under a running router. */
+/** A running router while the platform changes configuration, keys, replicas and weights, loses the store or ends it. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -23,7 +23,7 @@
 const runsOf = (replicas: readonly ReplicaStandIn[]) => replicas.flatMap(({ runs }) => runs);
 
 describe("a router without a configuration", () => {
-  it("refuses as not run instead of saying that a route or key is unknown, and is not ready", async () => {
+  it("refuses requests as not run instead of as an unknown route or key, and is not ready", async () => {
     await using system = await startPlatformSystem({ isPublished: false });
     const answer = await call(system.router, post);
     expect([answer.status, await isReady(system.router)]).toEqual([503, false]);
@@ -39,32 +39,32 @@
 });
 
 describe("entries of another writer", () => {
-  it("name no replica to use; the others hold, and a readable entry brings the replica back", async () => {
+  it("remove only their own replica from use, until a readable entry follows", async () => {
     await using system = await startPlatformSystem();
-    const [struck, other] = system.desks;
-    if (struck === undefined || other === undefined) throw new Error("Two desks are needed.");
+    const [affected, other] = system.desks;
+    if (affected === undefined || other === undefined) throw new Error("Two desks are needed.");
     for (const value of [{ state: "ready" }, { service: 7 }, "no object", { state: "resting" }]) {
-      system.store.put("keyed.servers", struck.id, value);
+      system.store.put("keyed.servers", affected.id, value);
       system.store.put("keyed.servers", `ghost-${JSON.stringify(value)}`, value);
       await until(async () => {
-        const before = struck.runs.length;
+        const before = affected.runs.length;
         for (let index = 0; index < 4; index += 1) await call(system.router, post);
-        return struck.runs.length === before;
+        return affected.runs.length === before;
       });
     }
     expect(other.runs.length > 0).toEqual(true);
-    const before = struck.runs.length;
-    system.register(struck, {});
+    const before = affected.runs.length;
+    system.register(affected, {});
     system.register(other, undefined);
     await until(async () => {
       await call(system.router, post);
-      return struck.runs.length > before;
+      return affected.runs.length > before;
     });
   });
 });
 
 describe("a configuration that changes", () => {
-  it("is in force soon, and an older one that comes late changes nothing", async () => {
+  it("is in force soon, and is not replaced by an older one that arrives late", async () => {
     await using system = await startPlatformSystem();
     const added = { ...configuration().routes[0], name: "added", pathPrefix: "/added/", kind: "unsafe" };
     system.publish(configuration(3, { routes: [...configuration().routes, added] }));
@@ -82,14 +82,14 @@
     expect((await call(system.router, post)).status).toEqual(200);
   });
 
-  it("takes a key away at once", async () => {
+  it("revokes a key at once", async () => {
     await using system = await startPlatformSystem();
     system.publish(configuration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
     await until(async () => (await call(system.router, post)).status === 401);
   });
 });
 
-/** @returns When the last request was sent that was served before a refusal, milliseconds. */
+/** @returns The time at which the last request before a refusal was sent, milliseconds; repeats requests until then. */
 const lastServedBeforeRefusal = async (router: ForwardingRouter): Promise<number> => {
   let lastServedAt = Number.NEGATIVE_INFINITY;
   for (;;) {
@@ -101,7 +101,7 @@
 };
 
 describe("a router whose store is gone", () => {
-  it("serves keys no longer than it may without knowing that they are valid", async () => {
+  it("serves keys no longer than the bound without proof that they are valid", async () => {
     await using system = await startPlatformSystem();
     system.store.faults.isSilent = true;
     const lostAt = performance.now();
@@ -116,25 +116,25 @@
     await until(async () => (await call(system.router, post)).status === 200);
   });
 
-  it("serves on while a peer that reaches the store vouches for the version", async () => {
+  it("keeps serving while a peer that reaches the store confirms the version", async () => {
     await using system = await startPlatformSystem();
     await using way = await startStoreStandIn(system.store.topics);
     const cut = await system.startRouter(way);
     await until(() => isReady(cut));
     way.faults.isSilent = true;
-    // Longer than a key may be served without proof.
+    // Longer than a key may be served without proof that it is valid.
     await sleep(2_500);
-    // A peer whose own proof is late for a moment may cost a refusal; without its word there are only refusals.
+    // A peer whose own proof is late may cause a single refusal; without the peer, all requests are refused.
     await until(async () => (await call(cut, { ...post, key: keys.isolated })).status === 200);
     const revokedAt = performance.now();
     system.publish(configuration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
     const lastServedAt = await lastServedBeforeRefusal(cut);
     expect(lastServedAt - revokedAt < 2_000).toEqual(true);
-    // Whatever the peer says from now on is about a version that this router doesn't have.
+    // From now on the peer confirms a version that this router doesn't have.
     for (let count = 0; count < 10; count += 1) expect((await call(cut, post)).status).toEqual(503);
   });
 
-  it("takes up where the log was trimmed", async () => {
+  it("continues after records that it had not read were trimmed", async () => {
     await using system = await startPlatformSystem();
     system.store.faults.isBusy = true;
     await sleep(100);
@@ -148,7 +148,7 @@
 });
 
 describe("a replica that leaves", () => {
-  it("gets no new work soon after it said so", async () => {
+  it("gets no new requests soon after its registry entry says so", async () => {
     await using system = await startPlatformSystem();
     const [leaving] = system.desks;
     if (leaving === undefined) throw new Error("no replica");
@@ -160,7 +160,7 @@
     expect(leaving.runs.length).toEqual(before);
   });
 
-  it("is not taken for another that has its address", async () => {
+  it("is not confused with another replica registered at the same address", async () => {
     await using system = await startPlatformSystem({ desks: 1 });
     const [desk] = system.desks;
     if (desk === undefined) throw new Error("no replica");
@@ -188,7 +188,7 @@
     await using system = await startPlatformSystem();
     for (let started = 1; started < routers; started += 1) await system.startRouter();
     await sleep(1_500);
-    // What the one holder of orders reads of its lease is not each router's.
+    // Reads of the lease by the holder of orders are left out: only one router makes them.
     const count = (): number =>
       ["keyed.op", "keyed.servers"].reduce((sum, topic) => sum + (system.store.reads.get(topic) ?? 0), 0);
     const before = count();
@@ -196,11 +196,11 @@
     return (count() - before) / routers;
   };
 
-  it("ask the store less often each", async () => {
+  it("each read the store less often than few routers do", async () => {
     expect(await callsOf(many)).toBeLessThan((await callsOf(2)) * 0.75);
   });
 
-  it("all learn in time that a replica leaves", async () => {
+  it("all stop using a leaving replica within the bound", async () => {
     await using system = await startPlatformSystem({ desks: 3 });
     for (let started = 1; started < many; started += 1) await system.startRouter();
     for (const router of system.routers) await until(() => isReady(router));
@@ -218,7 +218,7 @@
 });
 
 describe("weights that are named", () => {
-  it("are loaded by one holder with one rising number, the newest only", async () => {
+  it("are ordered by one holder under one fence, the newest version only", async () => {
     await using system = await startPlatformSystem({ engines: 4 });
     await system.startRouter();
     system.nameWeights(2);
@@ -230,7 +230,7 @@
     expect(orders.length).toEqual(4);
   });
 
-  it("are expected of the engine that a request goes to", async () => {
+  it("are expected from the engine that a request is sent to", async () => {
     await using system = await startPlatformSystem();
     system.nameWeights(2);
     await until(() => system.engines.every((engine) => engine.version() === 2));
@@ -239,7 +239,7 @@
     expect([last?.headers["x-expect-version"], last?.headers["x-cache-salt"]]).toEqual(["2", "m/2/"]);
   });
 
-  it("that an engine has without this router's knowledge cost a request one more try, not its answer", async () => {
+  it("that an engine has loaded without this router's knowledge cost a request a second try, not its answer", async () => {
     await using system = await startPlatformSystem({ engines: 1 });
     const [engine] = system.engines;
     if (engine === undefined) throw new Error("no engine");
@@ -250,7 +250,7 @@
     expect(engine.runs.at(-1)?.headers["x-expect-version"]).toEqual("7");
   });
 
-  it("go on at another router when the one that gives orders ends", async () => {
+  it("are ordered further by another router when the one that gives orders shuts down", async () => {
     const engine = { loadTime: 200 };
     await using system = await startPlatformSystem({
       engines: 4,
@@ -268,40 +268,40 @@
       hasEnded = true;
     });
     await until(() => system.engines.every((each) => each.version() === 2));
-    // Not only once the other router is gone.
+    // The other router took over before the first one had shut down.
     expect(hasEnded).toEqual(false);
     await drained;
     const fences = system.engines.flatMap(({ orders }) => orders.map(({ fence }) => fence));
     expect(new Set(fences).size <= 2).toEqual(true);
   });
 
-  it("are not begun on older ones by a router that starts after the bound is over", async () => {
+  it("are not served in an older version by a router that starts after the bound has passed", async () => {
     const engine = { refusesOrders: true };
     await using system = await startPlatformSystem({ engines: 1, engine, bounds: { weights: 1_000 } });
     system.nameWeights(2);
     await sleep(1_200);
     expect((await call(system.router, ask)).status).toEqual(503);
-    const heard = new Set<unknown>();
+    const seenPeers = new Set<unknown>();
     directLogs((_part, event, { peer }) => {
-      if (event === "heard") heard.add(peer);
+      if (event === "heard") seenPeers.add(peer);
     });
     const later = await system.startRouter();
-    // The first router's message says how long it has known; only the later one can hear of it.
-    await until(async () => heard.has("router-0") && (await isReady(later)));
+    // The first router's message says for how long it has known the version; only the later one can receive it.
+    await until(async () => seenPeers.has("router-0") && (await isReady(later)));
     expect((await call(later, ask)).status).toEqual(503);
   });
 
-  it("pass over an engine that can't be reached", async () => {
+  it("are ordered from the other engines if one is unreachable", async () => {
     await using system = await startPlatformSystem({ engines: 4 });
-    const [gone] = system.engines;
-    await gone?.[Symbol.asyncDispose]();
+    const [unreachable] = system.engines;
+    await unreachable?.[Symbol.asyncDispose]();
     system.nameWeights(2);
     await until(() => system.engines.slice(1).every((engine) => engine.version() === 2));
   });
 });
 
 describe("a router that is told to end", () => {
-  it("serves the balancer's last callers, refuses what it could not finish, and cuts nothing", async () => {
+  it("serves late callers, refuses requests that it could not finish, and interrupts none", async () => {
     const engine = { events: { count: 60, pause: 10 } };
     await using system = await startPlatformSystem({ engine });
     const running = call(system.router, ask);
@@ -311,7 +311,7 @@
     const late = await call(system.router, { ...post, headers: { "x-deadline-ms": "400" } });
     expect([late.status, late.headers.connection]).toEqual([200, "close"]);
     await sleep(700);
-    // A third of the grace time of 2 s is over: what may take 3 s is not begun.
+    // A third of the grace time of 2 s has passed: a request that may take 3 s is refused.
     const refused = await call(system.router, ask);
     expect([refused.status, runsOf(system.engines).length]).toEqual([503, 1]);
     const finished = await running;
--- a/tests/platform/storeEpochs.test.ts
+++ b/tests/platform/storeEpochs.test.ts
@@ -20,7 +20,7 @@
   withRevocableKey,
 } from "../support/restoredStore.ts";
 
-/** Within which a change must be in force, milliseconds. */
+/** Time within which a change must be in force, milliseconds. */
 const applyBound = 2_000;
 
 const weightsBound = 5_000;
@@ -29,7 +29,7 @@
 
 const readWithRevocable = { ...readCall, key: revocableKey };
 
-/** Reports a time and says whether it is within a bound. */
+/** Reports a time, and returns whether it is within a bound. */
 const isWithin = (context: TestContext, what: string, time: number, bound: number): boolean => {
   context.diagnostic(`${what}: ${Math.round(time)} ms`);
   return time <= bound;
@@ -38,7 +38,7 @@
 const allOnVersion = ({ engines }: PlatformSystem, version: number): boolean =>
   engines.every((engine) => engine.version() >= version);
 
-/** @returns Fences of all orders that engines have accepted, in the order of their acceptance. */
+/** @returns Fences of all orders that engines have accepted, in the order in which they were accepted. */
 const fencesOf = ({ engines }: PlatformSystem): readonly number[] =>
   engines
     .flatMap(({ orders }) => orders)
@@ -51,8 +51,8 @@
 const isRising = (values: readonly number[]): boolean =>
   values.every((value, index) => value >= (values[index - 1] ?? value));
 
-describe("a store that returned from an older copy", () => {
-  it("keeps everything in force until the operator has written again", async () => {
+describe("a store restored from an older copy", () => {
+  it("leaves the configuration in force until the operator has written again", async () => {
     await using system = await startRestorableSystem();
     const copy = system.store.topics.copy();
     system.publish(withAddedRoute(2));
@@ -64,8 +64,8 @@
     }
   });
 
-  // Readers kept offsets of the epoch before, which the copy did not reach.
-  it("delivers configurations that were published at offsets that routers had read before", async (context) => {
+  // Readers that keep their offsets of the previous epoch read from beyond the end of the copy.
+  it("delivers configurations at offsets that routers had read in the previous epoch", async (context) => {
     await using system = await startRestorableSystem();
     const copy = system.store.topics.copy();
     system.publish(configuration(2));
@@ -78,21 +78,21 @@
     expect(isWithin(context, "in force", time, applyBound)).toEqual(true);
   });
 
-  // No read fails then: the offsets exist again, with other records.
-  it("delivers configurations although others appended past the old end before a router read", async (context) => {
+  // No read fails in this case: the offsets exist again, with other records.
+  it("delivers configurations although appends passed the old end before a router read", async (context) => {
     await using system = await startRestorableSystem();
     const copy = system.store.topics.copy();
     system.publish(configuration(2));
     await sleep(300);
-    const returned = system.store.returnFrom(copy, storeOutage);
-    await returned;
+    const restored = system.store.returnFrom(copy, storeOutage);
+    await restored;
     system.publish(withAddedRoute(4));
     for (let version = 1; version < 6; version += 1) system.nameWeights(1);
     const time = await timeUntilAll(system, 4_000, 200, addedRouteCall);
     expect(isWithin(context, "in force", time, applyBound)).toEqual(true);
   });
 
-  it("delivers the revocation of a key that was published after its return", async (context) => {
+  it("delivers a key revocation that was published after the restore", async (context) => {
     await using system = await startRestorableSystem();
     system.publish(withRevocableKey(2, false));
     await waitForStatus(system, 200, readWithRevocable);
@@ -107,8 +107,8 @@
     expect(isWithin(context, "revoked", time, applyBound)).toEqual(true);
   });
 
-  // Nobody read the target, and the lease's records were not found at their offsets.
-  it("delivers weights that were named after its return, ordered under rising fences", async (context) => {
+  // Otherwise no router reads the named version, and the lease's records are not found at their offsets.
+  it("delivers weights that were named after the restore, ordered under rising fences", async (context) => {
     await using system = await startRestorableSystem();
     system.nameWeights(2);
     await waitUntil(() => allOnVersion(system, 2));
@@ -125,7 +125,7 @@
     expect(isRising(fencesOf(system))).toEqual(true);
   });
 
-  it("delivers weights after it returned empty, and once more from a still older copy", async (context) => {
+  it("delivers weights after it was restored empty twice", async (context) => {
     await using system = await startRestorableSystem();
     const empty = new Map();
     system.nameWeights(2);
@@ -142,8 +142,8 @@
     expect(isRising(fencesOf(system))).toEqual(true);
   });
 
-  // Fences are offsets, which begin anew; routers that start then know of none that was given out.
-  it("has engines ordered under rising fences after all routers were started again", async (context) => {
+  // Fences are offsets, which restart in a new epoch; routers that start then know of no fence given out before.
+  it("has engines ordered under rising fences after all routers restarted", async (context) => {
     await using system = await startRestorableSystem();
     const restart = async (): Promise<void> => {
       await system.stopRouters();
@@ -165,8 +165,8 @@
     expect(isRising(fencesOf(system))).toEqual(true);
   });
 
-  // Routers registered once, at their start.
-  it("gets the registration of a router that it lost", async (context) => {
+  // Routers that register only at their start stay lost.
+  it("gets the lost registration of a router again", async (context) => {
     await using system = await startRestorableSystem();
     const copy = system.store.topics.copy();
     await system.startRouter();
@@ -176,7 +176,7 @@
     expect(isWithin(context, "registered again", time, registrationBound)).toEqual(true);
   });
 
-  it("lists no replica again that routers know to be gone", async () => {
+  it("does not bring back a replica that routers know to be gone", async () => {
     await using system = await startRestorableSystem();
     const [gone] = system.desks;
     if (gone === undefined) throw new Error("There is no replica.");
@@ -192,7 +192,7 @@
     expect(gone.arrivals.length - before).toEqual(0);
   });
 
-  it("leaves a replica in use that registered after the copy was made", async () => {
+  it("keeps a replica in use that registered after the copy was made", async () => {
     await using system = await startRestorableSystem({ desks: 1 });
     const [late] = system.desks;
     if (late === undefined) throw new Error("There is no replica.");
@@ -215,7 +215,7 @@
     expect([before, await countRefusals(50)]).toEqual([0, 0]);
   });
 
-  // A refused read was taken for a complete one and repeated at once.
+  // A refused read that counts as a complete one is repeated at once.
   it("is called no more than twice as often as before", async (context) => {
     await using system = await startRestorableSystem();
     const countCalls = async (): Promise<number> => {
@@ -233,9 +233,9 @@
   });
 });
 
-describe("a router, before the operator has written again", () => {
-  // It read the copy, which proves nothing about what was lost.
-  it("serves no older configuration than its peers, where it starts then", async () => {
+describe("a router whose store was restored, before the operator has written again", () => {
+  // The copy proves nothing about the records that were lost.
+  it("serves no older configuration than its peers if it starts then", async () => {
     await using system = await startRestorableSystem();
     system.publish(withRevocableKey(2, false));
     await waitForStatus(system, 200, readWithRevocable);
@@ -257,7 +257,7 @@
     expect(statuses.has(401)).toEqual(true);
   });
 
-  it("gets a revocation that it had not read from its peers, where the store has lost it", async (context) => {
+  it("gets a revocation that it had not read from its peers if the store has lost it", async (context) => {
     await using system = await startRestorableSystem();
     await using way = await startStoreStandIn(system.store.topics);
     const cut = await system.startRouter(way);
--- a/tests/platform/wire.test.ts
+++ b/tests/platform/wire.test.ts
@@ -1,4 +1,4 @@
-/** What goes over the wire between callers, routers and replicas of the platform. */
+/** The HTTP messages between callers, routers and replicas of the platform. */
 import { once } from "node:events";
 import { connect } from "node:net";
 import { describe, it } from "node:test";
@@ -27,7 +27,7 @@
   for (const replica of [...system.desks, ...system.engines]) replica.behave(...behaviours);
 };
 
-/** An organisation that may use so many tokens a second. */
+/** @returns Fields of a configuration with one organisation, limited to a number of tokens per second. */
 const limitedTo = (ratePerS: number) => ({
   tenants: [
     { name: "one", apiKeys: [keys.known], ratePerS, burst: ratePerS, unit: "tokens", plainTokens: 200 },
@@ -38,7 +38,7 @@
   it("refuses at once what is beyond it, with when to come back, and lets the rest pass", async (context) => {
     await using system = await startPlatformSystem();
     system.publish(configuration(2, limitedTo(2_000)));
-    // Requests of 1,540 tokens: the count begins empty, and has room for one and two plain ones when it is full.
+    // Requests of 1,540 tokens: the bucket begins empty; a full one has room for one of them and two plain requests.
     await until(async () => (await call(system.router, ask)).status === 200);
     await sleep(1_200);
     const askedAt = performance.now();
@@ -46,7 +46,7 @@
     const ran = runsOf(system.engines).length;
     const refused = await call(system.router, ask);
     expect(refused.status).toEqual(429);
-    // A full count of 2,000 lacks 1,080 tokens after the first request: 0.54 s at its rate.
+    // After the first request a full bucket of 2,000 lacks 1,080 tokens for the next: 0.54 s at its rate.
     const elapsedSeconds = (performance.now() - askedAt) / 1_000;
     const comeBackAfter = Number(refused.headers["retry-after"]);
     context.diagnostic(
@@ -58,7 +58,7 @@
     expect(runsOf(system.engines).length).toEqual(ran);
   });
 
-  it("counts by what the caller says, which has to be readable", async () => {
+  it("counts the tokens that the caller states, and rejects a count that can't be read", async () => {
     await using system = await startPlatformSystem();
     const headers = { ...promptHeaders(), "x-token-count": "many" };
     const answer = await call(system.router, { ...ask, headers });
@@ -68,7 +68,7 @@
 });
 
 describe("a request that is passed on", () => {
-  it("reaches a replica untouched, with what the system adds and without the caller's key", async () => {
+  it("reaches a replica unchanged, with the system's headers and without the caller's key", async () => {
     await using system = await startPlatformSystem();
     const answer = await call(system.router, {
       ...post,
@@ -97,7 +97,7 @@
     expect(remaining > 2_000 && remaining <= 3_000).toEqual(true);
   });
 
-  it("carries nothing that a caller sends under the system's own names", async () => {
+  it("carries no value that a caller sends in the system's own headers", async () => {
     await using system = await startPlatformSystem();
     await call(system.router, {
       ...ask,
@@ -122,7 +122,7 @@
     expect(run?.headers["x-kv-fetch"] === "127.0.0.1:1").toEqual(false);
   });
 
-  it("keeps an isolated organisation's cached parts apart", async () => {
+  it("has its own cache salt if its organisation is isolated", async () => {
     await using system = await startPlatformSystem();
     await call(system.router, { ...ask, key: keys.isolated });
     await call(system.router, ask);
@@ -133,7 +133,7 @@
     ).toEqual(["m/1/", "m/1/two"]);
   });
 
-  it("is not taken for two where length and chunks are both given", async () => {
+  it("is rejected, not split in two, if it has both a content length and chunked encoding", async () => {
     await using system = await startPlatformSystem();
     const socket = connect(system.router.port, "127.0.0.1");
     const head = [
@@ -155,7 +155,7 @@
     expect(runsOf(system.desks).length).toEqual(0);
   });
 
-  it("is refused with a type where it can't be allowed", async () => {
+  it("is refused with the status of the reason if it is not allowed", async () => {
     await using system = await startPlatformSystem();
     const statusOf = async (given: Parameters<typeof call>[1]) => (await call(system.router, given)).status;
     expect(await statusOf({ ...post, key: "unknown" })).toEqual(401);
@@ -178,19 +178,19 @@
     ["fail", 200, 2],
   ];
   for (const [behaviour, status, runs] of cases) {
-    it(`is had again elsewhere where that does no harm: ${behaviour}`, async () => {
+    it(`is retried at another replica if the route is idempotent: ${behaviour}`, async () => {
       await using system = await startPlatformSystem();
       for (const desk of system.desks) desk.behave(behaviour);
       const [first, second] = system.desks;
       second?.behave();
-      // Whichever is chosen first: one of two requests begins at the replica that misbehaves.
+      // One of two requests begins at the misbehaving replica, whichever replica is chosen first.
       const answers = [await call(system.router, read), await call(system.router, read)];
       expect(answers.map((answer) => answer.status)).toEqual([status, status]);
       expect((first?.runs.length ?? 0) + (second?.runs.length ?? 0) >= runs).toEqual(true);
     });
   }
 
-  it("is never had again where the request may run once only", async () => {
+  it("is never retried if the request may run only once", async () => {
     for (const behaviour of ["reset", "cut", "crossed", "broken", "unsealed"] as const) {
       await using system = await startPlatformSystem();
       behaveAll(system, behaviour);
@@ -200,7 +200,7 @@
     }
   });
 
-  it("ends at its connection's end where it has no length", async () => {
+  it("ends with its connection if it has no length", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "unframed");
     const answer = await call(system.router, { ...post, id: "unframed-1" });
@@ -210,7 +210,7 @@
     ]);
   });
 
-  it("does not reach the next caller where a second one follows it", async () => {
+  it("does not let a second answer that follows it reach the next caller", async () => {
     await using system = await startPlatformSystem({ desks: 1 });
     for (let round = 0; round < 5; round += 1) {
       behaveAll(system, "extra");
@@ -221,7 +221,7 @@
     }
   });
 
-  it("leaves the rest of the body in place where it comes before the body was read", async () => {
+  it("does not mix bodies if it arrives before the request's body was read", async () => {
     await using system = await startPlatformSystem({ desks: 1 });
     for (let round = 0; round < 5; round += 1) {
       behaveAll(system, "early");
@@ -233,7 +233,7 @@
     expect(runsOf(system.desks).length).toEqual(5);
   });
 
-  it("is passed on as it is where it is the replica's own failure", async () => {
+  it("is forwarded unchanged if it is the replica's own failure", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "fail");
     const answer = await call(system.router, post);
@@ -243,7 +243,7 @@
 });
 
 describe("a refusal that says not run", () => {
-  it("is given with a time to come back where every replica refused", async () => {
+  it("is given with `Retry-After` if every replica refused", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "shed");
     const answer = await call(system.router, post);
@@ -262,17 +262,17 @@
 });
 
 describe("a stream", () => {
-  it("reaches its caller whole and in order", async () => {
+  it("reaches its caller complete and in order", async () => {
     await using system = await startPlatformSystem();
     const answer = await call(system.router, { ...ask, id: "stream-1" });
     const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
     expect([answer.status, answer.isCut, ids]).toEqual([200, false, [1, 2, 3, 4, 5]]);
   });
 
-  it("goes on at another replica where it may be resumed, with no event twice", async () => {
+  it("is resumed at another replica, with no event twice, if its route allows it", async () => {
     await using system = await startPlatformSystem();
     await call(system.router, tag);
-    // The next request with the same parts goes where this one went.
+    // The next request with the same prompt parts goes to the same engine.
     const home = system.engines.find(({ runs }) => runs.length > 0);
     home?.behave("cut");
     const answer = await call(system.router, { ...tag, id: "resumed" });
@@ -287,7 +287,7 @@
     ]);
   });
 
-  it("breaks visibly where it may not be resumed", async () => {
+  it("ends as an interrupted answer if it may not be resumed", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "cut");
     const answer = await call(system.router, ask);
@@ -295,7 +295,7 @@
     expect(runsOf(system.engines).length).toEqual(1);
   });
 
-  it("ends the replica's work soon after its caller has gone", async () => {
+  it("ends the replica's work soon after its caller has left", async () => {
     await using system = await startPlatformSystem({ engine: { events: { count: 500, pause: 10 } } });
     const leaving = new AbortController();
     const answer = call(system.router, { ...ask, signal: leaving.signal });
