--- a/src/coordination/forwarding/proofModel.test.ts
+++ b/src/coordination/forwarding/proofModel.test.ts
@@ -83,7 +83,7 @@
       clock: ownClock,
       replicas: createReplicaTable(),
       configuration,
-      holders: { noteKey: () => undefined },
+      holders: { notePart: () => undefined },
       maxReadAge: () => Number.POSITIVE_INFINITY,
       onNewerConfiguration: () => undefined,
       ...noEpochs,
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -71,7 +71,7 @@
       readers,
       readAge: () => clock.monotonic() - state.readAt,
       operator: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
         lastChangePosition: () => new StorePosition(state.epoch, state.offset),
         age: () => clock.monotonic() - state.provenAt,
         confirm: (moment) => {
@@ -79,7 +79,7 @@
         },
       },
       replicas: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
         lastChangePosition: () => new StorePosition(state.epoch, 0),
         age: () => clock.monotonic() - state.registryProvenAt,
         confirm: (moment) => {
--- a/src/coordination/usageLimits/usageLimits.test.ts
+++ b/src/coordination/usageLimits/usageLimits.test.ts
@@ -5,7 +5,7 @@
 import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createManualClock } from "../manualClock.ts";
-import { pollInterval, takeoverTimeout } from "../coordinators/constants.ts";
+import { roleCheckInterval, takeoverTimeout } from "../coordinators/constants.ts";
 import { createCoordinators } from "../coordinators/coordinators.ts";
 import { createKeyCoordination } from "../coordinators/keyCoordination.ts";
 import { createUsageLimits } from "./usageLimits.ts";
@@ -352,7 +352,7 @@
     const all = routers.map((self) =>
       createCoordinators({ self, others: () => routers.filter((each) => each !== self), clock }),
     );
-    for (let time = 0; time < 3 * takeoverTimeout; time += pollInterval) {
+    for (let time = 0; time < 3 * takeoverTimeout; time += roleCheckInterval) {
       clock.advanceTo(time);
       for (const coordinators of all) {
         routers.forEach(({ at }) => coordinators.noteReceived(at));
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -201,7 +201,7 @@
     const state = router.state();
     if (state.limit !== undefined && router.time.clock.monotonic() < state.limitedUntil && maxWait === 0)
       return false;
-    const promisedGrant = router.limits.take(state, maxWait);
+    const promisedGrant = router.limits.acquire(state, maxWait);
     if (promisedGrant === undefined) {
       sendTo(index, id);
       return true;
--- a/tests/support/quarantineRouters.ts
+++ b/tests/support/quarantineRouters.ts
@@ -95,7 +95,7 @@
   headers: [],
   body: Buffer.from(body),
   arrivedAt: 0,
-  patience: 3_000,
+  timeout: 3_000,
   key: "key-one",
   prompt: undefined,
   countedTokens: undefined,
