--- a/tests/platform/crashingRequests.test.ts
+++ b/tests/platform/crashingRequests.test.ts
@@ -9,15 +9,15 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import type { CallerAnswer, CallerCall, PlatformSystem } from "../../standIns/platform/system.ts";
+import type { CallerAnswer, RequestOptions, PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  call,
+  sendRequest,
   hosts,
   isReady,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { CrashingReplicas } from "../support/crashingReplicas.ts";
 import { bodies, startCrashingReplicas } from "../support/crashingReplicas.ts";
 
@@ -27,17 +27,24 @@
 /** Time between two tries of a caller, milliseconds. Crashed engines restart during the tries. */
 const tryInterval = 120;
 
-const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
-const tag: CallerCall = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() };
+const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
+const tag: RequestOptions = {
+  host: hosts.model,
+  path: "/tag/2f",
+  body: "tag",
+  headers: defaultPromptHeaders(),
+};
 
 const startSystem = async (routers = 3) => {
   const system = await startPlatformSystem({ desks: 0, engines: 0 });
   while (system.routers.length < routers) await system.startRouter();
   const replicas = await startCrashingReplicas(system, { desks: 4, engines: 4 });
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
-  await until(async () => (await Promise.all(system.routers.map((each) => call(each, tag)))).every(isServed));
-  await until(async () =>
-    (await Promise.all(system.routers.map((each) => call(each, read)))).every(isServed),
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () =>
+    (await Promise.all(system.routers.map((each) => sendRequest(each, tag)))).every(isServed),
+  );
+  await waitUntil(async () =>
+    (await Promise.all(system.routers.map((each) => sendRequest(each, read)))).every(isServed),
   );
   return {
     system,
@@ -60,12 +67,12 @@
 /** Sends the same request a number of times, each time to the next router. */
 const repeat = async (
   system: PlatformSystem,
-  request: CallerCall,
+  request: RequestOptions,
   times: number,
 ): Promise<readonly CallerAnswer[]> => {
   const answers: CallerAnswer[] = [];
   for (let count = 0; count < times; count += 1) {
-    answers.push(await call(routerForTry(system, count), request));
+    answers.push(await sendRequest(routerForTry(system, count), request));
     await sleep(tryInterval);
   }
   return answers;
@@ -111,8 +118,8 @@
   status === 503 && body.includes("held_back");
 
 /** Sends the same request until it is refused as quarantined. */
-const repeatUntilQuarantined = async (system: PlatformSystem, request: CallerCall): Promise<void> => {
-  for (let count = 0; !isQuarantined(await call(routerForTry(system, count), request)); count += 1)
+const repeatUntilQuarantined = async (system: PlatformSystem, request: RequestOptions): Promise<void> => {
+  for (let count = 0; !isQuarantined(await sendRequest(routerForTry(system, count), request)); count += 1)
     await sleep(tryInterval);
 };
 
@@ -120,12 +127,12 @@
 const expectQuarantinedEverywhere = async (
   routers: readonly ForwardingRouter[],
   replicas: CrashingReplicas,
-  request: CallerCall,
+  request: RequestOptions,
 ): Promise<void> => {
   const before = replicas.runsOf(request.body ?? "").length;
   for (const router of routers) {
     const begunAt = performance.now();
-    const answer = await call(router, request);
+    const answer = await sendRequest(router, request);
     expect([isQuarantined(answer), performance.now() - begunAt < immediate]).toEqual([true, true]);
     expect(Number(answer.headers["retry-after"]) > 0).toEqual(true);
   }
@@ -149,7 +156,7 @@
     const answers: CallerAnswer[] = [];
     const ask = async (router: ForwardingRouter): Promise<void> => {
       while (!stopped.signal.aborted) {
-        answers.push(await call(router, popular));
+        answers.push(await sendRequest(router, popular));
         await sleep(20);
       }
     };
@@ -163,7 +170,7 @@
     const served = answers.filter(isServed).length;
     const heldBack = answers.filter(isQuarantined).length;
     context.diagnostic(`${answers.length} popular requests: ${served} served, ${heldBack} held back`);
-    for (const router of system.routers) expect(isServed(await call(router, popular))).toEqual(true);
+    for (const router of system.routers) expect(isServed(await sendRequest(router, popular))).toEqual(true);
     expect(served > answers.length / 2).toEqual(true);
   });
 
@@ -175,7 +182,7 @@
     );
     expectBounded(context, replicas, bodies.deadly);
     expectBounded(context, replicas, bodies.deadlyToo);
-    await until(async () => isServed(await call(system.router, tag)));
+    await waitUntil(async () => isServed(await sendRequest(system.router, tag)));
   });
 });
 
@@ -185,16 +192,16 @@
     const { system, replicas } = started;
     const deadly = { ...tag, path: "/ask/2f", body: bodies.deadly };
     await repeatUntilQuarantined(system, deadly);
-    await until(() => system.store.topics.newest("keyed.quarantine").size > 0);
+    await waitUntil(() => system.store.topics.newest("keyed.quarantine").size > 0);
     endTrials(system);
     const later = await system.startRouter();
-    await until(() => isReady(later));
+    await waitUntil(() => isReady(later));
     await expectQuarantinedEverywhere([later], replicas, deadly);
     await system.stopRouters();
     const again = await Promise.all([system.startRouter(), system.startRouter()]);
-    await until(async () => (await Promise.all(again.map(isReady))).every(Boolean));
+    await waitUntil(async () => (await Promise.all(again.map(isReady))).every(Boolean));
     await expectQuarantinedEverywhere(again, replicas, deadly);
     // A request with another body is served.
-    await until(async () => isServed(await call(again[0], { ...tag, path: "/ask/2f" })));
+    await waitUntil(async () => isServed(await sendRequest(again[0], { ...tag, path: "/ask/2f" })));
   });
 });
--- a/tests/support/crashingReplicas.ts
+++ b/tests/support/crashingReplicas.ts
@@ -1,8 +1,8 @@
 /** Replicas behind real routers. They crash on certain requests and restart later as new incarnations. */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { ReplicaSettings, ReplicaStandIn, Run } from "../../standIns/platform/replica.ts";
+import type { ReplicaSettings, ReplicaStandIn, ExecutedRequest } from "../../standIns/platform/replica.ts";
 import { startReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 
 /** Request bodies that crash the replica that runs them: at the start, or in the middle of the answer. */
 export const bodies = { deadly: "deadly", deadlyToo: "deadly too", deadlyMidway: "deadly midway" } as const;
@@ -15,13 +15,13 @@
 /** A number of replicas of each service, restarted after crashes. */
 export interface CrashingReplicas extends AsyncDisposable {
   /** Runs of requests with a body, by incarnation in the order in which they started. */
-  readonly runsOf: (body: string) => readonly Run[];
+  readonly runsOf: (body: string) => readonly ExecutedRequest[];
   readonly crashes: () => number;
   /** The incarnations that have not crashed. */
   readonly running: () => readonly ReplicaStandIn[];
 }
 
-const crashesOn = ({ body }: Run): "never" | "begin" | "midway" => {
+const crashesOn = ({ body }: ExecutedRequest): "never" | "begin" | "midway" => {
   if (body === bodies.deadlyMidway) return "midway";
   return body === bodies.deadly || body === bodies.deadlyToo ? "begin" : "never";
 };
--- a/tests/support/limitedReplicas.ts
+++ b/tests/support/limitedReplicas.ts
@@ -1,8 +1,8 @@
 /** Callers of routers whose replicas report a limit, and the number of requests that such a replica received. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { CallerAnswer, CallerCall, PlatformSystem } from "../../standIns/platform/system.ts";
-import { call } from "../../standIns/platform/system.ts";
+import type { CallerAnswer, RequestOptions, PlatformSystem } from "../../standIns/platform/platformSystem.ts";
+import { sendRequest } from "../../standIns/platform/platformSystem.ts";
 import { allowedInWindow, mostInAnyWindow, allowance } from "./limitAllowance.ts";
 
 const millisecondsPerSecond = 1_000;
@@ -37,7 +37,7 @@
  */
 export const sendSteadily = async (
   { routers }: Pick<PlatformSystem, "routers">,
-  request: CallerCall,
+  request: RequestOptions,
   { perSecond, seconds }: { readonly perSecond: number; readonly seconds: number },
 ): Promise<readonly ReceivedAnswer[]> => {
   const startedAt = performance.now();
@@ -48,7 +48,7 @@
     if (router === undefined) throw new Error("There is no router.");
     const askedAt = performance.now();
     const headers = { ...request.headers, [routerHeader]: String(index) };
-    const answer = await call(router, { ...request, headers });
+    const answer = await sendRequest(router, { ...request, headers });
     return { ...answer, router: index, askedAt, answeredAt: performance.now(), replica: replicaOf(answer) };
   };
   for (let count = 0; count < perSecond * seconds; count += 1) {
--- a/tests/support/replicaReports.ts
+++ b/tests/support/replicaReports.ts
@@ -1,6 +1,6 @@
 /** Counts arrivals, by router, at replicas that report draining or request backoff. */
 import type { Arrival, ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import { drainingReplicaOf } from "../../standIns/platform/system.ts";
+import { drainingReplicaOf } from "../../standIns/platform/platformSystem.ts";
 import type { ReceivedAnswer } from "./limitedReplicas.ts";
 import { routerHeader } from "./limitedReplicas.ts";
 
--- a/tests/support/restoredStore.ts
+++ b/tests/support/restoredStore.ts
@@ -1,30 +1,40 @@
 /** A system whose store is restored from older copies, and what operator and replicas then write again. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
-import { call, configuration, hosts, isReady, startPlatformSystem } from "../../standIns/platform/system.ts";
+import type {
+  RequestOptions,
+  PlatformSystem,
+  PlatformSystemSettings,
+} from "../../standIns/platform/platformSystem.ts";
+import {
+  sendRequest,
+  createConfiguration,
+  hosts,
+  isReady,
+  startPlatformSystem,
+} from "../../standIns/platform/platformSystem.ts";
 
 /** Time for which the store is unavailable before it is restored, milliseconds. */
 export const storeOutage = 400;
 
-export const readCall: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+export const readCall: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
 /** A call that is served if the configuration has the added route. */
-export const addedRouteCall: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
+export const addedRouteCall: RequestOptions = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
 /** The key of the organisation that {@link withRevocableKey} adds. */
 export const revocableKey = "key-three";
 
-const baseConfiguration = configuration(1);
+const baseConfiguration = createConfiguration(1);
 
 const addedRoute = { ...baseConfiguration.routes[0], name: "added", pathPrefix: "/added/" };
 
 export const withAddedRoute = (version: number) =>
-  configuration(version, { routes: [...baseConfiguration.routes, addedRoute] });
+  createConfiguration(version, { routes: [...baseConfiguration.routes, addedRoute] });
 
 /** @returns A configuration with a third organisation, whose key is valid or revoked. */
 export const withRevocableKey = (version: number, isRevoked: boolean) =>
-  configuration(version, {
+  createConfiguration(version, {
     tenants: [
       ...baseConfiguration.tenants,
       { name: "three", apiKeys: isRevoked ? [] : [revocableKey], priority: 1, isolated: false },
@@ -46,9 +56,9 @@
 export const countStatus = async (
   routers: readonly ForwardingRouter[],
   status: number,
-  request: CallerCall,
+  request: RequestOptions,
 ): Promise<number> => {
-  const answers = await Promise.all(routers.map((router) => call(router, request)));
+  const answers = await Promise.all(routers.map((router) => sendRequest(router, request)));
   return answers.filter((answer) => answer.status === status).length;
 };
 
@@ -70,7 +80,7 @@
   { routers }: Pick<PlatformSystem, "routers">,
   timeout: number,
   status: number,
-  request: CallerCall,
+  request: RequestOptions,
 ): Promise<number> =>
   timeUntil(timeout, async () => (await countStatus(routers, status, request)) === routers.length);
 
@@ -88,5 +98,5 @@
 export const waitForStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
-  request: CallerCall,
+  request: RequestOptions,
 ): Promise<void> => waitUntil(async () => (await countStatus(routers, status, request)) === routers.length);
