--- a/tests/support/limitedReplicas.ts
+++ b/tests/support/limitedReplicas.ts
@@ -1,8 +1,8 @@
 /** Callers of routers before replicas that name a limit, and how much such a replica got. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { CallerAnswer, CallerCall, PlatformSystem } from "../../standIns/platform/system.ts";
-import { call } from "../../standIns/platform/system.ts";
+import type { CallerAnswer, RequestOptions, PlatformSystem } from "../../standIns/platform/platformSystem.ts";
+import { sendRequest } from "../../standIns/platform/platformSystem.ts";
 import { allowedInWindow, mostInAnyWindow, stated } from "./statedLimit.ts";
 
 const millisecondsPerSecond = 1_000;
@@ -33,7 +33,7 @@
 /** Sends at a pace, to the routers in turn, whatever the answers are; resolves once all are there. */
 export const sendSteadily = async (
   { routers }: Pick<PlatformSystem, "routers">,
-  asked: CallerCall,
+  asked: RequestOptions,
   { perSecond, seconds }: { readonly perSecond: number; readonly seconds: number },
 ): Promise<readonly ReceivedAnswer[]> => {
   const begunAt = performance.now();
@@ -44,7 +44,7 @@
     if (router === undefined) throw new Error("There is no router.");
     const askedAt = performance.now();
     const headers = { ...asked.headers, [throughHeader]: String(index) };
-    const answer = await call(router, { ...asked, headers });
+    const answer = await sendRequest(router, { ...asked, headers });
     return { ...answer, router: index, askedAt, answeredAt: performance.now(), replica: replicaOf(answer) };
   };
   for (let turn = 0; turn < perSecond * seconds; turn += 1) {
--- a/tests/support/replicaReports.ts
+++ b/tests/support/replicaReports.ts
@@ -1,6 +1,6 @@
 /** Arrivals at replicas that report draining or ask for backoff, by router. */
 import type { Arrival, ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import { drainingReplicaOf } from "../../standIns/platform/system.ts";
+import { drainingReplicaOf } from "../../standIns/platform/platformSystem.ts";
 import type { ReceivedAnswer } from "./limitedReplicas.ts";
 import { throughHeader } from "./limitedReplicas.ts";
 
--- a/tests/support/returningStore.ts
+++ b/tests/support/returningStore.ts
@@ -1,30 +1,40 @@
 /** A system whose store returns from older copies, and what operator and replicas then write again. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
-import { call, configuration, hosts, isReady, startPlatformSystem } from "../../standIns/platform/system.ts";
+import type {
+  RequestOptions,
+  PlatformSystem,
+  PlatformSystemSettings,
+} from "../../standIns/platform/platformSystem.ts";
+import {
+  sendRequest,
+  createConfiguration,
+  hosts,
+  isReady,
+  startPlatformSystem,
+} from "../../standIns/platform/platformSystem.ts";
 
 /** How long the store is away before it returns, milliseconds. */
 export const awayTime = 400;
 
-export const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+export const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
 /** Served by configurations that have the added route. */
-export const added: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
+export const added: RequestOptions = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
 /** Keys of an organisation whose key may be revoked. */
 export const revocableKey = "key-three";
 
-const usual = configuration(1);
+const usual = createConfiguration(1);
 
 const addedRoute = { ...usual.routes[0], name: "added", pathPrefix: "/added/" };
 
 export const withAddedRoute = (version: number) =>
-  configuration(version, { routes: [...usual.routes, addedRoute] });
+  createConfiguration(version, { routes: [...usual.routes, addedRoute] });
 
 /** A configuration with a third organisation, whose key is there or revoked. */
 export const withRevocable = (version: number, isRevoked: boolean) =>
-  configuration(version, {
+  createConfiguration(version, {
     tenants: [
       ...usual.tenants,
       { name: "three", apiKeys: isRevoked ? [] : [revocableKey], priority: 1, isolated: false },
@@ -46,9 +56,9 @@
 export const countStatus = async (
   routers: readonly ForwardingRouter[],
   status: number,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<number> => {
-  const answers = await Promise.all(routers.map((router) => call(router, asked)));
+  const answers = await Promise.all(routers.map((router) => sendRequest(router, asked)));
   return answers.filter((answer) => answer.status === status).length;
 };
 
@@ -70,7 +80,7 @@
   { routers }: Pick<PlatformSystem, "routers">,
   longest: number,
   status: number,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<number> =>
   timeUntil(longest, async () => (await countStatus(routers, status, asked)) === routers.length);
 
@@ -88,5 +98,5 @@
 export const awaitStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<void> => awaitThat(async () => (await countStatus(routers, status, asked)) === routers.length);
