--- a/soak/faultInjector.ts
+++ b/soak/faultInjector.ts
@@ -5,11 +5,11 @@
 import { setFaults } from "../tests/processes/records.ts";
 import type { Violation } from "./types.ts";
 
-const shortest = 200;
-const longest = 2_500;
-const fewestRouters = 2;
+const minDuration = 200;
+const maxDuration = 2_500;
+const minRouters = 2;
 /** Far longer than any request of the load and any idle connection. */
-const longestShutdown = 30_000;
+const shutdownTimeout = 30_000;
 
 /** Disturbs a system. */
 export interface FaultInjector {
@@ -28,45 +28,46 @@
   const shutdowns: Promise<Violation | undefined>[] = [];
   let started = 0;
 
-  const watchShutdown = async ({ name, process }: SystemProcess): Promise<Violation | undefined> => {
+  const monitorShutdown = async ({ name, process }: SystemProcess): Promise<Violation | undefined> => {
     const limit = new AbortController();
-    const tooLong = sleep(longestShutdown, undefined, { signal: limit.signal, ref: false });
-    const end = await Promise.race([process.ended, tooLong.catch(() => undefined)]);
+    const timeout = sleep(shutdownTimeout, undefined, { signal: limit.signal, ref: false });
+    const end = await Promise.race([process.ended, timeout.catch(() => undefined)]);
     limit.abort();
     if (end?.code === 0) return undefined;
     const how = end === undefined ? "did not end" : `ended with ${String(end.code ?? end.signal)}`;
     return { promise: "a graceful shutdown ends", detail: `${name} ${how}` };
   };
 
-  const below = (limit: number): number => Math.min(limit - 1, Math.floor(random.uniform() * limit));
-  const pick = <T>(items: readonly T[]): T | undefined => items[below(items.length)];
-  const wait = (): Promise<void> => sleep(shortest + random.uniform() * (longest - shortest));
+  const randomIndex = (limit: number): number => Math.min(limit - 1, Math.floor(random.uniform() * limit));
+  const pick = <T>(items: readonly T[]): T | undefined => items[randomIndex(items.length)];
+  const waitRandomDuration = (): Promise<void> =>
+    sleep(minDuration + random.uniform() * (maxDuration - minDuration));
   const ofKind = (kind: SystemProcess["kind"]): readonly SystemProcess[] =>
     system.processes().filter((item) => item.kind === kind && !busy.has(item.name));
 
   const replaceRouter = async (signal: "SIGKILL" | "SIGTERM"): Promise<void> => {
     const old = pick(ofKind("router"));
-    if (old === undefined || ofKind("router").length <= fewestRouters) return;
+    if (old === undefined || ofKind("router").length <= minRouters) return;
     busy.add(old.name);
     started += 1;
     const replacement = system.startRouter(`router-again-${started}`, old.dataCentre);
     old.process.kill(signal);
-    if (signal === "SIGTERM") shutdowns.push(watchShutdown(old));
+    if (signal === "SIGTERM") shutdowns.push(monitorShutdown(old));
     await replacement;
   };
 
   const freeze = async (kind: SystemProcess["kind"]): Promise<void> => {
     const frozen = pick(ofKind(kind));
-    if (frozen === undefined || ofKind(kind).length < fewestRouters) return;
+    if (frozen === undefined || ofKind(kind).length < minRouters) return;
     busy.add(frozen.name);
     frozen.process.kill("SIGSTOP");
-    await wait();
+    await waitRandomDuration();
     frozen.process.kill("SIGCONT");
     busy.delete(frozen.name);
   };
 
   /** Sets faults of one stand-in and takes them back. */
-  const disturbStandIn = async (
+  const injectStandInFaults = async (
     kind: SystemProcess["kind"],
     faults: Readonly<Record<string, unknown>>,
     undo: Readonly<Record<string, unknown>> = {},
@@ -74,7 +75,7 @@
     const standIn = pick(ofKind(kind));
     if (standIn === undefined) return;
     await setFaults(standIn.process.url, faults);
-    await wait();
+    await waitRandomDuration();
     await setFaults(standIn.process.url, undo);
   };
 
@@ -83,34 +84,36 @@
     if (engine !== undefined) await fetch(`${engine.process.url}/stand-in/crash`, { method: "POST" });
   };
 
-  const things: Readonly<Record<string, () => Promise<void>>> = {
+  const faultActions: Readonly<Record<string, () => Promise<void>>> = {
     killRouter: () => replaceRouter("SIGKILL"),
     endRouter: () => replaceRouter("SIGTERM"),
     freezeRouter: () => freeze("router"),
     freezeEngine: () => freeze("engine"),
     freezeService: () => freeze("service"),
     crashEngine,
-    logOutage: () => disturbStandIn("logService", { outage: true }, { outage: false }),
-    logFrozen: () => disturbStandIn("logService", { freeze: true }, { freeze: false }),
-    logSlow: () => disturbStandIn("logService", { latencyMilliseconds: 300 }, { latencyMilliseconds: 0 }),
-    logLosesAnswers: () => disturbStandIn("logService", { loseAppendAnswers: 5 }, { loseAppendAnswers: 0 }),
-    vmListOutage: () => disturbStandIn("vmList", { outage: true }, { outage: false }),
-    serviceLosesAnswers: () => disturbStandIn("service", { loseAnswers: 2 }, { loseAnswers: 0 }),
-    serviceCrossesAnswers: () => disturbStandIn("service", { crossAnswers: 2 }, { crossAnswers: 0 }),
-    serviceGarbage: () => disturbStandIn("service", { garbage: 2 }, { garbage: 0 }),
-    serviceRefuses: () => disturbStandIn("service", { refuse: true }, { refuse: false }),
+    logOutage: () => injectStandInFaults("logService", { outage: true }, { outage: false }),
+    logFrozen: () => injectStandInFaults("logService", { freeze: true }, { freeze: false }),
+    logSlow: () =>
+      injectStandInFaults("logService", { latencyMilliseconds: 300 }, { latencyMilliseconds: 0 }),
+    logLosesAnswers: () =>
+      injectStandInFaults("logService", { loseAppendAnswers: 5 }, { loseAppendAnswers: 0 }),
+    vmListOutage: () => injectStandInFaults("vmList", { outage: true }, { outage: false }),
+    serviceLosesAnswers: () => injectStandInFaults("service", { loseAnswers: 2 }, { loseAnswers: 0 }),
+    serviceCrossesAnswers: () => injectStandInFaults("service", { crossAnswers: 2 }, { crossAnswers: 0 }),
+    serviceGarbage: () => injectStandInFaults("service", { garbage: 2 }, { garbage: 0 }),
+    serviceRefuses: () => injectStandInFaults("service", { refuse: true }, { refuse: false }),
     engineCloses: () =>
-      disturbStandIn("engine", { closeEarlyAfterTokens: 7 }, { closeEarlyAfterTokens: null }),
-    engineStalls: () => disturbStandIn("engine", { stallAfterTokens: 9 }, { stallAfterTokens: null }),
-    engineCrossesAnswers: () => disturbStandIn("engine", { crossAnswers: 2 }, { crossAnswers: 0 }),
-    engineOutage: () => disturbStandIn("engine", { outage: true }, { outage: false }),
+      injectStandInFaults("engine", { closeEarlyAfterTokens: 7 }, { closeEarlyAfterTokens: null }),
+    engineStalls: () => injectStandInFaults("engine", { stallAfterTokens: 9 }, { stallAfterTokens: null }),
+    engineCrossesAnswers: () => injectStandInFaults("engine", { crossAnswers: 2 }, { crossAnswers: 0 }),
+    engineOutage: () => injectStandInFaults("engine", { outage: true }, { outage: false }),
   };
 
   const disturb = async (): Promise<void> => {
-    const name = pick(Object.keys(things)) ?? "";
+    const name = pick(Object.keys(faultActions)) ?? "";
     counts.set(name, (counts.get(name) ?? 0) + 1);
     // A call to a stand-in that is frozen at the moment may fail; nothing depends on it.
-    await things[name]?.().catch(() => undefined);
+    await faultActions[name]?.().catch(() => undefined);
   };
 
   const findBadShutdowns = async (): Promise<readonly Violation[]> =>
--- a/soak/load.ts
+++ b/soak/load.ts
@@ -5,19 +5,19 @@
 import { newKey, signOff, streamedQuestion } from "../tests/processes/caller.ts";
 import type { SoakRecord } from "./types.ts";
 
-const questions = 6;
+const questionCount = 6;
 const answerTokens = 60;
 const maximumTries = 10;
-const retryPause = 100;
-const thinkingTime = 20;
+const retryDelay = 100;
+const delayBetweenRequests = 20;
 
 /** The questions of the run; each has one right answer. */
-export const soakQuestions: readonly CallerRequest[] = Array.from({ length: questions }, (_, index) =>
+export const soakQuestions: readonly CallerRequest[] = Array.from({ length: questionCount }, (_, index) =>
   streamedQuestion(`Is attendant ${index} current?`, answerTokens),
 );
 
 /** Whether a caller may send a request again as it is: what may have run is only repeated with its key. */
-const mayRepeat = ({ outcome }: CallerResult): boolean => outcome !== "answered";
+const mayRetry = ({ outcome }: CallerResult): boolean => outcome !== "answered";
 
 /** Callers at work. */
 export interface Load {
@@ -30,56 +30,60 @@
  * Starts callers.
  *
  * @param pickRouter - A router to send the next try to.
- * @param undisturbed - The right text of each question.
+ * @param expectedTexts - The right text of each question.
  */
-export const startLoad = (caller: Caller, pickRouter: () => string, undisturbed: readonly string[]): Load => {
+export const startLoad = (
+  caller: Caller,
+  pickRouter: () => string,
+  expectedTexts: readonly string[],
+): Load => {
   const records: SoakRecord[] = [];
   let isRunning = true;
-  let turn = 0;
+  let requestCount = 0;
 
   const ask = async (asked: CallerRequest, expected: string): Promise<void> => {
     const tries: CallerResult[] = [];
     while (tries.length < maximumTries) {
       const result = await caller.send(pickRouter(), asked);
       tries.push(result);
-      if (!mayRepeat(result)) break;
+      if (!mayRetry(result)) break;
       if (result.outcome !== outcomes.notRun && tries.length > maximumTries / 2) break;
-      await sleep(retryPause);
+      await sleep(retryDelay);
     }
     records.push({ request: asked, expected, tries });
-    await sleep(thinkingTime);
+    await sleep(delayBetweenRequests);
   };
 
   const askQuestions = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      const index = turn % questions;
+      requestCount += 1;
+      const index = requestCount % questionCount;
       const question = soakQuestions[index];
-      if (question !== undefined) await ask(question, undisturbed[index] ?? "");
+      if (question !== undefined) await ask(question, expectedTexts[index] ?? "");
     }
   };
 
-  const askOnce = async (): Promise<void> => {
+  const askWithKeys = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      const index = turn % questions;
+      requestCount += 1;
+      const index = requestCount % questionCount;
       const question = soakQuestions[index];
       if (question === undefined) continue;
-      await ask({ ...question, requestClass: "sign-off", key: newKey() }, undisturbed[index] ?? "");
+      await ask({ ...question, requestClass: "sign-off", key: newKey() }, expectedTexts[index] ?? "");
     }
   };
 
-  const signOffs = async (): Promise<void> => {
+  const sendSignOffs = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      await ask(signOff(newKey(), turn), `{\\"attendant\\":${turn}}`);
+      requestCount += 1;
+      await ask(signOff(newKey(), requestCount), `{\\"attendant\\":${requestCount}}`);
     }
   };
 
   const running = Promise.all([
     ...Array.from({ length: 6 }, askQuestions),
-    ...Array.from({ length: 3 }, askOnce),
-    ...Array.from({ length: 6 }, signOffs),
+    ...Array.from({ length: 3 }, askWithKeys),
+    ...Array.from({ length: 6 }, sendSignOffs),
   ]);
   return {
     records,
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -14,17 +14,17 @@
 import type { SoakRecord } from "./types.ts";
 
 const defaultSeconds = 60;
-const longestSeconds = 600;
-const pauseBetween = 250;
-const disturbances = 2;
-const shownViolations = 20;
+const maxSeconds = 600;
+const delayBetweenFaults = 250;
+const concurrentInjections = 2;
+const maxPrintedViolations = 20;
 const settleTime = 1_000;
 
 const { values } = parseArgs({ options: { seconds: { type: "string" }, seed: { type: "string" } } });
-const seconds = Math.min(longestSeconds, Number(values.seconds ?? defaultSeconds));
+const seconds = Math.min(maxSeconds, Number(values.seconds ?? defaultSeconds));
 const seed = Number(values.seed ?? Date.now() % 1_000_000);
 
-const countLast = (records: readonly SoakRecord[]): Readonly<Record<string, number>> => {
+const countOutcomes = (records: readonly SoakRecord[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
   for (const { request: asked, tries } of records) {
     const kind = `${asked.key === undefined ? "idempotent" : "once"} ${tries.at(-1)?.outcome ?? ""}`;
@@ -43,33 +43,33 @@
   await waitForEngines(system);
   const urls = (): readonly string[] => system.routers().map(({ process }) => process.url);
   await using caller = createCaller(urls);
-  const undisturbed: string[] = [];
-  for (const question of soakQuestions) undisturbed.push((await caller.ask(question)).text);
+  const expectedTexts: string[] = [];
+  for (const question of soakQuestions) expectedTexts.push((await caller.ask(question)).text);
 
   const random = createRandom(seed, "soak");
-  let turn = 0;
-  const pickRouter = (): string => urls()[(turn += 1) % urls().length] ?? "";
-  const load = startLoad(caller, pickRouter, undisturbed);
-  const disturber = createFaultInjector(system, random);
-  const until = performance.now() + seconds * 1_000;
-  const disturbing = Array.from({ length: disturbances }, async () => {
-    while (performance.now() < until) {
-      await disturber.injectFault();
-      await sleep(pauseBetween);
+  let routerIndex = 0;
+  const pickRouter = (): string => urls()[(routerIndex += 1) % urls().length] ?? "";
+  const load = startLoad(caller, pickRouter, expectedTexts);
+  const faultInjector = createFaultInjector(system, random);
+  const endsAt = performance.now() + seconds * 1_000;
+  const injecting = Array.from({ length: concurrentInjections }, async () => {
+    while (performance.now() < endsAt) {
+      await faultInjector.injectFault();
+      await sleep(delayBetweenFaults);
     }
   });
-  await Promise.all(disturbing);
+  await Promise.all(injecting);
   await load.stop();
   await sleep(settleTime);
 
   const violations = [
     ...findViolations(load.records, await listExecutions(system)),
-    ...(await disturber.findBadShutdowns()),
+    ...(await faultInjector.findBadShutdowns()),
   ];
-  console.log(`requests: ${JSON.stringify(countLast(load.records))}`);
-  console.log(`disturbances: ${JSON.stringify(Object.fromEntries(disturber.counts))}`);
+  console.log(`requests: ${JSON.stringify(countOutcomes(load.records))}`);
+  console.log(`disturbances: ${JSON.stringify(Object.fromEntries(faultInjector.counts))}`);
   console.log(`violations: ${violations.length}`);
-  for (const { promise, detail } of violations.slice(0, shownViolations)) {
+  for (const { promise, detail } of violations.slice(0, maxPrintedViolations)) {
     console.log(`- ${promise}: ${detail}`);
   }
   return violations.length === 0 ? 0 : 1;
--- a/soak/platform/callers.ts
+++ b/soak/platform/callers.ts
@@ -22,15 +22,15 @@
 }
 
 /** Milliseconds. */
-const times = { patience: 2_500, readinessInterval: 200, thinking: 40, leaveAfter: 60 } as const;
+const times = { timeout: 2_500, readinessInterval: 200, betweenRequests: 40, disconnectAfter: 60 } as const;
 
-const callers = 24;
+const callerCount = 24;
 
 /** Share of the callers that go away before their answer is complete. */
-const leavingShare = 0.03;
+const disconnectShare = 0.03;
 
 /** Answers that a router in rotation may miss before it is taken out. */
-const mostMisses = 2;
+const maxMissedProbes = 2;
 
 const names: readonly RequestName[] = ["read", "post", "ask", "tag"];
 
@@ -40,21 +40,21 @@
   readonly key: string;
   readonly organisation: string;
   readonly sentBody: string;
-  readonly leaves: boolean;
+  readonly disconnects: boolean;
 }
 
 const headersOf = ({ id, name, key }: Ask, { name: router }: RouterSlot): Record<string, string> => ({
   [throughHeader]: router,
   host: name === "read" || name === "post" ? hosts.desk : hosts.model,
-  ...callHeaders(id, key, times.patience),
+  ...callHeaders(id, key, times.timeout),
   ...(name === "ask" || name === "tag" ? defaultPromptHeaders() : {}),
 });
 
 /** Sends one request. @returns How it ended; status 0 if there was no answer. */
 const send = (
   agent: Agent,
-  place: RouterSlot,
-  ask: Ask,
+  slot: RouterSlot,
+  planned: Ask,
 ): Promise<Pick<CallerRecord, "status" | "body" | "isCut" | "hasDisconnected" | "drainingReplica">> =>
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
@@ -70,16 +70,19 @@
       response.on("end", () => end(response.statusCode ?? 0, !response.complete));
       response.on("error", () => end(response.statusCode ?? 0, true));
     };
-    const method = ask.name === "read" ? "GET" : "POST";
-    const path = `/${ask.name}/${ask.id}`;
-    const request = httpRequest(place.url, { agent, method, path, headers: headersOf(ask, place) }, read);
+    const method = planned.name === "read" ? "GET" : "POST";
+    const path = `/${planned.name}/${planned.id}`;
+    const request = httpRequest(slot.url, { agent, method, path, headers: headersOf(planned, slot) }, read);
     request.on("error", () => end(0, true));
-    request.end(ask.sentBody);
-    const leave = (): void => {
+    request.end(planned.sentBody);
+    const disconnect = (): void => {
       hasDisconnected = true;
       request.destroy();
     };
-    const timer = setTimeout(leave, ask.leaves ? times.leaveAfter : times.patience + times.leaveAfter);
+    const timer = setTimeout(
+      disconnect,
+      planned.disconnects ? times.disconnectAfter : times.timeout + times.disconnectAfter,
+    );
   });
 
 const isReady = async ({ readinessUrl }: RouterSlot): Promise<boolean> => {
@@ -94,17 +97,17 @@
 };
 
 /** Asks routers whether they are ready, and keeps those in rotation that are. */
-const followReadiness = (routers: readonly RouterSlot[], isRunning: () => boolean) => {
+const pollReadiness = (routers: readonly RouterSlot[], isRunning: () => boolean) => {
   const misses = new Map<string, number>();
-  const follow = async (place: RouterSlot): Promise<void> => {
+  const poll = async (slot: RouterSlot): Promise<void> => {
     while (isRunning()) {
-      misses.set(place.name, (await isReady(place)) ? 0 : (misses.get(place.name) ?? 0) + 1);
+      misses.set(slot.name, (await isReady(slot)) ? 0 : (misses.get(slot.name) ?? 0) + 1);
       await sleep(times.readinessInterval);
     }
   };
-  const done = Promise.all(routers.map(follow));
+  const done = Promise.all(routers.map(poll));
   const inRotation = (): readonly RouterSlot[] => {
-    const ready = routers.filter(({ name }) => (misses.get(name) ?? mostMisses) < mostMisses);
+    const ready = routers.filter(({ name }) => (misses.get(name) ?? maxMissedProbes) < maxMissedProbes);
     return ready.length > 0 ? ready : routers;
   };
   return { done, inRotation };
@@ -119,10 +122,10 @@
   const records: CallerRecord[] = [];
   let isRunning = true;
   let count = 0;
-  const runs = (): boolean => isRunning;
-  const readiness = followReadiness(routers, runs);
+  const isActive = (): boolean => isRunning;
+  const readiness = pollReadiness(routers, isActive);
 
-  const nextAsk = (): Ask => {
+  const createRequest = (): Ask => {
     count += 1;
     const name = names[random.index(names.length)] ?? "read";
     const isOther = random.uniform() < 0.2;
@@ -133,36 +136,36 @@
       key: spare ?? (isOther ? keys.isolated : keys.known),
       organisation: spare === undefined && isOther ? "two" : "one",
       sentBody: name === "read" ? "" : `body of ${count}`,
-      leaves: random.uniform() < leavingShare,
+      disconnects: random.uniform() < disconnectShare,
     };
   };
 
-  const callOnce = async (agent: Agent, place: RouterSlot): Promise<boolean> => {
-    const ask = nextAsk();
+  const sendNext = async (agent: Agent, slot: RouterSlot): Promise<boolean> => {
+    const planned = createRequest();
     const sentAt = performance.now();
-    const result = await send(agent, place, ask);
-    const { id, name, key, organisation, sentBody } = ask;
-    const asked = { id, name, key, organisation, sentBody, router: place.name };
+    const result = await send(agent, slot, planned);
+    const { id, name, key, organisation, sentBody } = planned;
+    const asked = { id, name, key, organisation, sentBody, router: slot.name };
     records.push({ ...asked, ...result, sentAt, endedAt: performance.now() });
     return result.status !== 0;
   };
 
   /** Each caller keeps its connection, whatever the balancer thinks, until it ends. */
-  const callOn = async (): Promise<void> => {
-    while (runs()) {
+  const runCaller = async (): Promise<void> => {
+    while (isActive()) {
       const ready = readiness.inRotation();
-      const place = ready[random.index(ready.length)];
-      if (place === undefined) return;
+      const slot = ready[random.index(ready.length)];
+      if (slot === undefined) return;
       const agent = new Agent({ keepAlive: true, maxSockets: 1 });
       const requests = 1 + random.index(20);
-      for (let turn = 0; turn < requests; turn += 1) {
-        if (!runs() || !(await callOnce(agent, place))) break;
-        await sleep(times.thinking);
+      for (let sent = 0; sent < requests; sent += 1) {
+        if (!isActive() || !(await sendNext(agent, slot))) break;
+        await sleep(times.betweenRequests);
       }
       agent.destroy();
     }
   };
-  const running = Promise.all(Array.from({ length: callers }, callOn));
+  const running = Promise.all(Array.from({ length: callerCount }, runCaller));
 
   const stop = async (): Promise<void> => {
     isRunning = false;
--- a/soak/platform/checks.ts
+++ b/soak/platform/checks.ts
@@ -9,20 +9,20 @@
 export const eventsPerStream = 8;
 
 /** Between the clock that notes what the operator did and the one that notes a run, and for a request's way. */
-const slack = 150;
+const tolerance = 150;
 
 /** How long a disturbance still counts after its end: time limits and retries are shorter. */
-const aftermath = 3_000;
+const recoveryTime = 3_000;
 
 const successStatus = 200;
-const runsOnce: ReadonlySet<RequestName> = new Set(["post", "ask"]);
+const nonIdempotentRequests: ReadonlySet<RequestName> = new Set(["post", "ask"]);
 /** Statuses that promise that a request has not run and never will. */
-const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const notExecutedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** Refusals that blame the request. */
-const blames: ReadonlySet<number> = new Set([401, 403, 404]);
+const clientErrorStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
 
 /** Steps that keep a router from knowing what changes. */
-const blinding: ReadonlySet<string> = new Set([
+const updateBlockingSteps: ReadonlySet<string> = new Set([
   "freezeRouter",
   "storeBusy",
   "storeSilent",
@@ -39,7 +39,7 @@
 
 const isStream = ({ name }: CallerRecord): boolean => name === "ask" || name === "tag";
 
-const runCounts = (replicas: readonly ReplicaRecord[]): ReadonlyMap<string, number> => {
+const countRuns = (replicas: readonly ReplicaRecord[]): ReadonlyMap<string, number> => {
   const counts = new Map<string, number>();
   for (const { runs } of replicas) {
     for (const { id } of runs) counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -53,7 +53,7 @@
   return numbers.map((number) => `id: ${number}\ndata: ${record.id} ${number}\n\n`).join("");
 };
 
-const answersAreWhole = ({ callers }: SoakHistory): readonly Violation[] =>
+const findWrongAnswers = ({ callers }: SoakHistory): readonly Violation[] =>
   callers
     .filter(
       (record) => record.status === successStatus && !record.isCut && record.body !== expectedBody(record),
@@ -64,56 +64,59 @@
     }));
 
 /** A replica may stop in the middle of an event. */
-const wholeEvents = (body: string): string => body.slice(0, body.lastIndexOf(eventEnd) + eventEnd.length);
+const completeEvents = (body: string): string => body.slice(0, body.lastIndexOf(eventEnd) + eventEnd.length);
 
 const eventEnd = "\n\n";
 
-const cutAnswersBeginWell = ({ callers }: SoakHistory): readonly Violation[] =>
+const findWrongPartialAnswers = ({ callers }: SoakHistory): readonly Violation[] =>
   callers
     .filter((record) => record.status === successStatus && record.isCut)
-    .filter((record) => isStream(record) && !expectedBody(record).startsWith(wholeEvents(record.body)))
+    .filter((record) => isStream(record) && !expectedBody(record).startsWith(completeEvents(record.body)))
     .map(({ id, router, body }) => ({
       promise: "what a caller has of a stream is its beginning",
       detail: `${id} at ${router}: ${body.slice(0, 120)}`,
     }));
 
-const runsAtMostOnce = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
-  const counts = runCounts(replicas);
+const findRepeatedExecutions = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
+  const counts = countRuns(replicas);
   return callers
-    .filter(({ id, name }) => runsOnce.has(name) && (counts.get(id) ?? 0) > 1)
+    .filter(({ id, name }) => nonIdempotentRequests.has(name) && (counts.get(id) ?? 0) > 1)
     .map(({ id, name }) => ({
       promise: "runs at most once",
       detail: `${name} ${id}: ${counts.get(id) ?? 0} times`,
     }));
 };
 
-const refusalsAreTrue = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
-  const counts = runCounts(replicas);
+const findExecutedRefusals = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
+  const counts = countRuns(replicas);
   return callers
-    .filter(({ id, name, status }) => runsOnce.has(name) && promises.has(status) && counts.has(id))
+    .filter(
+      ({ id, name, status }) =>
+        nonIdempotentRequests.has(name) && notExecutedStatuses.has(status) && counts.has(id),
+    )
     .map(({ id, status, router }) => ({
       promise: "a refusal that says not run is true",
       detail: `${id} was refused with ${status} by ${router} and ran`,
     }));
 };
 
-const nothingIsBlamed = ({ callers, operator }: SoakHistory): readonly Violation[] => {
-  const taken = new Set(operator.revokedKeys.map(({ key }) => key));
+const findWrongClientErrors = ({ callers, operator }: SoakHistory): readonly Violation[] => {
+  const revoked = new Set(operator.revokedKeys.map(({ key }) => key));
   return callers
-    .filter(({ key, status }) => blames.has(status) && !taken.has(key))
+    .filter(({ key, status }) => clientErrorStatuses.has(status) && !revoked.has(key))
     .map(({ id, status, router }) => ({
       promise: "nothing that every configuration allows is refused as unknown",
       detail: `${id} got ${status} from ${router}`,
     }));
 };
 
-const takenKeysEnd = ({ callers, replicas, operator, bounds }: SoakHistory): readonly Violation[] => {
-  const counts = runCounts(replicas);
-  const takenAt = new Map(operator.revokedKeys.map(({ key, at }) => [key, at]));
+const findRevokedKeyUses = ({ callers, replicas, operator, bounds }: SoakHistory): readonly Violation[] => {
+  const counts = countRuns(replicas);
+  const revokedAt = new Map(operator.revokedKeys.map(({ key, at }) => [key, at]));
   return callers
     .filter(({ id, key, sentAt }) => {
-      const at = takenAt.get(key);
-      return at !== undefined && sentAt > at + bounds.keyRevocation + slack && counts.has(id);
+      const at = revokedAt.get(key);
+      return at !== undefined && sentAt > at + bounds.keyRevocation + tolerance && counts.has(id);
     })
     .map(({ id, router }) => ({
       promise: "a key that was taken away opens nothing after the bound",
@@ -122,36 +125,49 @@
 };
 
 /** Whether something kept any router from knowing better at a moment or shortly before. */
-const isBlinded = (steps: readonly StepRecord[], since: number, at: number): boolean =>
-  steps.some(({ kind, from, until }) => blinding.has(kind) && from < at && until + aftermath > since);
+const couldMissUpdates = (steps: readonly StepRecord[], since: number, at: number): boolean =>
+  steps.some(
+    ({ kind, from, until }) => updateBlockingSteps.has(kind) && from < at && until + recoveryTime > since,
+  );
 
-const leavingIsRespected = ({ replicas, steps, bounds }: SoakHistory): readonly Violation[] =>
-  replicas.flatMap(({ id, runs, drainingSince: leftAt }) => {
-    if (leftAt === undefined) return [];
+const findRequestsAfterDrain = ({ replicas, steps, bounds }: SoakHistory): readonly Violation[] =>
+  replicas.flatMap(({ id, runs, drainingSince }) => {
+    if (drainingSince === undefined) return [];
     return runs
-      .filter(({ at }) => at > leftAt + bounds.drain + slack && !isBlinded(steps, leftAt, at))
+      .filter(
+        ({ at }) =>
+          at > drainingSince + bounds.drain + tolerance && !couldMissUpdates(steps, drainingSince, at),
+      )
       .map((run) => ({
         promise: "a replica that leaves gets nothing after the bound",
-        detail: `${run.id} reached ${id} ${Math.round(run.at - leftAt)} ms after it said that it leaves`,
+        detail: `${run.id} reached ${id} ${Math.round(run.at - drainingSince)} ms after it said that it leaves`,
       }));
   });
 
 const routerOf = ({ headers }: Arrival): string => String(headers[throughHeader]);
 
 /** Whether a router lost what it knew, or could not act on it, between two moments. */
-const isRouterStruck = (steps: readonly StepRecord[], router: string, since: number, at: number): boolean =>
+const wasRouterDisturbed = (
+  steps: readonly StepRecord[],
+  router: string,
+  since: number,
+  at: number,
+): boolean =>
   steps.some(
-    ({ kind, router: struck, from, until }) =>
-      from < at && until + slack > since && (struck === router || strikesAll.has(kind)),
+    ({ kind, router: stepRouter, from, until }) =>
+      from < at && until + tolerance > since && (stepRouter === router || stepsOnAllRouters.has(kind)),
   );
 
-const strikesAll: ReadonlySet<string> = new Set(["killAllRouters", "endRoutersInTurn"]);
+const stepsOnAllRouters: ReadonlySet<string> = new Set(["killAllRouters", "endRoutersInTurn"]);
 
 /** Whether an answer may have been lost or late on its way from a replica. */
-const isLinkHarmed = (steps: readonly StepRecord[], at: number): boolean =>
-  steps.some(({ kind, from, until }) => harmsLinks.has(kind) && from < at + slack && until + aftermath > at);
+const wasReplicaLinkDisturbed = (steps: readonly StepRecord[], at: number): boolean =>
+  steps.some(
+    ({ kind, from, until }) =>
+      replicaLinkSteps.has(kind) && from < at + tolerance && until + recoveryTime > at,
+  );
 
-const harmsLinks: ReadonlySet<string> = new Set([
+const replicaLinkSteps: ReadonlySet<string> = new Set([
   "replicaReset",
   "replicaSilent",
   "replicaOneWay",
@@ -159,15 +175,21 @@
   "replicaMuted",
 ]);
 
-const drainingIsRespected = ({ callers, replicas, steps, bounds }: SoakHistory): readonly Violation[] =>
+const findRequestsAfterDrainingReport = ({
+  callers,
+  replicas,
+  steps,
+  bounds,
+}: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, arrivals }) => {
     const reports = callers.filter(({ drainingReplica }) => drainingReplica === id);
     return arrivals.flatMap((arrival) => {
       const router = routerOf(arrival);
       const report = reports.find(
-        ({ router: through, endedAt }) => through === router && endedAt + bounds.drain + slack < arrival.at,
+        ({ router: through, endedAt }) =>
+          through === router && endedAt + bounds.drain + tolerance < arrival.at,
       );
-      if (report === undefined || isRouterStruck(steps, router, report.sentAt, arrival.at)) return [];
+      if (report === undefined || wasRouterDisturbed(steps, router, report.sentAt, arrival.at)) return [];
       return {
         promise: "a replica that reports draining gets nothing after the bound",
         detail: `${router} reached ${id} ${Math.round(arrival.at - report.endedAt)} ms after it passed that on`,
@@ -177,9 +199,9 @@
 
 /** Requests under way when a replica asks for backoff may arrive for so long; after that so many. */
 const backoffGrace = 500;
-const mostInBackoff = 2;
+const maxRequestsInBackoff = 2;
 
-const backoffIsRespected = ({ replicas, steps }: SoakHistory): readonly Violation[] =>
+const findRequestsInBackoff = ({ replicas, steps }: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, arrivals }) =>
     arrivals.flatMap((refused) => {
       const { refusedAt, retryAfter } = refused;
@@ -190,8 +212,8 @@
         (arrival) =>
           routerOf(arrival) === router && arrival.at > refusedAt + backoffGrace && arrival.at < end,
       );
-      if (within.length <= mostInBackoff || isLinkHarmed(steps, refusedAt)) return [];
-      if (isRouterStruck(steps, router, refusedAt, end)) return [];
+      if (within.length <= maxRequestsInBackoff || wasReplicaLinkDisturbed(steps, refusedAt)) return [];
+      if (wasRouterDisturbed(steps, router, refusedAt, end)) return [];
       return {
         promise: "a replica that asks for backoff gets nothing of that router",
         detail: `${router} sent ${within.length} requests to ${id} within ${retryAfter} s`,
@@ -199,7 +221,7 @@
     }),
   );
 
-const hasOneHolder = (id: string, orders: readonly ReceivedOrder[]): readonly Violation[] => {
+const findOrderConflicts = (id: string, orders: readonly ReceivedOrder[]): readonly Violation[] => {
   const found: Violation[] = [];
   const holders = new Map<number, string>();
   let highest = 0;
@@ -221,13 +243,13 @@
   return found;
 };
 
-const oldWeightsEnd = ({ replicas, steps, operator, bounds }: SoakHistory): readonly Violation[] =>
+const findOutdatedWeights = ({ replicas, steps, operator, bounds }: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, runs }) =>
     runs
       .filter(({ weightsVersion, at }) => {
         const newer = operator.weights.find(({ version }) => version > weightsVersion);
         if (weightsVersion === 0 || newer === undefined) return false;
-        return at > newer.at + bounds.weights + slack && !isBlinded(steps, newer.at, at);
+        return at > newer.at + bounds.weights + tolerance && !couldMissUpdates(steps, newer.at, at);
       })
       .map((run) => ({
         promise: "nothing begins on weights older than the bound allows",
@@ -235,7 +257,7 @@
       })),
   );
 
-const wallsHold = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
+const findSharedCacheSalts = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
   const organisationOf = new Map(callers.map(({ id, organisation }) => [id, organisation]));
   const users = new Map<string, Set<string>>();
   for (const run of replicas.flatMap(({ runs }) => runs)) {
@@ -252,8 +274,8 @@
 /** The organisation of the stand-in's configuration that shares nothing. */
 const isolatedOrganisation = "two";
 
-const endsAreOrderly = ({ shutdowns: ends }: SoakHistory): readonly Violation[] =>
-  ends
+const findFailedShutdowns = ({ shutdowns }: SoakHistory): readonly Violation[] =>
+  shutdowns
     .filter(({ code }) => code !== 0)
     .map(({ router, code }) => ({
       promise: "a router that is asked to end ends well",
@@ -261,8 +283,8 @@
     }));
 
 /** Requests that a router had read when it was asked to end, and cut although nothing else was wrong. */
-const endsLoseNothing = ({ callers, shutdowns: ends, steps }: SoakHistory): readonly Violation[] =>
-  ends.flatMap(({ router, askedAt: askedAt }) =>
+const findRequestsCutByShutdown = ({ callers, shutdowns, steps }: SoakHistory): readonly Violation[] =>
+  shutdowns.flatMap(({ router, askedAt }) =>
     callers
       .filter(
         ({ router: at, status, isCut, hasDisconnected }) =>
@@ -281,19 +303,21 @@
     ({ kind, from, until }) =>
       !kind.startsWith("endRouter") &&
       from < at &&
-      until + aftermath > since &&
+      until + recoveryTime > since &&
       kind !== "changeConfiguration",
   );
 
 /** Of requests sent once all is over, nearly all are served. */
-const leastServedAfterwards = 0.9;
-const fewestForShare = 20;
+const minServedShare = 0.9;
+const minRequestsForShare = 20;
 
-const recovers = ({ callers, operator, lastStepEndedAt: quietAt }: SoakHistory): readonly Violation[] => {
-  const taken = new Set(operator.revokedKeys.map(({ key }) => key));
-  const after = callers.filter(({ sentAt, key }) => sentAt > quietAt + aftermath && !taken.has(key));
+const findMissingRecovery = ({ callers, operator, lastStepEndedAt }: SoakHistory): readonly Violation[] => {
+  const revoked = new Set(operator.revokedKeys.map(({ key }) => key));
+  const after = callers.filter(
+    ({ sentAt, key }) => sentAt > lastStepEndedAt + recoveryTime && !revoked.has(key),
+  );
   const served = after.filter(({ status, isCut }) => status === successStatus && !isCut).length;
-  if (after.length >= fewestForShare && served >= after.length * leastServedAfterwards) return [];
+  if (after.length >= minRequestsForShare && served >= after.length * minServedShare) return [];
   return [
     {
       promise: "all is served again after the last disturbance",
@@ -302,7 +326,7 @@
   ];
 };
 
-const proofsAreOfThePast = ({ proofAges }: SoakHistory): readonly Violation[] =>
+const findNegativeProofAges = ({ proofAges }: SoakHistory): readonly Violation[] =>
   proofAges
     .filter((age) => age < 0)
     .map((age) => ({
@@ -312,20 +336,20 @@
 
 /** @returns All that is wrong. */
 export const findPlatformViolations = (history: SoakHistory): readonly Violation[] => [
-  ...answersAreWhole(history),
-  ...cutAnswersBeginWell(history),
-  ...runsAtMostOnce(history),
-  ...refusalsAreTrue(history),
-  ...nothingIsBlamed(history),
-  ...takenKeysEnd(history),
-  ...leavingIsRespected(history),
-  ...drainingIsRespected(history),
-  ...backoffIsRespected(history),
-  ...history.replicas.flatMap(({ id, orders }) => hasOneHolder(id, orders)),
-  ...oldWeightsEnd(history),
-  ...wallsHold(history),
-  ...endsAreOrderly(history),
-  ...endsLoseNothing(history),
-  ...proofsAreOfThePast(history),
-  ...recovers(history),
+  ...findWrongAnswers(history),
+  ...findWrongPartialAnswers(history),
+  ...findRepeatedExecutions(history),
+  ...findExecutedRefusals(history),
+  ...findWrongClientErrors(history),
+  ...findRevokedKeyUses(history),
+  ...findRequestsAfterDrain(history),
+  ...findRequestsAfterDrainingReport(history),
+  ...findRequestsInBackoff(history),
+  ...history.replicas.flatMap(({ id, orders }) => findOrderConflicts(id, orders)),
+  ...findOutdatedWeights(history),
+  ...findSharedCacheSalts(history),
+  ...findFailedShutdowns(history),
+  ...findRequestsCutByShutdown(history),
+  ...findNegativeProofAges(history),
+  ...findMissingRecovery(history),
 ];
--- a/soak/platform/faultInjector.ts
+++ b/soak/platform/faultInjector.ts
@@ -18,128 +18,135 @@
 }
 
 /** Far longer than the grace time: a router that takes longer doesn't end. */
-const longestEnd = 20_000;
+const shutdownTimeout = 20_000;
 
 /** Until a process that was killed is started again, and between two that are ended in turn, milliseconds. */
 const restartDelay = 300;
-const turnGap = 700;
+const rollingRestartGap = 700;
 
 /** A service that leaves must not be left without replicas. */
-const fewestReplicas = 2;
+const minOtherReplicas = 2;
 
 /** What a replica may ask for, seconds; requests that it turns away at most. */
 const backoffSeconds = { least: 0.8, most: 2.5 } as const;
-const mostRefused = 5_000;
+const maxShedRequests = 5_000;
 
 /** How long the store may be away before it returns from a copy, and until the operator writes again, milliseconds. */
-const longestAway = 600;
-const rewriteDelay = 200;
+const maxStoreOutage = 600;
+const republishDelay = 200;
 
 /** What engines and plain services do on the wire that they should not. */
 const misbehaviours = {
   engines: ["shed", "fail", "reset", "cut", "crossed", "unsealed"],
   desk: ["shed", "fail", "reset", "cut", "crossed", "unsealed", "extra", "unframed", "broken"],
 } as const satisfies Readonly<Record<string, readonly Behaviour[]>>;
-const badAnswers = 12;
+const misbehaviourCount = 12;
 
-const harm = async (proxy: LoopbackProxy | undefined, mode: ProxyMode, duration: number): Promise<void> => {
+const disturbLink = async (
+  proxy: LoopbackProxy | undefined,
+  mode: ProxyMode,
+  duration: number,
+): Promise<void> => {
   proxy?.setMode(mode);
   await sleep(duration);
   proxy?.setMode("pass");
 };
 
 const failStore = async (
-  place: RouterSlot | undefined,
+  slot: RouterSlot | undefined,
   fault: "isBusy" | "isUnresponsive",
   duration: number,
 ): Promise<void> => {
-  if (place === undefined) return;
-  place.store.faults[fault] = true;
+  if (slot === undefined) return;
+  slot.store.faults[fault] = true;
   await sleep(duration);
-  place.store.faults[fault] = false;
+  slot.store.faults[fault] = false;
 };
 
-const misbehave = (place: ReplicaSlot | undefined, target: number): void => {
+const misbehave = (slot: ReplicaSlot | undefined, target: number): void => {
   const first = Math.floor(target * 1_000);
-  const known = place?.service === "desk" ? misbehaviours.desk : misbehaviours.engines;
+  const available = slot?.service === "desk" ? misbehaviours.desk : misbehaviours.engines;
   const behaviours = Array.from(
-    { length: badAnswers },
-    (_, index) => known[(first + index * 7) % known.length] ?? "fail",
+    { length: misbehaviourCount },
+    (_, index) => available[(first + index * 7) % available.length] ?? "fail",
   );
-  place?.replica.setBehaviours(...behaviours);
+  slot?.replica.setBehaviours(...behaviours);
 };
 
 /** What becomes of routers' processes. */
-const createFates = (system: SoakSystem, ends: ShutdownRecord[]) => {
-  const restart = async (place: RouterSlot): Promise<void> => {
+const createRouterFaults = (system: SoakSystem, shutdowns: ShutdownRecord[]) => {
+  const restart = async (slot: RouterSlot): Promise<void> => {
     await sleep(restartDelay);
-    await system.startRouter(place);
-    place.isBusy = false;
+    await system.startRouter(slot);
+    slot.isBusy = false;
   };
 
-  const kill = async (place: RouterSlot | undefined): Promise<void> => {
-    if (place?.process === undefined) return;
-    place.isBusy = true;
-    place.process.kill("SIGKILL");
-    await place.process.ended;
-    await restart(place);
+  const kill = async (slot: RouterSlot | undefined): Promise<void> => {
+    if (slot?.process === undefined) return;
+    slot.isBusy = true;
+    slot.process.kill("SIGKILL");
+    await slot.process.ended;
+    await restart(slot);
   };
 
-  const end = async (place: RouterSlot | undefined): Promise<void> => {
-    if (place?.process === undefined) return;
-    place.isBusy = true;
+  const shutDown = async (slot: RouterSlot | undefined): Promise<void> => {
+    if (slot?.process === undefined) return;
+    slot.isBusy = true;
     const askedAt = performance.now();
-    place.process.kill("SIGTERM");
-    const outcome = await Promise.race([place.process.ended, sleep(longestEnd, undefined, { ref: false })]);
-    ends.push({ router: place.name, askedAt: askedAt, code: outcome?.code });
-    if (outcome === undefined) place.process.kill("SIGKILL");
-    await restart(place);
+    slot.process.kill("SIGTERM");
+    const outcome = await Promise.race([
+      slot.process.ended,
+      sleep(shutdownTimeout, undefined, { ref: false }),
+    ]);
+    shutdowns.push({ router: slot.name, askedAt, code: outcome?.code });
+    if (outcome === undefined) slot.process.kill("SIGKILL");
+    await restart(slot);
   };
 
-  const endInTurn = async (): Promise<void> => {
+  const shutDownInTurn = async (): Promise<void> => {
     const all: Promise<void>[] = [];
-    for (const place of system.routers) {
-      if (place.isBusy) continue;
-      all.push(end(place));
-      await sleep(turnGap);
+    for (const slot of system.routers) {
+      if (slot.isBusy) continue;
+      all.push(shutDown(slot));
+      await sleep(rollingRestartGap);
     }
     await Promise.all(all);
   };
 
-  const freeze = async (place: RouterSlot | undefined, duration: number): Promise<void> => {
-    if (place?.process === undefined) return;
-    place.isBusy = true;
-    place.process.kill("SIGSTOP");
+  const freeze = async (slot: RouterSlot | undefined, duration: number): Promise<void> => {
+    if (slot?.process === undefined) return;
+    slot.isBusy = true;
+    slot.process.kill("SIGSTOP");
     await sleep(duration);
-    place.process.kill("SIGCONT");
-    place.isBusy = false;
+    slot.process.kill("SIGCONT");
+    slot.isBusy = false;
   };
 
-  return { kill, end, endInTurn, freeze };
+  return { kill, shutDown, shutDownInTurn, freeze };
 };
 
-/** @param writeAgain - What the operator does a moment after a return. */
-const createReturns = (system: SoakSystem, writeAgain: () => void) => {
-  let isReturning = false;
+/** @param republish - What the operator does a moment after a return. */
+const createStoreRestore = (system: SoakSystem, republish: () => void) => {
+  let isRestoring = false;
   return async ({ duration, target }: Step): Promise<void> => {
-    if (isReturning) return;
-    isReturning = true;
-    await system.restoreStore(duration, longestAway * target);
-    await sleep(rewriteDelay);
-    writeAgain();
-    isReturning = false;
+    if (isRestoring) return;
+    isRestoring = true;
+    await system.restoreStore(duration, maxStoreOutage * target);
+    await sleep(republishDelay);
+    republish();
+    isRestoring = false;
   };
 };
 
 /** @param spareKeys - Keys that the operator may take away, first to last. */
 export const createFaultInjector = (system: SoakSystem, spareKeys: readonly string[]): FaultInjector => {
   const steps: StepRecord[] = [];
-  const ends: ShutdownRecord[] = [];
+  const shutdowns: ShutdownRecord[] = [];
   const keysTaken: { readonly key: string; readonly at: number }[] = [];
   const weights: { readonly version: number; readonly at: number }[] = [];
   let version = 1;
-  let keysLeft = [...spareKeys];
-  const { kill, end, endInTurn, freeze } = createFates(system, ends);
+  let remainingKeys = [...spareKeys];
+  const { kill, shutDown, shutDownInTurn, freeze } = createRouterFaults(system, shutdowns);
 
   const pick = <T>(items: readonly T[], target: number): T | undefined =>
     items[Math.min(items.length - 1, Math.floor(target * items.length))];
@@ -157,59 +164,59 @@
     );
 
   /** Other replicas of its service that take requests. */
-  const countOthers = (place: ReplicaSlot): number =>
+  const countOthers = (slot: ReplicaSlot): number =>
     system.replicas.filter(
       (other) =>
-        other !== place &&
-        other.service === place.service &&
+        other !== slot &&
+        other.service === slot.service &&
         other.drainingSince === undefined &&
         !other.isReporting,
     ).length;
 
-  const leave = async (place: ReplicaSlot | undefined): Promise<void> => {
-    if (place === undefined || countOthers(place) < fewestReplicas) return;
-    system.register(place, "draining");
-    place.drainingSince = performance.now();
+  const drain = async (slot: ReplicaSlot | undefined): Promise<void> => {
+    if (slot === undefined || countOthers(slot) < minOtherReplicas) return;
+    system.register(slot, "draining");
+    slot.drainingSince = performance.now();
     await sleep(bounds.drain * 2);
-    system.register(place, undefined);
+    system.register(slot, undefined);
   };
 
   /** Its answers say so long before the registry does. */
-  const reportDraining = async (place: ReplicaSlot | undefined, duration: number): Promise<void> => {
-    if (place === undefined || countOthers(place) < fewestReplicas) return;
-    place.isReporting = true;
-    place.replica.setReportHeaders(drainingReport);
+  const reportDraining = async (slot: ReplicaSlot | undefined, duration: number): Promise<void> => {
+    if (slot === undefined || countOthers(slot) < minOtherReplicas) return;
+    slot.isReporting = true;
+    slot.replica.setReportHeaders(drainingReport);
     await sleep(duration);
-    await leave(place);
+    await drain(slot);
   };
 
   const askForBackoff = async (
-    place: ReplicaSlot | undefined,
+    slot: ReplicaSlot | undefined,
     duration: number,
     target: number,
   ): Promise<void> => {
-    if (place === undefined || countOthers(place) < fewestReplicas) return;
-    place.isReporting = true;
+    if (slot === undefined || countOthers(slot) < minOtherReplicas) return;
+    slot.isReporting = true;
     const seconds = String(backoffSeconds.least + (backoffSeconds.most - backoffSeconds.least) * target);
-    place.replica.setReportHeaders((behaviour): ReportHeaders =>
+    slot.replica.setReportHeaders((behaviour): ReportHeaders =>
       behaviour === "shed" ? { "retry-after": seconds } : {},
     );
-    place.replica.setBehaviours(...Array.from({ length: mostRefused }, () => "shed" as const));
+    slot.replica.setBehaviours(...Array.from({ length: maxShedRequests }, () => "shed" as const));
     await sleep(duration);
-    place.replica.setBehaviours();
-    place.replica.setReportHeaders({});
-    place.isReporting = false;
+    slot.replica.setBehaviours();
+    slot.replica.setReportHeaders({});
+    slot.isReporting = false;
   };
 
   const publish = (fields: Readonly<Record<string, unknown>> = {}): void => {
     version += 1 + (version % 3);
-    system.publish(version, { ...fields, tenants: createTenants(keysLeft) });
+    system.publish(version, { ...fields, tenants: createTenants(remainingKeys) });
   };
 
   const takeKey = (): void => {
-    const [key, ...rest] = keysLeft;
+    const [key, ...rest] = remainingKeys;
     if (key === undefined) return;
-    keysLeft = rest;
+    remainingKeys = rest;
     publish();
     keysTaken.push({ key, at: performance.now() });
   };
@@ -220,24 +227,24 @@
     weights.push({ version: newest, at: performance.now() });
   };
 
-  const returnStore = createReturns(system, () => {
-    system.publish(version, { tenants: createTenants(keysLeft) });
+  const restoreStore = createStoreRestore(system, () => {
+    system.publish(version, { tenants: createTenants(remainingKeys) });
     const newest = weights.at(-1);
     if (newest !== undefined) system.publishWeightsVersion(newest.version);
   });
 
-  const changeSettings = async (place: RouterSlot | undefined, target: number): Promise<void> => {
-    if (place === undefined) return;
-    await system.writeSettings(place, bounds.retryReserve + Math.floor(target * 10));
-    place.process?.kill("SIGHUP");
+  const changeSettings = async (slot: RouterSlot | undefined, target: number): Promise<void> => {
+    if (slot === undefined) return;
+    await system.writeSettings(slot, bounds.retryReserve + Math.floor(target * 10));
+    slot.process?.kill("SIGHUP");
   };
 
-  const ways: Readonly<
+  const actions: Readonly<
     Record<StepKind, (step: Step, router: RouterSlot | undefined) => Promise<void> | void>
   > = {
     killRouter: (_, router) => kill(router),
-    endRouter: (_, router) => end(router),
-    endRoutersInTurn: endInTurn,
+    endRouter: (_, router) => shutDown(router),
+    endRoutersInTurn: shutDownInTurn,
     freezeRouter: ({ duration }, router) => freeze(router, duration),
     killAllRouters: async () => {
       await Promise.all(system.routers.filter(({ isBusy }) => !isBusy).map(kill));
@@ -247,33 +254,33 @@
     storeLosesAnswers: (_, router) => {
       if (router !== undefined) router.store.faults.loseAppends = 3;
     },
-    storeCut: ({ duration }, router) => harm(router?.storeProxy, "reset", duration),
-    storeDelayed: ({ duration }, router) => harm(router?.storeProxy, "delay", duration),
-    storeMuted: ({ duration }, router) => harm(router?.storeProxy, "mute", duration),
-    replicaReset: ({ duration, target }) => harm(pickReplica(target)?.proxy, "reset", duration),
-    replicaSilent: ({ duration, target }) => harm(pickReplica(target)?.proxy, "silent", duration),
-    replicaOneWay: ({ duration, target }) => harm(pickReplica(target)?.proxy, "oneWay", duration),
-    replicaDelayed: ({ duration, target }) => harm(pickReplica(target)?.proxy, "delay", duration),
-    replicaMuted: ({ duration, target }) => harm(pickReplica(target)?.proxy, "mute", duration),
+    storeCut: ({ duration }, router) => disturbLink(router?.storeProxy, "reset", duration),
+    storeDelayed: ({ duration }, router) => disturbLink(router?.storeProxy, "delay", duration),
+    storeMuted: ({ duration }, router) => disturbLink(router?.storeProxy, "mute", duration),
+    replicaReset: ({ duration, target }) => disturbLink(pickReplica(target)?.proxy, "reset", duration),
+    replicaSilent: ({ duration, target }) => disturbLink(pickReplica(target)?.proxy, "silent", duration),
+    replicaOneWay: ({ duration, target }) => disturbLink(pickReplica(target)?.proxy, "oneWay", duration),
+    replicaDelayed: ({ duration, target }) => disturbLink(pickReplica(target)?.proxy, "delay", duration),
+    replicaMuted: ({ duration, target }) => disturbLink(pickReplica(target)?.proxy, "mute", duration),
     replicaMisbehaves: ({ target }) => misbehave(pickReplica(target), target),
     replicaReportsDraining: ({ target, duration }) => reportDraining(pickReplica(target), duration),
     replicaAsksForBackoff: ({ target, duration }) => askForBackoff(pickReplica(target), duration, target),
-    replicaLeaves: ({ target }) => leave(pickReplica(target)),
+    replicaLeaves: ({ target }) => drain(pickReplica(target)),
     takeKey,
     nameWeights,
-    storeReturns: returnStore,
+    storeReturns: restoreStore,
     changeConfiguration: () => publish(),
     changeSettings: ({ target }, router) => changeSettings(router, target),
   };
 
   return {
     steps,
-    shutdowns: ends,
+    shutdowns,
     operator: { revokedKeys: keysTaken, weights },
     carryOut: async (step) => {
       const router = pickRouter(step.target);
       const from = performance.now();
-      await ways[step.kind](step, router);
+      await actions[step.kind](step, router);
       steps.push({ kind: step.kind, from, until: performance.now(), router: router?.name });
     },
   };
--- a/soak/platform/loopbackProxy.ts
+++ b/soak/platform/loopbackProxy.ts
@@ -25,7 +25,7 @@
 /** How long a piece waits in mode `delay`, milliseconds: more than a usual answer, less than any time limit. */
 const delayTime = 150;
 
-interface Pair {
+interface ConnectionPair {
   readonly near: Socket;
   readonly far: Socket;
   /** Nothing passes on it any more, whatever the mode. */
@@ -35,26 +35,26 @@
 /** Starts a proxy before an address. */
 export const startLoopbackProxy = async (target: string): Promise<LoopbackProxy> => {
   const [host = "", port = ""] = target.split(":");
-  const pairs = new Set<Pair>();
+  const pairs = new Set<ConnectionPair>();
   let mode: ProxyMode = "pass";
 
-  const isHeld = (pair: Pair, isAnswer: boolean): boolean =>
+  const isBlocked = (pair: ConnectionPair, isAnswer: boolean): boolean =>
     pair.isMuted || mode === "silent" || (mode === "oneWay" && isAnswer);
 
-  const relay = (pair: Pair, from: Socket, to: Socket, isAnswer: boolean): void => {
-    from.on("data", (piece: Buffer) => {
+  const relay = (pair: ConnectionPair, from: Socket, to: Socket, isAnswer: boolean): void => {
+    from.on("data", (chunk: Buffer) => {
       from.pause();
-      const pass = (): void => {
+      const forward = (): void => {
         if (to.destroyed) return;
-        if (isHeld(pair, isAnswer)) {
-          setTimeout(pass, delayTime);
+        if (isBlocked(pair, isAnswer)) {
+          setTimeout(forward, delayTime);
           return;
         }
-        to.write(piece);
+        to.write(chunk);
         from.resume();
       };
-      if (mode === "delay") setTimeout(pass, delayTime);
-      else pass();
+      if (mode === "delay") setTimeout(forward, delayTime);
+      else forward();
     });
     from.on("end", () => {
       // The system reports a reset that follows data as an end, and then there is no peer any more.
@@ -63,7 +63,7 @@
     });
     from.on("error", () => to.resetAndDestroy());
     from.on("close", () => {
-      if (!isHeld(pair, isAnswer)) to.destroySoon();
+      if (!isBlocked(pair, isAnswer)) to.destroySoon();
       pairs.delete(pair);
     });
   };
@@ -74,7 +74,7 @@
       return;
     }
     const far = connect({ host, port: Number(port), allowHalfOpen: true });
-    const pair: Pair = { near, far, isMuted: false };
+    const pair: ConnectionPair = { near, far, isMuted: false };
     pairs.add(pair);
     relay(pair, near, far, false);
     relay(pair, far, near, true);
--- a/soak/platform/main.ts
+++ b/soak/platform/main.ts
@@ -19,7 +19,7 @@
 import { shrinkPlan } from "./shrink.ts";
 import type { SystemSize } from "./soakSystem.ts";
 
-const shownViolations = 10;
+const maxPrintedViolations = 10;
 
 const { values } = parseArgs({
   options: {
@@ -45,7 +45,7 @@
 };
 const firstSeed = Number(values.seed ?? Date.now() % 1_000_000);
 
-const planOf = (seed: number): readonly Step[] => {
+const createSeedPlan = (seed: number): readonly Step[] => {
   const reporting = values.reports ? replicaReportStepKinds : defaultStepKinds;
   const kinds = values.returns ? storeRestoreStepKinds : reporting;
   const plan = createPlan(seed, Number(values.seconds), kinds);
@@ -67,11 +67,11 @@
   console.log(
     `seed ${seed}: ${plan.length} steps, ${history.callers.length} requests ${countStatuses(outcome)}, ${violations.length} violations`,
   );
-  for (const { promise, detail } of violations.slice(0, shownViolations))
+  for (const { promise, detail } of violations.slice(0, maxPrintedViolations))
     console.log(`- ${promise}: ${detail}`);
 };
 
-const keep = async (
+const saveFailure = async (
   seed: number,
   plan: readonly Step[],
   { violations, history, log }: SoakOutcome,
@@ -97,12 +97,12 @@
 
 let failed = 0;
 for (let seed = firstSeed; seed < firstSeed + Number(values.seeds); seed += 1) {
-  const plan = planOf(seed);
+  const plan = createSeedPlan(seed);
   const outcome = await runSoak({ seed, plan, size, isSuspending: values.suspend });
   report(seed, plan, outcome);
   if (outcome.violations.length === 0) continue;
   failed += 1;
-  await keep(seed, plan, outcome);
+  await saveFailure(seed, plan, outcome);
   if (values.shrink) await shrink(seed, plan);
 }
 console.log(`${failed} of ${values.seeds} seeds failed`);
--- a/soak/platform/runSoak.ts
+++ b/soak/platform/runSoak.ts
@@ -30,7 +30,7 @@
 
 /** After the last step: until all should be well again, and for how long that is looked at, milliseconds. */
 const settleTime = 3_000;
-const lookTime = 2_500;
+const observationTime = 2_500;
 
 const spareKeyCount = 12;
 const warmUp = 800;
@@ -51,17 +51,17 @@
   );
   system.publish(2, { tenants: createTenants(spareKeys) });
   await sleep(warmUp);
-  const disturber = createFaultInjector(system, spareKeys);
+  const faultInjector = createFaultInjector(system, spareKeys);
   const callers = startSoakCallers(system.routers, createRandom(seed, "callers"), spareKeys);
   const startedAt = performance.now();
   await Promise.all(
     plan.map(async (step) => {
       await sleep(Math.max(0, startedAt + step.at - performance.now()));
-      await disturber.carryOut(step);
+      await faultInjector.carryOut(step);
     }),
   );
-  const quietAt = performance.now();
-  await sleep(settleTime + lookTime);
+  const lastStepEndedAt = performance.now();
+  await sleep(settleTime + observationTime);
   await callers.stop();
   const history: SoakHistory = {
     callers: callers.records,
@@ -73,12 +73,12 @@
       orders: replica.orders,
       drainingSince,
     })),
-    steps: disturber.steps,
-    shutdowns: disturber.shutdowns,
-    operator: disturber.operator,
+    steps: faultInjector.steps,
+    shutdowns: faultInjector.shutdowns,
+    operator: faultInjector.operator,
     proofAges: readProofAges(system.log),
     bounds,
-    lastStepEndedAt: quietAt,
+    lastStepEndedAt,
   };
   return { violations: findPlatformViolations(history), history, log: [...system.log] };
 };
--- a/soak/platform/shrink.ts
+++ b/soak/platform/shrink.ts
@@ -11,13 +11,13 @@
   plan: readonly Step[],
   fails: (plan: readonly Step[]) => Promise<boolean>,
 ): Promise<readonly Step[]> => {
-  let left = plan;
+  let remaining = plan;
   for (let size = Math.ceil(plan.length / 2); size >= 1; size = size === 1 ? 0 : Math.ceil(size / 2)) {
-    for (let start = 0; start < left.length;) {
-      const without = [...left.slice(0, start), ...left.slice(start + size)];
-      if (without.length > 0 && (await fails(without))) left = without;
+    for (let start = 0; start < remaining.length;) {
+      const candidate = [...remaining.slice(0, start), ...remaining.slice(start + size)];
+      if (candidate.length > 0 && (await fails(candidate))) remaining = candidate;
       else start += size;
     }
   }
-  return left;
+  return remaining;
 };
--- a/soak/platform/soakSystem.ts
+++ b/soak/platform/soakSystem.ts
@@ -72,18 +72,18 @@
   readonly routers: readonly RouterSlot[];
   readonly replicas: readonly ReplicaSlot[];
   /** Starts a process in a router's place; resolves once it listens. */
-  readonly startRouter: (place: RouterSlot) => Promise<void>;
-  readonly register: (place: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
+  readonly startRouter: (slot: RouterSlot) => Promise<void>;
+  readonly register: (slot: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
   readonly publish: (version: number, fields?: Readonly<Record<string, unknown>>) => void;
   readonly publishWeightsVersion: (version: number) => void;
   /**
    * The store is away for a time and returns from a copy; replicas then register again.
    *
    * @param age - How old the copy is at least, milliseconds.
-   * @param away - Milliseconds.
+   * @param outage - Milliseconds.
    */
-  readonly restoreStore: (age: number, away: number) => Promise<void>;
-  readonly writeSettings: (place: RouterSlot, retryReserve: number) => Promise<void>;
+  readonly restoreStore: (age: number, outage: number) => Promise<void>;
+  readonly writeSettings: (slot: RouterSlot, retryReserve: number) => Promise<void>;
   /** Lines that the routers have printed, the last ones. */
   readonly log: readonly string[];
 }
@@ -117,16 +117,16 @@
 const heartbeatInterval = 500;
 
 /** Copies of the store that are kept, and milliseconds between two. */
-const mostCopies = 10;
-const copyInterval = 400;
+const maxBackups = 10;
+const backupInterval = 400;
 
-const mostLogLines = 200_000;
+const maxLogLines = 200_000;
 
 /** Each run has addresses of its own, so that several can run at once. */
-const addressOf = (network: number, index: number): string =>
+const createRouterAddress = (network: number, index: number): string =>
   `127.${100 + (network % 100)}.${Math.floor(network / 100) % 250}.${10 + index}`;
 
-const settingsOf = (name: string, address: string, store: string, retryReserve: number): string =>
+const createSettings = (name: string, address: string, store: string, retryReserve: number): string =>
   JSON.stringify({
     name,
     dataCentre: "here",
@@ -139,11 +139,11 @@
   });
 
 const startReplicas = async (size: SystemSize, resources: ResourceStack): Promise<readonly ReplicaSlot[]> => {
-  const places: ReplicaSlot[] = [];
+  const slots: ReplicaSlot[] = [];
   const add = async (service: string, replica: ReplicaStandIn): Promise<void> => {
     resources.use(replica);
     const proxy = resources.use(await startLoopbackProxy(replica.address));
-    places.push({ replica, service, proxy, drainingSince: undefined, isReporting: false });
+    slots.push({ replica, service, proxy, drainingSince: undefined, isReporting: false });
   };
   const events = { count: eventsPerStream, pause: 20 };
   for (let index = 0; index < size.engines; index += 1) {
@@ -153,7 +153,7 @@
   for (let index = 0; index < size.desks; index += 1) {
     await add("desk", await startReplicaStandIn({ id: `desk-${index}` }));
   }
-  return places;
+  return slots;
 };
 
 /**
@@ -175,9 +175,9 @@
   const log: string[] = [];
 
   const registered = new Map<ReplicaSlot, "ready" | "draining" | undefined>();
-  const register: SoakSystem["register"] = (place, state) => {
-    registered.set(place, state);
-    const { replica, service, proxy } = place;
+  const register: SoakSystem["register"] = (slot, state) => {
+    registered.set(slot, state);
+    const { replica, service, proxy } = slot;
     const address = proxy.address;
     const entry = {
       ...createRegistryEntry(service, replica, replica.version()),
@@ -187,30 +187,30 @@
     writers.register(replica.id, state === undefined ? undefined : entry);
   };
   writers.publish(createConfiguration());
-  for (const place of replicas) register(place, "ready");
+  for (const slot of replicas) register(slot, "ready");
 
   /** Replicas register again and again, with the weights that they run by then. */
-  const beat = setInterval(() => {
-    for (const place of replicas) if (place.drainingSince === undefined) register(place, "ready");
+  const heartbeat = setInterval(() => {
+    for (const slot of replicas) if (slot.drainingSince === undefined) register(slot, "ready");
   }, heartbeatInterval);
   resources.defer(() => {
-    clearInterval(beat);
+    clearInterval(heartbeat);
     return undefined;
   });
 
   const routers: RouterSlot[] = [];
   for (let index = 0; index < size.routers; index += 1) {
     const name = `router-${index}`;
-    const address = addressOf(network, index);
-    const own = resources.use(await startStoreStandIn(store.topics));
-    const storeProxy = resources.use(await startLoopbackProxy(own.address));
+    const address = createRouterAddress(network, index);
+    const routerStore = resources.use(await startStoreStandIn(store.topics));
+    const storeProxy = resources.use(await startLoopbackProxy(routerStore.address));
     const settingsFile = join(directory, `${name}.json`);
-    await writeFile(settingsFile, settingsOf(name, address, storeProxy.address, bounds.retryReserve));
+    await writeFile(settingsFile, createSettings(name, address, storeProxy.address, bounds.retryReserve));
     routers.push({
       name,
       url: `http://${address}:${ports.callers}`,
       readinessUrl: `http://${address}:${ports.readiness}${readinessPath}`,
-      store: own,
+      store: routerStore,
       storeProxy,
       settingsFile,
       process: undefined,
@@ -218,40 +218,41 @@
     });
   }
 
-  const copies: { readonly at: number; readonly copy: StoreBackup }[] = [];
-  const copying = setInterval(() => {
-    copies.push({ at: performance.now(), copy: store.topics.backUp() });
-    copies.splice(0, copies.length - mostCopies);
-  }, copyInterval);
+  const backups: { readonly at: number; readonly backup: StoreBackup }[] = [];
+  const backupTimer = setInterval(() => {
+    backups.push({ at: performance.now(), backup: store.topics.backUp() });
+    backups.splice(0, backups.length - maxBackups);
+  }, backupInterval);
   resources.defer(() => {
-    clearInterval(copying);
+    clearInterval(backupTimer);
     return undefined;
   });
 
-  const returnStore: SoakSystem["restoreStore"] = async (age, away) => {
+  const restoreStore: SoakSystem["restoreStore"] = async (age, outage) => {
     const before = performance.now() - age;
-    const [oldest] = copies;
-    const { copy } = copies.findLast(({ at }) => at <= before) ?? oldest ?? { copy: store.topics.backUp() };
-    const ways = [store, ...routers.map((place) => place.store)];
-    for (const way of ways) {
-      way.faults.isDown = true;
-      way.closeConnections();
+    const [oldest] = backups;
+    const { backup } = backups.findLast(({ at }) => at <= before) ??
+      oldest ?? { backup: store.topics.backUp() };
+    const stores = [store, ...routers.map((slot) => slot.store)];
+    for (const each of stores) {
+      each.faults.isDown = true;
+      each.closeConnections();
     }
-    await sleep(away);
-    store.topics.restore(copy);
-    for (const way of ways) way.faults.isDown = false;
-    for (const [place, state] of registered) register(place, state);
+    await sleep(outage);
+    store.topics.restore(backup);
+    for (const each of stores) each.faults.isDown = false;
+    for (const [slot, state] of registered) register(slot, state);
   };
 
-  const keep = (line: string): void => {
+  const appendLogLine = (line: string): void => {
     log.push(line);
-    if (log.length > mostLogLines) log.splice(0, mostLogLines / 2);
+    if (log.length > maxLogLines) log.splice(0, maxLogLines / 2);
   };
 
-  const startRouter = async (place: RouterSlot): Promise<void> => {
-    const environment = { [settingsVariable]: place.settingsFile };
+  const startRouter = async (slot: RouterSlot): Promise<void> => {
+    const environment = { [settingsVariable]: slot.settingsFile };
     const { module, runtimeOptions } = program;
-    place.process = await startProcess(module, [], { environment, onLine: keep, runtimeOptions });
+    slot.process = await startProcess(module, [], { environment, onLine: appendLogLine, runtimeOptions });
   };
   const stopRouter = async ({ process }: RouterSlot): Promise<void> => {
     await process?.[Symbol.asyncDispose]();
@@ -267,16 +268,16 @@
     register,
     publish: (version, fields) => writers.publish(createConfiguration(version, fields)),
     publishWeightsVersion: writers.publishWeightsVersion,
-    restoreStore: returnStore,
-    writeSettings: (place, retryReserve) => {
-      const address = new URL(place.url).hostname;
+    restoreStore,
+    writeSettings: (slot, retryReserve) => {
+      const address = new URL(slot.url).hostname;
       return writeFile(
-        place.settingsFile,
-        settingsOf(place.name, address, place.storeProxy.address, retryReserve),
+        slot.settingsFile,
+        createSettings(slot.name, address, slot.storeProxy.address, retryReserve),
       );
     },
     [Symbol.asyncDispose]: async () => {
-      await Promise.all(routers.map((place) => stopRouter(place)));
+      await Promise.all(routers.map((slot) => stopRouter(slot)));
       await resources[Symbol.asyncDispose]();
       await rm(directory, { recursive: true, force: true });
     },
--- a/standIns/engine/answers.ts
+++ b/standIns/engine/answers.ts
@@ -1,6 +1,6 @@
 /** Writes the engine stand-in's answers in OpenAI's form, with the faults of streams. */
 import type { ServerResponse } from "node:http";
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as nextEventLoopTick } from "node:timers/promises";
 import { headers as headerNames } from "../../src/protocol/constants.ts";
 import { cutError } from "../errors.ts";
 import { jsonAnswer, type Answer } from "../httpServer.ts";
@@ -31,7 +31,7 @@
 const formatEvent = (value: object): string => `data: ${JSON.stringify(value)}\n\n`;
 
 /** Formats the chunks of one stream. */
-const createChunkFormat = (generation: Generation, id: string) => {
+const createChunkFormatter = (generation: Generation, id: string) => {
   const { kind, model } = generation.request;
   const chat = kind === "chat";
   const base = { id, object: chat ? "chat.completion.chunk" : "text_completion", created, model };
@@ -47,7 +47,7 @@
 };
 
 /** Tokens that a stream may still send before a fault strikes. */
-const untilFault = (faults: EngineStandInFaults, sent: number): number =>
+const tokensUntilFault = (faults: EngineStandInFaults, sent: number): number =>
   Math.min(
     ...[faults.closeEarlyAfterTokens, faults.stallAfterTokens, faults.dieAfterTokens].map((limit) =>
       limit === null ? Infinity : Math.max(0, limit - sent),
@@ -55,39 +55,39 @@
   );
 
 /** Applies the faults that strike after so many tokens of one stream. */
-const strike = async (
+const applyStreamFaults = async (
   { faults, closed, crash }: AnswerContext,
   sent: number,
   response: ServerResponse,
 ): Promise<void> => {
-  const struck = (limit: number | null): boolean => limit !== null && sent >= limit;
+  const isReached = (limit: number | null): boolean => limit !== null && sent >= limit;
   // What was written before must leave this process first.
-  if (untilFault(faults, sent) === 0) await nextTurn();
-  if (struck(faults.dieAfterTokens)) {
+  if (tokensUntilFault(faults, sent) === 0) await nextEventLoopTick();
+  if (isReached(faults.dieAfterTokens)) {
     faults.dieAfterTokens = null;
     crash();
   }
-  if (struck(faults.closeEarlyAfterTokens)) throw cutError("The stand-in closes this stream early.");
-  await pollUntil(() => !struck(faults.stallAfterTokens) || response.destroyed, closed);
+  if (isReached(faults.closeEarlyAfterTokens)) throw cutError("The stand-in closes this stream early.");
+  await pollUntil(() => !isReached(faults.stallAfterTokens) || response.destroyed, closed);
 };
 
-const streamPieces = async function* (
+const streamChunks = async function* (
   generation: Generation,
   from: number,
   id: string,
   context: AnswerContext,
   response: ServerResponse,
 ): AsyncGenerator<string> {
-  const { formatText, formatEnd } = createChunkFormat(generation, id);
+  const { formatText, formatEnd } = createChunkFormatter(generation, id);
   let sent = 0;
   for (;;) {
-    await strike(context, sent, response);
+    await applyStreamFaults(context, sent, response);
     const start = from + sent;
-    const ready = generation.tokens.slice(start, start + untilFault(context.faults, sent));
+    const ready = generation.tokens.slice(start, start + tokensUntilFault(context.faults, sent));
     sent += ready.length;
     if (ready.length > 0) yield ready.map((token) => formatText(token, null)).join("");
     else if (generation.ended()) break;
-    else await generation.changed();
+    else await generation.nextChange();
   }
   if (generation.finishReason() === undefined) throw cutError("The answer was broken off.");
   yield formatEnd();
@@ -102,20 +102,20 @@
   };
 };
 
-const takeCount = (faults: EngineStandInFaults, name: "crossAnswers" | "garbage"): boolean => {
+const consumeFault = (faults: EngineStandInFaults, name: "crossAnswers" | "garbage"): boolean => {
   if (faults[name] === 0) return false;
   faults[name] -= 1;
   return true;
 };
 
-const garbagePieces = async function* (): AsyncGenerator<string> {
+const garbageChunks = async function* (): AsyncGenerator<string> {
   yield await Promise.resolve("data: {no such thing as JSON\n\n");
 };
 
 /** The id that an answer bears: its attempt's, unless the fault crosses it with another. */
 const answerId = (generation: Generation, faults: EngineStandInFaults): string => {
   const { attempt } = generation.request;
-  return takeCount(faults, "crossAnswers") ? `${attempt}-of-another` : attempt;
+  return consumeFault(faults, "crossAnswers") ? `${attempt}-of-another` : attempt;
 };
 
 /** Answers by a stream of server-sent events, from a token on. */
@@ -126,21 +126,22 @@
   response: ServerResponse,
 ): Answer => {
   const id = answerId(generation, context.faults);
-  const body = takeCount(context.faults, "garbage")
-    ? garbagePieces()
-    : streamPieces(generation, from, id, context, response);
+  const body = consumeFault(context.faults, "garbage")
+    ? garbageChunks()
+    : streamChunks(generation, from, id, context, response);
   const headers = { "content-type": "text/event-stream", ...answerHeaders(generation, id) };
   return { status: 200, headers, body };
 };
 
 /** Answers by one JSON object, once the answer is whole. */
 export const wholeAnswer = async (generation: Generation, context: AnswerContext): Promise<Answer> => {
-  while (!generation.ended()) await generation.changed();
+  while (!generation.ended()) await generation.nextChange();
   const finishReason = generation.finishReason();
   if (finishReason === undefined) throw cutError("The answer was broken off.");
   const id = answerId(generation, context.faults);
   const headers = answerHeaders(generation, id);
-  if (takeCount(context.faults, "garbage")) return { status: 200, headers, body: "{no such thing as JSON" };
+  if (consumeFault(context.faults, "garbage"))
+    return { status: 200, headers, body: "{no such thing as JSON" };
   const { kind, model } = generation.request;
   const text = generation.tokens.join("");
   const content = kind === "chat" ? { message: { role: "assistant", content: text } } : { text };
--- a/standIns/engine/blockCache.ts
+++ b/standIns/engine/blockCache.ts
@@ -4,7 +4,7 @@
 import type { CacheEvent } from "../../src/protocol/types.ts";
 import type { EngineSettings, EngineStandInFaults } from "./types.ts";
 
-const keptEvents = 10_000;
+const maxEvents = 10_000;
 
 /** The events that can be seen, from a sequence number on. */
 export type EventPage = readonly [events: readonly CacheEvent[], nextSequence: number];
@@ -27,7 +27,7 @@
   faults: () => EventFaults,
 ): BlockCache => {
   /** Last use by block; the least recently used come first. */
-  const usedAt = new Map<string, number>();
+  const lastUsedAt = new Map<string, number>();
   const random = xoroshiro128plus(settings.seed);
   let log: { readonly event: CacheEvent; readonly at: number; readonly lost: boolean }[] = [];
   let nextSequence = 0;
@@ -36,20 +36,20 @@
     const lost = uniformFloat64(random) < faults().eventLossRatio;
     log.push({ event: { sequence: nextSequence, kind, blocks }, at: performance.now(), lost });
     nextSequence += 1;
-    if (log.length > 2 * keptEvents) log = log.slice(-keptEvents);
+    if (log.length > 2 * maxEvents) log = log.slice(-maxEvents);
   };
 
   const touch = (block: string): void => {
-    usedAt.delete(block);
-    usedAt.set(block, performance.now());
+    lastUsedAt.delete(block);
+    lastUsedAt.set(block, performance.now());
   };
 
   const evict = (): void => {
     const oldest = performance.now() - settings.evictAfterMilliseconds;
     const evicted: string[] = [];
-    for (const [block, at] of usedAt) {
-      if (usedAt.size <= settings.cacheBlocks && at >= oldest) break;
-      usedAt.delete(block);
+    for (const [block, at] of lastUsedAt) {
+      if (lastUsedAt.size <= settings.cacheBlocks && at >= oldest) break;
+      lastUsedAt.delete(block);
       evicted.push(block);
     }
     if (evicted.length > 0) publish("evicted", evicted);
@@ -57,7 +57,7 @@
 
   const match = (blocks: readonly string[]): number => {
     evict();
-    const missing = blocks.findIndex((block) => !usedAt.has(block));
+    const missing = blocks.findIndex((block) => !lastUsedAt.has(block));
     const count = missing === -1 ? blocks.length : missing;
     // The end first: what is left of a chain must be its beginning.
     for (const block of blocks.slice(0, count).reverse()) touch(block);
@@ -65,20 +65,20 @@
   };
 
   const store = (blocks: readonly string[]): void => {
-    const added = blocks.filter((block) => !usedAt.has(block));
+    const added = blocks.filter((block) => !lastUsedAt.has(block));
     for (const block of [...blocks].reverse()) touch(block);
     if (added.length > 0) publish("stored", added);
     evict();
   };
 
   const clear = (): void => {
-    usedAt.clear();
+    lastUsedAt.clear();
     publish("cleared", []);
   };
 
   const size = (): number => {
     evict();
-    return usedAt.size;
+    return lastUsedAt.size;
   };
 
   const events = (fromSequence: number): EventPage => {
@@ -86,8 +86,8 @@
     const until = performance.now() - faults().eventDelayMilliseconds;
     const due = log.filter(({ at }) => at <= until);
     const last = due.at(-1)?.event.sequence ?? -1;
-    const shown = due.filter(({ event, lost }) => !lost && event.sequence >= fromSequence);
-    return [shown.map(({ event }) => event), Math.max(fromSequence, last + 1)];
+    const visible = due.filter(({ event, lost }) => !lost && event.sequence >= fromSequence);
+    return [visible.map(({ event }) => event), Math.max(fromSequence, last + 1)];
   };
 
   return { match, store, clear, size, events };
--- a/standIns/engine/engine.ts
+++ b/standIns/engine/engine.ts
@@ -7,7 +7,7 @@
 import { readChatRequest, readTextRequest, type ParsedRequest } from "./requests.ts";
 import { faultsSchema, settingsSchema, type EngineStandIn, type EngineStandInSettings } from "./types.ts";
 
-const readFrom = (query: URLSearchParams): number => Math.max(0, Number(query.get("from") ?? 0) || 0);
+const parseFrom = (query: URLSearchParams): number => Math.max(0, Number(query.get("from") ?? 0) || 0);
 
 /** Starts a stand-in of a model engine. */
 export const createEngineStandIn = async (input: EngineStandInSettings = {}): Promise<EngineStandIn> => {
@@ -24,7 +24,7 @@
   const resume = ({ parameters, query, response }: Exchange): Answer => {
     const generation = core.findAttempt(parameters.id ?? "");
     counts.resumes += 1;
-    return streamAnswer(generation, readFrom(query), context, response);
+    return streamAnswer(generation, parseFrom(query), context, response);
   };
 
   const cancel = ({ parameters }: Exchange): Answer => {
@@ -33,8 +33,8 @@
   };
 
   const readEvents = ({ query }: Exchange): Answer => {
-    const [events, nextSequence] = core.cache().events(readFrom(query));
-    const page: CacheEventPage = { incarnation: core.condition.incarnation, events, nextSequence };
+    const [events, nextSequence] = core.cache().events(parseFrom(query));
+    const page: CacheEventPage = { incarnation: core.state.incarnation, events, nextSequence };
     return jsonAnswer(page);
   };
 
@@ -47,7 +47,7 @@
     server.cutConnections(except?.request);
     core.reset();
     counts.crashes += 1;
-    return jsonAnswer({ incarnation: core.condition.incarnation });
+    return jsonAnswer({ incarnation: core.state.incarnation });
   };
 
   const state = (): Record<string, unknown> => ({
--- a/standIns/engine/engineCore.ts
+++ b/standIns/engine/engineCore.ts
@@ -12,13 +12,13 @@
 
 /** What the engine's calls work on. */
 export interface EngineCore {
-  readonly condition: EngineState;
+  readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly load: () => EngineLoad;
   /** The load as it was told so long ago. */
   readonly laggedLoad: (lagMilliseconds: number) => EngineLoad;
   /** Records a change that the load shows. */
-  readonly changed: () => void;
+  readonly recordChange: () => void;
   /** Accepts a request and starts it; throws a `RefusalError` that says why not. */
   readonly start: (request: GenerationRequest) => Generation;
   /** Throws a `RefusalError` for an attempt that is not, or no longer, known. */
@@ -29,7 +29,7 @@
   readonly executions: () => readonly Execution[];
 }
 
-const startCondition = (settings: EngineSettings): EngineState => ({
+const createInitialState = (settings: EngineSettings): EngineState => ({
   incarnation: randomUUID(),
   model: settings.model,
   weightsVersion: settings.weightsVersion,
@@ -40,7 +40,7 @@
   highestFencingNumber: -1,
 });
 
-const serves = ({ model, adapters }: EngineState, wanted: string): boolean => {
+const servesModel = ({ model, adapters }: EngineState, wanted: string): boolean => {
   const names = adapters.map((adapter) => adapter.split("@")[0] ?? "");
   return wanted === model || names.some((name) => wanted === name || wanted === `${model}:${name}`);
 };
@@ -50,18 +50,18 @@
   settings: EngineSettings,
   faults: () => Pick<EngineStandInFaults, "leaving" | "eventDelayMilliseconds" | "eventLossRatio">,
 ): EngineCore => {
-  const condition = startCondition(settings);
+  const state = createInitialState(settings);
   const generations: Generation[] = [];
   const attempts = new Map<string, Generation>();
   const active = new Set<Generation>();
-  const createParts = () => ({
+  const createRuntime = () => ({
     cache: createBlockCache(settings, faults),
     running: createPrioritySemaphore(settings.maximumRunning),
     prefill: createPrioritySemaphore(1),
   });
-  let parts = createParts();
+  let runtime = createRuntime();
 
-  const leaving = (): boolean => condition.drained || faults().leaving;
+  const leaving = (): boolean => state.drained || faults().leaving;
 
   const countPending = (): number => {
     let tokens = 0;
@@ -70,32 +70,32 @@
   };
 
   const load = (): EngineLoad => ({
-    incarnation: condition.incarnation,
-    model: condition.model,
-    weightsVersion: condition.weightsVersion,
-    adapters: condition.adapters,
-    role: condition.role,
-    running: parts.running.taken(),
-    waiting: parts.running.waiting(),
+    incarnation: state.incarnation,
+    model: state.model,
+    weightsVersion: state.weightsVersion,
+    adapters: state.adapters,
+    role: state.role,
+    running: runtime.running.acquired(),
+    waiting: runtime.running.waiting(),
     pendingPromptTokens: countPending(),
-    cachedTokens: parts.cache.size() * blockTokens,
+    cachedTokens: runtime.cache.size() * blockTokens,
     leaving: leaving(),
   });
   const history = createHistory(load());
-  const changed = (): void => history.record(load());
+  const recordChange = (): void => history.record(load());
 
-  const admit = ({ model, organisation }: GenerationRequest): void => {
+  const checkAdmission = ({ model, organisation }: GenerationRequest): void => {
     if (settings.identity === "checked" && organisation === undefined) {
       throw refusal(401, "identity_required", true);
     }
-    if (!serves(condition, model)) throw refusal(404, "unknown_model", true);
-    if (condition.loading) throw refusal(503, "loading", true);
+    if (!servesModel(state, model)) throw refusal(404, "unknown_model", true);
+    if (state.loading) throw refusal(503, "loading", true);
     if (leaving()) throw refusal(503, "leaving", true);
-    const full = parts.running.taken() >= settings.maximumRunning;
-    if (full && parts.running.waiting() >= settings.maximumWaiting) throw refusal(503, "overloaded", true);
+    const full = runtime.running.acquired() >= settings.maximumRunning;
+    if (full && runtime.running.waiting() >= settings.maximumWaiting) throw refusal(503, "overloaded", true);
   };
 
-  const forgetLater = (generation: Generation): void => {
+  const scheduleForget = (generation: Generation): void => {
     const { attempt } = generation.request;
     active.delete(generation);
     const forget = (): void => {
@@ -105,20 +105,20 @@
   };
 
   const start = (request: GenerationRequest): Generation => {
-    admit(request);
-    const { incarnation, weightsVersion } = condition;
+    checkAdmission(request);
+    const { incarnation, weightsVersion } = state;
     const generation = createGeneration(request, {
       settings,
       incarnation,
       weightsVersion,
-      ...parts,
-      changed,
+      ...runtime,
+      recordChange,
     });
     generations.push(generation);
     attempts.set(request.attempt, generation);
     active.add(generation);
-    void generation.run().then(() => forgetLater(generation));
-    changed();
+    void generation.run().then(() => scheduleForget(generation));
+    recordChange();
     return generation;
   };
 
@@ -135,24 +135,24 @@
 
   const reset = (): void => {
     abortAnswers();
-    parts = createParts();
-    const { model, weightsVersion } = condition;
-    Object.assign(condition, startCondition(settings), { model, weightsVersion });
-    changed();
+    runtime = createRuntime();
+    const { model, weightsVersion } = state;
+    Object.assign(state, createInitialState(settings), { model, weightsVersion });
+    recordChange();
   };
 
   const laggedLoad = (lagMilliseconds: number): EngineLoad => {
     // Switches and time change the load unannounced.
-    changed();
+    recordChange();
     return lagMilliseconds === 0 ? load() : history.read(lagMilliseconds);
   };
 
   return {
-    condition,
-    cache: () => parts.cache,
+    state,
+    cache: () => runtime.cache,
     load,
     laggedLoad,
-    changed,
+    recordChange,
     start,
     findAttempt,
     abortAnswers,
--- a/standIns/engine/generation.ts
+++ b/standIns/engine/generation.ts
@@ -3,7 +3,7 @@
 import { createNotifier, pause, type Notifier } from "../waiting.ts";
 import type { BlockCache } from "./blockCache.ts";
 import type { PrioritySemaphore } from "./prioritySemaphore.ts";
-import { afterToken, blockTokens, countTokens, hashBlocks, nextToken, readText } from "./text.ts";
+import { appendToken, blockTokens, countTokens, hashBlocks, nextToken, createTextState } from "./text.ts";
 import type { EngineSettings, Execution, ExecutionState } from "./types.ts";
 
 /** What a request asks for, once its body has been read. */
@@ -30,7 +30,7 @@
   readonly running: PrioritySemaphore;
   readonly prefill: PrioritySemaphore;
   /** Called after each change of state. */
-  readonly changed: () => void;
+  readonly recordChange: () => void;
 }
 
 /** A generation, seen by the streams that follow it. */
@@ -44,19 +44,22 @@
   readonly pendingPromptTokens: () => number;
   /** True once nothing more will come. */
   readonly ended: () => boolean;
-  readonly changed: Notifier["changed"];
+  readonly nextChange: Notifier["nextChange"];
   readonly stop: (state: "cancelled" | "aborted") => void;
   /** Runs to the end; never rejects. */
   readonly run: () => Promise<void>;
 }
 
 /** Seeds the hashes of all blocks that may be shared with one another. */
-export const blockSeed = (cacheSalt: string, model: string, weightsVersion: string): string =>
+export const createBlockSeed = (cacheSalt: string, model: string, weightsVersion: string): string =>
   JSON.stringify([cacheSalt, model, weightsVersion]);
 
 /** Creates a generation that has not started. */
-export const createGeneration = (request: GenerationRequest, host: GenerationDependencies): Generation => {
-  const { settings, cache, weightsVersion } = host;
+export const createGeneration = (
+  request: GenerationRequest,
+  dependencies: GenerationDependencies,
+): Generation => {
+  const { settings, cache, weightsVersion } = dependencies;
   const { rendered, priority } = request;
   const promptTokens = countTokens(rendered);
   const tokens: string[] = [];
@@ -68,14 +71,14 @@
   let cachedTokens = 0;
   let computedTokens = 0;
 
-  const enter = (next: ExecutionState): void => {
+  const setState = (next: ExecutionState): void => {
     state = next;
-    host.changed();
+    dependencies.recordChange();
     notifier.notify();
   };
 
   const compute = async (): Promise<void> => {
-    const blocks = hashBlocks(blockSeed(request.cacheSalt, request.model, weightsVersion), rendered);
+    const blocks = hashBlocks(createBlockSeed(request.cacheSalt, request.model, weightsVersion), rendered);
     // An engine computes at least the last token of a prompt.
     const usable = blocks.slice(0, Math.floor((promptTokens - 1) / blockTokens));
     cachedTokens = cache.match(usable) * blockTokens;
@@ -83,15 +86,15 @@
     await pause((uncached * settings.prefillMicrosecondsPerToken) / 1000, stopping.signal);
     computedTokens = uncached;
     cache.store(blocks);
-    host.changed();
+    dependencies.recordChange();
   };
 
   const prefill = async (): Promise<void> => {
-    await host.prefill.acquire(priority, stopping.signal);
+    await dependencies.prefill.acquire(priority, stopping.signal);
     try {
       await compute();
     } finally {
-      host.prefill.release();
+      dependencies.prefill.release();
     }
   };
 
@@ -99,12 +102,12 @@
   const decode = async (): Promise<void> => {
     const average = request.ignoreEnd ? 0 : settings.averageTokens;
     const startedAt = performance.now();
-    let text = readText(JSON.stringify([request.model, weightsVersion]), rendered);
+    let text = createTextState(JSON.stringify([request.model, weightsVersion]), rendered);
     while (tokens.length < request.maximumTokens && (request.ignoreEnd || !text.ended)) {
       const dueAt = startedAt + (tokens.length + 1) * settings.tokenMilliseconds;
       await pause(dueAt - performance.now(), stopping.signal);
       const token = nextToken(text, average);
-      text = afterToken(text, token);
+      text = appendToken(text, token);
       tokens.push(token);
       notifier.notify();
     }
@@ -113,20 +116,20 @@
 
   const run = async (): Promise<void> => {
     try {
-      await host.running.acquire(priority, stopping.signal);
+      await dependencies.running.acquire(priority, stopping.signal);
     } catch {
       return;
     }
     try {
-      enter("running");
+      setState("running");
       await prefill();
       await decode();
       state = "finished";
     } catch {
       // Stopped: `stop` has set the state.
     } finally {
-      host.running.release();
-      enter(state);
+      dependencies.running.release();
+      setState(state);
     }
   };
 
@@ -134,7 +137,7 @@
 
   const stop = (next: "cancelled" | "aborted"): void => {
     if (ended()) return;
-    enter(next);
+    setState(next);
     stopping.abort();
   };
 
@@ -144,7 +147,7 @@
     organisation: request.organisation,
     cacheSalt: request.cacheSalt,
     weightsVersion,
-    incarnation: host.incarnation,
+    incarnation: dependencies.incarnation,
     state,
     promptTokens,
     cachedTokens,
@@ -159,7 +162,7 @@
     execution,
     pendingPromptTokens: () => (ended() || computedTokens > 0 ? 0 : promptTokens - cachedTokens),
     ended,
-    changed: notifier.changed,
+    nextChange: notifier.nextChange,
     stop,
     run,
   };
--- a/standIns/engine/orders.ts
+++ b/standIns/engine/orders.ts
@@ -5,7 +5,7 @@
 import { refusal, RefusalError } from "../errors.ts";
 import { pause } from "../waiting.ts";
 import type { BlockCache } from "./blockCache.ts";
-import { blockSeed } from "./generation.ts";
+import { createBlockSeed } from "./generation.ts";
 import { hashBlocks } from "./text.ts";
 import type { EngineSettings, OrderRecord } from "./types.ts";
 
@@ -55,13 +55,13 @@
 /** The engine as orders meet it. */
 export interface OrderDependencies {
   readonly settings: EngineSettings;
-  readonly condition: EngineState;
+  readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly closed: AbortSignal;
   /** Breaks off all answers, as loading weights does. */
   readonly abortAnswers: () => void;
-  /** Called after each change of {@link OrderDependencies.condition}. */
-  readonly changed: () => void;
+  /** Called after each change of {@link OrderDependencies.state}. */
+  readonly recordChange: () => void;
 }
 
 const callStore = async (url: string, method: "GET" | "PUT", body?: string): Promise<string> => {
@@ -89,64 +89,64 @@
 }
 
 /** Creates an {@link OrderExecutor}. */
-export const createOrderExecutor = (host: OrderDependencies): OrderExecutor => {
-  const { settings, condition } = host;
+export const createOrderExecutor = (dependencies: OrderDependencies): OrderExecutor => {
+  const { settings, state } = dependencies;
   const records: OrderRecord[] = [];
   let previous = Promise.resolve();
 
   /** Throws if the engine crashed since: what an order began is lost with the rest. */
-  const checkAlive = (incarnation: string): void => {
-    if (condition.incarnation !== incarnation) throw refusal(503, "crashed");
+  const checkNotCrashed = (incarnation: string): void => {
+    if (state.incarnation !== incarnation) throw refusal(503, "crashed");
   };
 
   const loadWeights = async ({ model, weightsVersion }: ActionOf<"load_weights">): Promise<void> => {
-    const { incarnation } = condition;
-    condition.loading = true;
-    host.abortAnswers();
-    host.changed();
+    const { incarnation } = state;
+    state.loading = true;
+    dependencies.abortAnswers();
+    dependencies.recordChange();
     try {
       const path = `/weights/${encodeURIComponent(model)}/${encodeURIComponent(weightsVersion)}`;
       if (settings.weightStoreUrl !== undefined) await callStore(settings.weightStoreUrl + path, "GET");
-      await pause(settings.loadMilliseconds, host.closed);
-      checkAlive(incarnation);
-      host.cache().clear();
-      if (model !== condition.model) condition.adapters = [];
-      Object.assign(condition, { model, weightsVersion });
+      await pause(settings.loadMilliseconds, dependencies.closed);
+      checkNotCrashed(incarnation);
+      dependencies.cache().clear();
+      if (model !== state.model) state.adapters = [];
+      Object.assign(state, { model, weightsVersion });
     } finally {
-      if (condition.incarnation === incarnation) condition.loading = false;
+      if (state.incarnation === incarnation) state.loading = false;
     }
   };
 
   const loadAdapter = ({ adapter, version }: ActionOf<"load_adapter">): void => {
-    const others = condition.adapters.filter((loaded) => !loaded.startsWith(`${adapter}@`));
-    condition.adapters = [...others, `${adapter}@${version}`];
+    const others = state.adapters.filter((loaded) => !loaded.startsWith(`${adapter}@`));
+    state.adapters = [...others, `${adapter}@${version}`];
   };
 
   const transfer = (blocks: number): Promise<void> =>
-    pause((blocks * settings.transferMicrosecondsPerBlock) / 1000, host.closed);
+    pause((blocks * settings.transferMicrosecondsPerBlock) / 1000, dependencies.closed);
 
   const exportCache = async (action: ActionOf<"export_cache">): Promise<void> => {
-    const { model, weightsVersion } = condition;
-    const all = hashBlocks(blockSeed(action.cacheSalt, model, weightsVersion), action.promptText);
-    const blocks = all.slice(0, host.cache().match(all));
+    const { model, weightsVersion } = state;
+    const all = hashBlocks(createBlockSeed(action.cacheSalt, model, weightsVersion), action.promptText);
+    const blocks = all.slice(0, dependencies.cache().match(all));
     await transfer(blocks.length);
     const body = JSON.stringify({ model, weightsVersion, blocks });
     await callStore(cacheUrl(action.storeUrl, action.cacheKey), "PUT", body);
   };
 
   const importCache = async (action: ActionOf<"import_cache">): Promise<void> => {
-    const { incarnation } = condition;
+    const { incarnation } = state;
     const text = await callStore(cacheUrl(action.storeUrl, action.cacheKey), "GET");
     const { model, weightsVersion, blocks } = cacheSchema.parse(JSON.parse(text));
     await transfer(blocks.length);
-    checkAlive(incarnation);
-    if (model !== condition.model || weightsVersion !== condition.weightsVersion) {
+    checkNotCrashed(incarnation);
+    if (model !== state.model || weightsVersion !== state.weightsVersion) {
       throw refusal(409, "condition_failed");
     }
-    host.cache().store(blocks);
+    dependencies.cache().store(blocks);
   };
 
-  const carryOut = async (action: EngineOrderAction): Promise<void> => {
+  const executeAction = async (action: EngineOrderAction): Promise<void> => {
     switch (action.kind) {
       case "load_weights":
         return loadWeights(action);
@@ -154,13 +154,13 @@
         loadAdapter(action);
         return;
       case "set_role":
-        condition.role = action.role;
+        state.role = action.role;
         return;
       case "drain":
-        condition.drained = true;
+        state.drained = true;
         return;
       case "admit":
-        condition.drained = false;
+        state.drained = false;
         return;
       case "export_cache":
         return exportCache(action);
@@ -169,36 +169,36 @@
     }
   };
 
-  const check = ({ fencingNumber, ifIncarnation, ifWeightsVersion }: EngineOrder): void => {
-    if (settings.fencing === "checked" && fencingNumber < condition.highestFencingNumber) {
+  const checkPreconditions = ({ fencingNumber, ifIncarnation, ifWeightsVersion }: EngineOrder): void => {
+    if (settings.fencing === "checked" && fencingNumber < state.highestFencingNumber) {
       throw refusal(409, "stale_fencing", true);
     }
-    condition.highestFencingNumber = Math.max(condition.highestFencingNumber, fencingNumber);
-    if (ifIncarnation !== condition.incarnation || ifWeightsVersion !== condition.weightsVersion) {
+    state.highestFencingNumber = Math.max(state.highestFencingNumber, fencingNumber);
+    if (ifIncarnation !== state.incarnation || ifWeightsVersion !== state.weightsVersion) {
       throw refusal(409, "condition_failed", true);
     }
   };
 
-  const takeNext = async (order: EngineOrder): Promise<void> => {
+  const executeNext = async (order: EngineOrder): Promise<void> => {
     const { id, fencingNumber, action } = order;
     let outcome = "failed";
     try {
-      check(order);
-      await carryOut(action);
+      checkPreconditions(order);
+      await executeAction(action);
       outcome = "done";
     } catch (error) {
       if (error instanceof RefusalError) outcome = error.code;
       throw error;
     } finally {
       records.push({ id, kind: action.kind, fencingNumber, outcome });
-      host.changed();
+      dependencies.recordChange();
     }
   };
 
-  const take = (order: EngineOrder): Promise<void> => {
-    const taken = previous.then(() => takeNext(order));
-    previous = taken.catch(() => undefined);
-    return taken;
+  const execute = (order: EngineOrder): Promise<void> => {
+    const execution = previous.then(() => executeNext(order));
+    previous = execution.catch(() => undefined);
+    return execution;
   };
-  return { execute: take, records };
+  return { execute, records };
 };
--- a/standIns/engine/prioritySemaphore.ts
+++ b/standIns/engine/prioritySemaphore.ts
@@ -4,18 +4,18 @@
   readonly acquire: (priority: number, signal: AbortSignal) => Promise<void>;
   readonly release: () => void;
   readonly waiting: () => number;
-  readonly taken: () => number;
+  readonly acquired: () => number;
 }
 
 interface Waiter {
   readonly priority: number;
-  readonly enter: () => void;
+  readonly grant: () => void;
 }
 
 /** Creates a {@link PrioritySemaphore} with so many places. */
-export const createPrioritySemaphore = (places: number): PrioritySemaphore => {
+export const createPrioritySemaphore = (permits: number): PrioritySemaphore => {
   const queue: Waiter[] = [];
-  let taken = 0;
+  let acquired = 0;
 
   const enqueue = (waiter: Waiter): void => {
     const position = queue.findIndex(({ priority }) => priority > waiter.priority);
@@ -24,30 +24,30 @@
 
   const acquire = (priority: number, signal: AbortSignal): Promise<void> => {
     signal.throwIfAborted();
-    if (taken < places) {
-      taken += 1;
+    if (acquired < permits) {
+      acquired += 1;
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
-      const leave = (): void => {
+      const cancel = (): void => {
         queue.splice(queue.indexOf(waiter), 1);
         reject(signal.reason as Error);
       };
-      const enter = (): void => {
-        signal.removeEventListener("abort", leave);
+      const grant = (): void => {
+        signal.removeEventListener("abort", cancel);
         resolve();
       };
-      const waiter = { priority, enter };
-      signal.addEventListener("abort", leave, { once: true });
+      const waiter = { priority, grant };
+      signal.addEventListener("abort", cancel, { once: true });
       enqueue(waiter);
     });
   };
 
   const release = (): void => {
     const next = queue.shift();
-    if (next === undefined) taken -= 1;
-    else next.enter();
+    if (next === undefined) acquired -= 1;
+    else next.grant();
   };
 
-  return { acquire, release, waiting: () => queue.length, taken: () => taken };
+  return { acquire, release, waiting: () => queue.length, acquired: () => acquired };
 };
--- a/standIns/engine/requests.ts
+++ b/standIns/engine/requests.ts
@@ -39,7 +39,7 @@
   readonly stream: boolean;
 }
 
-const build = (
+const buildRequest = (
   { request }: Exchange,
   kind: "chat" | "text",
   body: SharedBody,
@@ -63,11 +63,11 @@
 /** Reads a call of `/v1/chat/completions`. */
 export const readChatRequest = (exchange: Exchange): ParsedRequest => {
   const body = parseBody(chatSchema, exchange.body);
-  return build(exchange, "chat", body, renderChat(body.messages, body.continue_final_message));
+  return buildRequest(exchange, "chat", body, renderChat(body.messages, body.continue_final_message));
 };
 
 /** Reads a call of `/v1/completions`. */
 export const readTextRequest = (exchange: Exchange): ParsedRequest => {
   const body = parseBody(textSchema, exchange.body);
-  return build(exchange, "text", body, body.prompt);
+  return buildRequest(exchange, "text", body, body.prompt);
 };
--- a/standIns/engine/text.ts
+++ b/standIns/engine/text.ts
@@ -29,12 +29,12 @@
 export const startHash = (seed: string): number => continueHash(offsetBasis, seed);
 
 /** Spreads a hash, so that its remainders do not follow from the last letter alone. */
-const spread = (hash: number): number => {
+const mixHash = (hash: number): number => {
   const mixed = Math.imul(hash ^ (hash >>> 16), 0x45d9f3b);
   return (mixed ^ (mixed >>> 15)) >>> 0;
 };
 
-const lastWord = " done.";
+const endToken = " done.";
 
 /** Where a text stands: all that its rest depends on. */
 export interface TextState {
@@ -44,22 +44,22 @@
 }
 
 /** Reads a rendered prompt, partial answer included. */
-export const readText = (seed: string, rendered: string): TextState => ({
+export const createTextState = (seed: string, rendered: string): TextState => ({
   hash: continueHash(startHash(seed), rendered),
-  ended: rendered.endsWith(lastWord),
+  ended: rendered.endsWith(endToken),
 });
 
 /** The token that follows. @param averageTokens - Average length of an answer; 0 never ends one. */
 export const nextToken = ({ hash }: TextState, averageTokens: number): string => {
-  const value = spread(hash);
-  if (averageTokens > 0 && value % averageTokens === 0) return lastWord;
+  const value = mixHash(hash);
+  if (averageTokens > 0 && value % averageTokens === 0) return endToken;
   return ` ${vocabulary[Math.floor(value / 64) % vocabulary.length] ?? ""}`;
 };
 
 /** The state after a token. */
-export const afterToken = ({ hash }: TextState, token: string): TextState => ({
+export const appendToken = ({ hash }: TextState, token: string): TextState => ({
   hash: continueHash(hash, token),
-  ended: token === lastWord,
+  ended: token === endToken,
 });
 
 /** A chat message as far as rendering needs it. */
--- a/standIns/httpServer.ts
+++ b/standIns/httpServer.ts
@@ -159,9 +159,9 @@
     throw refusal(404, "not_found", true);
   };
 
-  const thawed = (): Promise<void> => pollUntil(() => !faults.freeze, closing.signal);
+  const waitWhileFrozen = (): Promise<void> => pollUntil(() => !faults.freeze, closing.signal);
 
-  const checkConnection = (): void => {
+  const checkOutage = (): void => {
     if (faults.outage) throw cutError("The stand-in has an outage.");
   };
 
@@ -173,7 +173,7 @@
     }
     response.flushHeaders();
     for await (const piece of answer.body) {
-      await thawed();
+      await waitWhileFrozen();
       if (response.destroyed) return;
       response.write(piece);
     }
@@ -186,12 +186,12 @@
       await send(await runHandler(route.handler, exchange), response);
       return;
     }
-    checkConnection();
-    await thawed();
+    checkOutage();
+    await waitWhileFrozen();
     await pause(faults.latencyMilliseconds, closing.signal);
     const answer = await runHandler(route.handler, exchange);
-    await thawed();
-    checkConnection();
+    await waitWhileFrozen();
+    checkOutage();
     if (faults.loseAnswers > 0 && route.polled !== true) {
       faults.loseAnswers -= 1;
       throw cutError("The stand-in loses this answer.");
--- a/standIns/logService.ts
+++ b/standIns/logService.ts
@@ -30,13 +30,13 @@
   readonly records: (stream: string) => readonly LogRecord[];
 }
 
-const longestWaitMilliseconds = 5000;
+const maxWaitMilliseconds = 5000;
 const defaultLimit = 1000;
 const appendSchema = z.strictObject({ records: z.array(z.string()).min(1) });
 const readSchema = z.object({
   from: z.coerce.number().int().min(0).default(0),
   limit: z.coerce.number().int().min(1).default(defaultLimit),
-  waitMilliseconds: z.coerce.number().min(0).max(longestWaitMilliseconds).default(0),
+  waitMilliseconds: z.coerce.number().min(0).max(maxWaitMilliseconds).default(0),
 });
 
 /** Refills evenly and holds at most one second's worth. */
@@ -115,7 +115,7 @@
     waited.catch(() => undefined);
     let page = readPage(name, from, limit);
     while (page.records.length === 0 && waitMilliseconds > 0) {
-      const expired = await Promise.race([waited, appended.changed().then(() => false)]);
+      const expired = await Promise.race([waited, appended.nextChange().then(() => false)]);
       page = readPage(name, from, limit);
       if (expired) break;
     }
--- a/standIns/platform/platformSystem.ts
+++ b/standIns/platform/platformSystem.ts
@@ -74,10 +74,10 @@
   sequence: 1,
 });
 
-type ReplicaFields = ReturnType<typeof createRegistryEntry>;
+type RegistryEntry = ReturnType<typeof createRegistryEntry>;
 
 /** How long the callers of tests wait, milliseconds. */
-const usualPatience = 3_000;
+const defaultTimeout = 3_000;
 
 /** What a caller got. */
 export interface CallerAnswer {
@@ -107,13 +107,13 @@
   publishWeightsVersion: (version: number): void =>
     store.put("keyed.op", "version/m", { model: "m", version }),
   /** Without an entry the replica is gone. */
-  register: (id: string, entry: ReplicaFields | undefined): void => store.put("keyed.servers", id, entry),
+  register: (id: string, entry: RegistryEntry | undefined): void => store.put("keyed.servers", id, entry),
 });
 
-/** The headers of every request. @param patience - Milliseconds. */
-export const callHeaders = (id: string, key: string, patience: number): Readonly<Record<string, string>> => ({
+/** The headers of every request. @param timeout - Milliseconds. */
+export const callHeaders = (id: string, key: string, timeout: number): Readonly<Record<string, string>> => ({
   "x-attempt-id": id,
-  "x-deadline-ms": String(patience),
+  "x-deadline-ms": String(timeout),
   ...(key === "" ? {} : { authorization: `Bearer ${key}` }),
 });
 
@@ -137,10 +137,10 @@
 let nextId = 0;
 
 /** Sends one request on a connection of its own. */
-export const sendRequest = (router: ForwardingRouter, given: RequestOptions): Promise<CallerAnswer> =>
+export const sendRequest = (router: ForwardingRouter, options: RequestOptions): Promise<CallerAnswer> =>
   new Promise((resolve) => {
     nextId += 1;
-    const { host, path, method = "POST", id = `request-${nextId}`, key = keys.known, body = "" } = given;
+    const { host, path, method = "POST", id = `request-${nextId}`, key = keys.known, body = "" } = options;
     const chunks: Buffer[] = [];
     const end = (status: number, headers: IncomingHttpHeaders, isCut: boolean): void =>
       resolve({ status, headers, body: Buffer.concat(chunks).toString(), isCut });
@@ -153,10 +153,10 @@
         agent: false,
         headers: {
           host,
-          ...callHeaders(id, key, usualPatience),
-          ...given.headers,
+          ...callHeaders(id, key, defaultTimeout),
+          ...options.headers,
         },
-        ...(given.signal === undefined ? {} : { signal: given.signal }),
+        ...(options.signal === undefined ? {} : { signal: options.signal }),
       },
       (response) => {
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
@@ -219,8 +219,8 @@
   readonly publishWeightsVersion: (version: number) => void;
   /** Writes a replica's registration; without fields the replica is gone. */
   readonly register: (replica: ReplicaStandIn, fields: Readonly<Record<string, unknown>> | undefined) => void;
-  /** @param through - Another way to the store. */
-  readonly startRouter: (through?: StoreStandIn) => Promise<ForwardingRouter>;
+  /** @param routerStore - Another way to the store. */
+  readonly startRouter: (routerStore?: StoreStandIn) => Promise<ForwardingRouter>;
   /** Ends all routers. */
   readonly stopRouters: () => Promise<void>;
 }
@@ -266,8 +266,11 @@
 export const isReady = async ({ readinessPort }: ForwardingRouter): Promise<boolean> =>
   (await fetch(`http://127.0.0.1:${readinessPort}${readinessPath}`)).ok;
 
-const startAll = (count: number, of: (index: number) => ReplicaSettings): Promise<ReplicaStandIn[]> =>
-  Promise.all(Array.from({ length: count }, (_, index) => startReplicaStandIn(of(index))));
+const startAll = (
+  count: number,
+  createSettings: (index: number) => ReplicaSettings,
+): Promise<ReplicaStandIn[]> =>
+  Promise.all(Array.from({ length: count }, (_, index) => startReplicaStandIn(createSettings(index))));
 
 /** Starts a store, replicas and one router that is ready. */
 export const startPlatformSystem = async (settings: PlatformSystemSettings = {}): Promise<PlatformSystem> => {
@@ -290,7 +293,7 @@
     writers.register(replica.id, fields === undefined ? undefined : entry);
   };
 
-  const startRouter = async (through: StoreStandIn = store): Promise<ForwardingRouter> => {
+  const startRouter = async (routerStore: StoreStandIn = store): Promise<ForwardingRouter> => {
     const router = await startForwardingRouter(
       {
         name: `router-${routers.length}`,
@@ -299,7 +302,7 @@
         readiness: anyPort,
         metricsPort: 0,
         peers: anyPort,
-        store: { address: "127.0.0.1", port: Number(through.address.split(":")[1]) },
+        store: { address: "127.0.0.1", port: Number(routerStore.address.split(":")[1]) },
         bounds: { ...bounds, ...settings.bounds },
       },
       connectPlatform,
--- a/standIns/platform/replica.ts
+++ b/standIns/platform/replica.ts
@@ -113,7 +113,7 @@
 }
 
 /** Pauses between events from the beginning of a run until the crash that it causes. */
-const crashPauses = 2;
+const eventPausesBeforeCrash = 2;
 
 const sealOf = (id: string, run: ExecutedRequest): string => `${id}.${run.id}`;
 
@@ -154,7 +154,7 @@
 };
 
 /** Answers a plain request in a way that it should not be answered. */
-const misbehave = (
+const sendMalformedAnswer = (
   replica: string,
   pause: number,
   run: ExecutedRequest,
@@ -183,7 +183,7 @@
 };
 
 /** @returns What closes a server's port and resets its connections, as the end of its process does. */
-const createReset = (server: Server): (() => void) => {
+const createConnectionReset = (server: Server): (() => void) => {
   const sockets = new Set<Socket>();
   server.on("connection", (socket) => {
     sockets.add(socket);
@@ -217,7 +217,7 @@
 };
 
 /** What an engine says of itself. */
-const reportOf = ({
+const createReport = ({
   model,
   version,
   ...fields
@@ -234,23 +234,23 @@
 });
 
 /** What a replica reports about itself in the heads of its answers. */
-const createReports = () => {
+const createReportedHeaders = () => {
   let limitText: () => string | undefined = () => undefined;
   let reported: (behaviour: Behaviour) => ReportHeaders = () => ({});
-  const nameLimit: ReplicaStandIn["setReportedLimit"] = (text) => {
+  const setReportedLimit: ReplicaStandIn["setReportedLimit"] = (text) => {
     limitText = typeof text === "function" ? text : () => text;
   };
-  const report: ReplicaStandIn["setReportHeaders"] = (headers) => {
+  const setReportHeaders: ReplicaStandIn["setReportHeaders"] = (headers) => {
     reported = typeof headers === "function" ? headers : () => headers;
   };
   return {
-    nameLimit,
-    report,
-    setLimit: (response: ServerResponse): void => {
+    setReportedLimit,
+    setReportHeaders,
+    addLimit: (response: ServerResponse): void => {
       const limit = limitText();
       if (limit !== undefined) response.setHeader("server-limit", limit);
     },
-    set: (response: ServerResponse, behaviour: Behaviour): void => {
+    addHeaders: (response: ServerResponse, behaviour: Behaviour): void => {
       for (const [name, value] of Object.entries(reported(behaviour))) response.setHeader(name, value);
     },
   };
@@ -265,7 +265,7 @@
   const orders: ReceivedOrder[] = [];
   let behaviours: Behaviour[] = [];
   let version = model?.version ?? 0;
-  const reports = createReports();
+  const reports = createReportedHeaders();
   let isLoading = false;
   let hasCrashed = false;
 
@@ -312,11 +312,11 @@
     const behaviour = behaviours.shift() ?? "well";
     const arrival: Arrival = { headers, at: performance.now(), refusedAt: undefined, retryAfter: undefined };
     arrivals.push(arrival);
-    reports.setLimit(response);
-    reports.set(response, behaviour);
-    const asked = { id: String(headers["x-attempt-id"]), method, target, headers };
+    reports.addLimit(response);
+    reports.addHeaders(response, behaviour);
+    const received = { id: String(headers["x-attempt-id"]), method, target, headers };
     if (behaviour === "early") {
-      answerEarly(id, asked.id, response);
+      answerEarly(id, received.id, response);
       await readBody(request);
       return;
     }
@@ -329,28 +329,28 @@
       return;
     }
     const at = performance.now();
-    const made: ExecutedRequest = { ...asked, body, at, weightsVersion: version, wasCut: false };
-    runs.push(made);
+    const executed: ExecutedRequest = { ...received, body, at, weightsVersion: version, wasCut: false };
+    runs.push(executed);
     response.on("close", () => {
-      made.wasCut = !response.writableFinished;
+      executed.wasCut = !response.writableFinished;
     });
     if (behaviour === "hang") return;
-    const crashing = crashesOn(made);
-    if (crashing !== "never") {
-      if (crashing === "midway") void streamEvents(made, response, Number.POSITIVE_INFINITY);
-      await sleep(events.pause * crashPauses);
+    const crashPoint = crashesOn(executed);
+    if (crashPoint !== "never") {
+      if (crashPoint === "midway") void streamEvents(executed, response, Number.POSITIVE_INFINITY);
+      await sleep(events.pause * eventPausesBeforeCrash);
       crash();
       return;
     }
-    if (serviceTime > 0 && !isStream(made)) await sleep(serviceTime);
-    if (behaviour === "fail") refuse(response, 500, headersOf(made));
-    else if (isStream(made) && behaviour === "cut") await streamEvents(made, response, 2);
-    else if (behaviour !== "well") misbehave(id, events.pause, made, response, behaviour);
-    else if (isStream(made)) await streamEvents(made, response, Number.POSITIVE_INFINITY);
-    else answerPlain(made, response);
+    if (serviceTime > 0 && !isStream(executed)) await sleep(serviceTime);
+    if (behaviour === "fail") refuse(response, 500, headersOf(executed));
+    else if (isStream(executed) && behaviour === "cut") await streamEvents(executed, response, 2);
+    else if (behaviour !== "well") sendMalformedAnswer(id, events.pause, executed, response, behaviour);
+    else if (isStream(executed)) await streamEvents(executed, response, Number.POSITIVE_INFINITY);
+    else answerPlain(executed, response);
   };
 
-  const takeOrder = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleOrder = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const order = JSON.parse(await readBody(request)) as Omit<ReceivedOrder, "at">;
     if (refusesOrders || isLoading || isConflict(order, orders.length)) {
       refuse(response, 409);
@@ -365,13 +365,13 @@
   };
 
   const server = createServer((request, response) => {
-    if (request.url === "/-/report" || request.url === "/-/order") reports.set(response, "well");
+    if (request.url === "/-/report" || request.url === "/-/order") reports.addHeaders(response, "well");
     if (request.url === "/-/report")
-      sendJson(response, reportOf({ model, version, busy: isLoading, sequence: orders.length }));
-    else if (request.url === "/-/order") void takeOrder(request, response);
+      sendJson(response, createReport({ model, version, busy: isLoading, sequence: orders.length }));
+    else if (request.url === "/-/order") void handleOrder(request, response);
     else void run(request, response);
   });
-  const resetAll = createReset(server);
+  const resetAll = createConnectionReset(server);
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
   const { port } = server.address() as AddressInfo;
@@ -384,8 +384,8 @@
     arrivals,
     orders,
     version: () => version,
-    setReportedLimit: reports.nameLimit,
-    setReportHeaders: reports.report,
+    setReportedLimit: reports.setReportedLimit,
+    setReportHeaders: reports.setReportHeaders,
     setBehaviours: (...next) => {
       behaviours = [...next];
     },
--- a/standIns/platform/store.ts
+++ b/standIns/platform/store.ts
@@ -138,7 +138,11 @@
   };
 
   /** @returns Nothing where the connection ends without an answer. */
-  const carryOut = (pathname: string, query: URLSearchParams, body: Buffer): Promise<Answer | undefined> => {
+  const handleCall = (
+    pathname: string,
+    query: URLSearchParams,
+    body: Buffer,
+  ): Promise<Answer | undefined> => {
     if (faults.isBusy) return Promise.resolve(json(503, {}));
     if (pathname === "/-/log-append") return Promise.resolve(append(query, body));
     if (pathname === "/-/log-read") return read(query);
@@ -151,16 +155,16 @@
     calls.set(pathname, (calls.get(pathname) ?? 0) + 1);
     const body = await readBody(request);
     if (faults.isUnresponsive || faults.isDown) return;
-    const made = await carryOut(pathname, searchParams, body);
+    const result = await handleCall(pathname, searchParams, body);
     const epoch = topics.epoch();
     if (faults.answerDelay > 0) await sleep(faults.answerDelay);
-    if (made === undefined) {
+    if (result === undefined) {
       response.destroy();
       return;
     }
-    const named = faults.omitsEpoch ? {} : { "store-era": String(epoch) };
-    response.writeHead(made.status, { "content-type": "application/json", ...named });
-    response.end(made.body);
+    const epochHeader = faults.omitsEpoch ? {} : { "store-era": String(epoch) };
+    response.writeHead(result.status, { "content-type": "application/json", ...epochHeader });
+    response.end(result.body);
   };
 
   const server = createServer((request, response) => void answer(request, response));
--- a/standIns/platform/topics.ts
+++ b/standIns/platform/topics.ts
@@ -73,14 +73,14 @@
   let epoch = 1;
 
   const topicOf = (name: string): Topic => {
-    const known = topics.get(name);
-    if (known !== undefined) return known;
-    const made: Topic = { records: [], end: 0, keys: new Map(), waiting: new Set() };
-    topics.set(name, made);
-    return made;
+    const existing = topics.get(name);
+    if (existing !== undefined) return existing;
+    const created: Topic = { records: [], end: 0, keys: new Map(), waiting: new Set() };
+    topics.set(name, created);
+    return created;
   };
 
-  const noteKey = ({ keys }: Topic, record: StoredRecord): void => {
+  const updateNewest = ({ keys }: Topic, record: StoredRecord): void => {
     const key = keyOf(record.bytes);
     if (valueOf(record.bytes).length === 0) keys.delete(key);
     else keys.set(key, record);
@@ -93,13 +93,13 @@
       const record = { offset: topic.end, bytes: Buffer.from(bytes) };
       topic.records.push(record);
       topic.end += 1;
-      if (name.startsWith("keyed.")) noteKey(topic, record);
+      if (name.startsWith("keyed.")) updateNewest(topic, record);
     }
     for (const wake of [...topic.waiting]) wake();
     return first;
   };
 
-  const copy = (): StoreBackup =>
+  const backUp = (): StoreBackup =>
     new Map(
       [...topics].map(([name, { records, end, keys }]) => [
         name,
@@ -107,10 +107,10 @@
       ]),
     );
 
-  const returnFrom: Topics["restore"] = (copied) => {
+  const restore: Topics["restore"] = (backup) => {
     epoch += 1;
     for (const [name, topic] of topics) {
-      const { records = [], end = 0, keys = [] } = copied.get(name) ?? {};
+      const { records = [], end = 0, keys = [] } = backup.get(name) ?? {};
       topic.records = [...records];
       topic.end = end;
       topic.keys.clear();
@@ -123,8 +123,8 @@
 
   return {
     epoch: () => epoch,
-    backUp: copy,
-    restore: returnFrom,
+    backUp,
+    restore,
     append,
     read: (name, from) => {
       const topic = topicOf(name);
--- a/standIns/service.ts
+++ b/standIns/service.ts
@@ -60,7 +60,7 @@
   const executions: ServiceExecution[] = [];
   const answersByKey = new Map<string, unknown>();
 
-  const admit = (organisation: string | undefined): void => {
+  const checkAdmission = (organisation: string | undefined): void => {
     if (server.faults.leaving) throw refusal(503, "leaving", true);
     if (server.faults.refuse) throw refusal(503, "overloaded", true);
     if (settings.identity === "checked" && organisation === undefined) {
@@ -81,7 +81,7 @@
 
   const call = async ({ request, response, method, target, body }: Exchange): Promise<Answer> => {
     const organisation = readHeader(request, headerNames.organisation);
-    admit(organisation);
+    checkAdmission(organisation);
     const attempt = readHeader(request, headerNames.attempt) ?? "";
     const idempotencyKey = readHeader(request, headerNames.idempotencyKey);
     const answer = execute({ attempt, idempotencyKey, organisation, method, path: target }, body);
--- a/standIns/suspendedClock.ts
+++ b/standIns/suspendedClock.ts
@@ -4,17 +4,17 @@
  */
 
 /** Between two looks at the clock, and the shortest gap between looks that is a stop, milliseconds. */
-const looks = { interval: 50, gap: 700 } as const;
+const polling = { interval: 50, gap: 700 } as const;
 
-const steady = performance.now.bind(performance);
-let hidden = 0;
-let last = steady();
+const readClock = performance.now.bind(performance);
+let suspendedTime = 0;
+let last = readClock();
 
 performance.now = (): number => {
-  const now = steady();
-  if (now - last > looks.gap) hidden += now - last;
+  const now = readClock();
+  if (now - last > polling.gap) suspendedTime += now - last;
   last = now;
-  return now - hidden;
+  return now - suspendedTime;
 };
 
-setInterval(() => performance.now(), looks.interval).unref();
+setInterval(() => performance.now(), polling.interval).unref();
--- a/standIns/waiting.ts
+++ b/standIns/waiting.ts
@@ -18,7 +18,7 @@
 export interface Notifier {
   readonly notify: () => void;
   /** Resolves at the next {@link Notifier.notify}. */
-  readonly changed: () => Promise<void>;
+  readonly nextChange: () => Promise<void>;
 }
 
 /** Creates a {@link Notifier}. */
@@ -30,7 +30,7 @@
       waiting = [];
       for (const wake of woken) wake();
     },
-    changed: () => new Promise((resolve) => waiting.push(resolve)),
+    nextChange: () => new Promise((resolve) => waiting.push(resolve)),
   };
 };
 
