--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,4 +1,4 @@
-/** What must hold whatever went wrong, on the records of callers and stand-ins. */
+/** Invariants that must hold under every fault, checked on the records of callers and stand-ins. */
 import { outcomes } from "../src/protocol/constants.ts";
 import type { Execution } from "../tests/processes/records.ts";
 import type { SoakRecord, Violation } from "./types.ts";
@@ -10,7 +10,7 @@
     .filter(([, count]) => count > 1)
     .map(([key, count]) => ({ promise: "runs at most once", detail: `${key} ran ${count} times` }));
 
-/** A key whose every try was refused as not run, over connections that were never cut, has not run. */
+/** Finds requests that were executed although every try was refused as not run. */
 const checkNotRun = (
   records: readonly SoakRecord[],
   executions: ReadonlyMap<string, number>,
@@ -37,7 +37,7 @@
     }));
   });
 
-/** What a caller has of a stream that was cut is the beginning of its answer. */
+/** Finds streams whose text is not a prefix of the expected answer. */
 const checkBeginnings = (records: readonly SoakRecord[]): readonly Violation[] =>
   records.filter(isStream).flatMap(({ expected, tries }) =>
     tries
@@ -58,7 +58,7 @@
       })),
   );
 
-/** @returns All that is wrong. */
+/** @returns All violations found in a run's records. */
 export const findViolations = (
   records: readonly SoakRecord[],
   executions: readonly Execution[],
--- a/soak/faultInjector.ts
+++ b/soak/faultInjector.ts
@@ -1,27 +1,29 @@
-/** What may go wrong in a soak run: one thing or several at a time, each undone after a while. */
+/** Injects random faults into the system of a soak run; each one is undone after a while. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { System, SystemProcess } from "../demo/processes.ts";
 import type { Random } from "../bench/model/random.ts";
 import { setFaults } from "../tests/processes/records.ts";
 import type { Violation } from "./types.ts";
 
+/** Range of a fault's duration, milliseconds. */
 const minDuration = 200;
 const maxDuration = 2_500;
-const minRouters = 2;
-/** Far longer than any request of the load and any idle connection. */
+/** A process is frozen only if at least this many of its kind run; a router is replaced only if more do. */
+const minProcesses = 2;
+/** Milliseconds: far longer than any request of the load and any idle connection. */
 const shutdownTimeout = 30_000;
 
-/** Disturbs a system. */
+/** Injects faults into a system and records them. */
 export interface FaultInjector {
-  /** Does one thing, chosen at random, and undoes it. */
+  /** Injects one fault, chosen at random, and undoes it. */
   readonly injectFault: () => Promise<void>;
-  /** Graceful shutdowns that did not end, or not well. Resolves when all have been waited for. */
+  /** Waits for all graceful shutdowns; resolves with those that did not end or ended with an error. */
   readonly findBadShutdowns: () => Promise<readonly Violation[]>;
-  /** How often each thing was done. */
+  /** Number of injections by name of the fault. */
   readonly counts: ReadonlyMap<string, number>;
 }
 
-/** Makes a disturber. */
+/** Creates a fault injector. */
 export const createFaultInjector = (system: System, random: Random): FaultInjector => {
   const counts = new Map<string, number>();
   const busy = new Set<string>();
@@ -47,7 +49,7 @@
 
   const replaceRouter = async (signal: "SIGKILL" | "SIGTERM"): Promise<void> => {
     const old = pick(ofKind("router"));
-    if (old === undefined || ofKind("router").length <= minRouters) return;
+    if (old === undefined || ofKind("router").length <= minProcesses) return;
     busy.add(old.name);
     started += 1;
     const replacement = system.startRouter(`router-again-${started}`, old.dataCentre);
@@ -58,7 +60,7 @@
 
   const freeze = async (kind: SystemProcess["kind"]): Promise<void> => {
     const frozen = pick(ofKind(kind));
-    if (frozen === undefined || ofKind(kind).length < minRouters) return;
+    if (frozen === undefined || ofKind(kind).length < minProcesses) return;
     busy.add(frozen.name);
     frozen.process.kill("SIGSTOP");
     await waitRandomDuration();
@@ -66,7 +68,7 @@
     busy.delete(frozen.name);
   };
 
-  /** Sets faults of one stand-in and takes them back. */
+  /** Sets the fault switches of one stand-in, then resets them. */
   const injectStandInFaults = async (
     kind: SystemProcess["kind"],
     faults: Readonly<Record<string, unknown>>,
@@ -112,7 +114,7 @@
   const disturb = async (): Promise<void> => {
     const name = pick(Object.keys(faultActions)) ?? "";
     counts.set(name, (counts.get(name) ?? 0) + 1);
-    // A call to a stand-in that is frozen at the moment may fail; nothing depends on it.
+    // Setting faults of a frozen stand-in may fail, which is harmless.
     await faultActions[name]?.().catch(() => undefined);
   };
 
--- a/soak/load.ts
+++ b/soak/load.ts
@@ -1,4 +1,4 @@
-/** Callers that ask, retry at other routers and write down what they were told. */
+/** Callers that send requests, retry at other routers and record the answers. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { outcomes } from "../src/protocol/constants.ts";
 import type { Caller, CallerRequest, CallerResult } from "../tests/processes/caller.ts";
@@ -8,29 +8,31 @@
 const questionCount = 6;
 const answerTokens = 60;
 const maximumTries = 10;
+/** Milliseconds. */
 const retryDelay = 100;
+/** Milliseconds. */
 const delayBetweenRequests = 20;
 
-/** The questions of the run; each has one right answer. */
+/** The streamed questions of a run; each has exactly one right answer. */
 export const soakQuestions: readonly CallerRequest[] = Array.from({ length: questionCount }, (_, index) =>
   streamedQuestion(`Is attendant ${index} current?`, answerTokens),
 );
 
-/** Whether a caller may send a request again as it is: what may have run is only repeated with its key. */
+/** Whether a caller may retry a request: any that was not answered. Non-idempotent requests carry an idempotency key. */
 const mayRetry = ({ outcome }: CallerResult): boolean => outcome !== "answered";
 
-/** Callers at work. */
+/** Running callers and their records. */
 export interface Load {
   readonly records: readonly SoakRecord[];
-  /** Resolves when every request has ended. */
+  /** Stops the callers; resolves when every request has ended. */
   readonly stop: () => Promise<void>;
 }
 
 /**
  * Starts callers.
  *
- * @param pickRouter - A router to send the next try to.
- * @param expectedTexts - The right text of each question.
+ * @param pickRouter - Returns the URL of the router for the next try.
+ * @param expectedTexts - The right answer to each of {@link soakQuestions}, as given without faults.
  */
 export const startLoad = (
   caller: Caller,
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak [-- --seconds 60 --seed N]`: the whole system as processes, with random kills, freezes, outages
- * and lost answers, and checks on what callers and stand-ins recorded. Exit code 1 if a promise was broken.
+ * `npm run soak [-- --seconds 60 --seed N]`: runs the whole system as processes under random kills, freezes, outages
+ * and lost answers, then checks the records of callers and stand-ins. Exit code 1 if an invariant was violated.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { parseArgs } from "node:util";
@@ -15,9 +15,12 @@
 
 const defaultSeconds = 60;
 const maxSeconds = 600;
+/** Milliseconds. */
 const delayBetweenFaults = 250;
+/** How many faults are injected at the same time. */
 const concurrentInjections = 2;
 const maxPrintedViolations = 20;
+/** Milliseconds between the end of the load and the checks. */
 const settleTime = 1_000;
 
 const { values } = parseArgs({ options: { seconds: { type: "string" }, seed: { type: "string" } } });
--- a/soak/platform/callers.ts
+++ b/soak/platform/callers.ts
@@ -1,4 +1,4 @@
-/** Callers that ask by the balancer's rules: routers that say they are ready, on connections that are kept. */
+/** Callers behind a simulated load balancer: they use routers that report ready, over keep-alive connections. */
 import type { IncomingMessage } from "node:http";
 import { Agent, request as httpRequest } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -14,10 +14,10 @@
 import type { RouterSlot } from "./soakSystem.ts";
 import type { CallerRecord, RequestName } from "./types.ts";
 
-/** Callers at work. */
+/** Running callers and their records. */
 export interface SoakCallers extends AsyncDisposable {
   readonly records: readonly CallerRecord[];
-  /** Resolves when every request has ended. */
+  /** Stops the callers; resolves when every request has ended. */
   readonly stop: () => Promise<void>;
 }
 
@@ -26,11 +26,11 @@
 
 const callerCount = 24;
 
-/** Share of the callers that go away before their answer is complete. */
+/** Share of the requests whose caller disconnects before the answer is complete. */
 const disconnectShare = 0.03;
 
-/** Answers that a router in rotation may miss before it is taken out. */
-const maxMissedProbes = 2;
+/** Number of consecutive missed readiness probes after which a router is taken out of rotation. */
+const missedProbesLimit = 2;
 
 const names: readonly RequestName[] = ["read", "post", "ask", "tag"];
 
@@ -50,7 +50,7 @@
   ...(name === "ask" || name === "tag" ? defaultPromptHeaders() : {}),
 });
 
-/** Sends one request. @returns How it ended; status 0 if there was no answer. */
+/** Sends one request. @returns Its outcome; status 0 if there was no answer. */
 const send = (
   agent: Agent,
   slot: RouterSlot,
@@ -91,12 +91,12 @@
     await answer.arrayBuffer();
     return answer.ok;
   } catch {
-    // No answer counts as a miss, which is what a balancer makes of it.
+    // Like a load balancer, counts a failed probe as a miss.
     return false;
   }
 };
 
-/** Asks routers whether they are ready, and keeps those in rotation that are. */
+/** Polls the readiness of routers and keeps the ready ones in rotation. */
 const pollReadiness = (routers: readonly RouterSlot[], isRunning: () => boolean) => {
   const misses = new Map<string, number>();
   const poll = async (slot: RouterSlot): Promise<void> => {
@@ -107,13 +107,13 @@
   };
   const done = Promise.all(routers.map(poll));
   const inRotation = (): readonly RouterSlot[] => {
-    const ready = routers.filter(({ name }) => (misses.get(name) ?? maxMissedProbes) < maxMissedProbes);
+    const ready = routers.filter(({ name }) => (misses.get(name) ?? missedProbesLimit) < missedProbesLimit);
     return ready.length > 0 ? ready : routers;
   };
   return { done, inRotation };
 };
 
-/** Starts callers. @param spareKeys - Keys besides the usual ones, which the operator may take away. */
+/** Starts callers. @param spareKeys - Additional API keys, which the operator may revoke during the run. */
 export const startSoakCallers = (
   routers: readonly RouterSlot[],
   random: Random,
@@ -150,7 +150,7 @@
     return result.status !== 0;
   };
 
-  /** Each caller keeps its connection, whatever the balancer thinks, until it ends. */
+  /** Each caller reuses its connection until it closes, even if the router leaves rotation meanwhile. */
   const runCaller = async (): Promise<void> => {
     while (isActive()) {
       const ready = readiness.inRotation();
--- a/soak/platform/checks.ts
+++ b/soak/platform/checks.ts
@@ -1,27 +1,27 @@
-/** What must hold whatever went wrong, on what callers and replicas saw. */
+/** Invariants that must hold under every fault, checked on what callers and replicas recorded. */
 import type { Arrival, ReceivedOrder } from "../../standIns/platform/replica.ts";
 import { cacheSaltOf } from "../../standIns/platform/platformSystem.ts";
 import { throughHeader } from "../../tests/support/limitedReplicas.ts";
 import type { Violation } from "../types.ts";
 import type { CallerRecord, SoakHistory, ReplicaRecord, RequestName, StepRecord } from "./types.ts";
 
-/** Events of every stream of the stand-in's engines in a run. */
+/** Number of events in every stream of the stand-in's engines. */
 export const eventsPerStream = 8;
 
-/** Between the clock that notes what the operator did and the one that notes a run, and for a request's way. */
+/** Tolerance in milliseconds between recorded times, including the transit time of a request. */
 const tolerance = 150;
 
-/** How long a disturbance still counts after its end: time limits and retries are shorter. */
+/** How long a fault may still have effects after its end, milliseconds: longer than all timeouts and retries. */
 const recoveryTime = 3_000;
 
 const successStatus = 200;
 const nonIdempotentRequests: ReadonlySet<RequestName> = new Set(["post", "ask"]);
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that declare that a request was not executed and never will be. */
 const notExecutedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Refusals that blame the request. */
+/** Statuses that reject the request itself as invalid. */
 const clientErrorStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
 
-/** Steps that keep a router from knowing what changes. */
+/** Steps that can keep a router from receiving or applying updates. */
 const updateBlockingSteps: ReadonlySet<string> = new Set([
   "freezeRouter",
   "storeBusy",
@@ -63,7 +63,7 @@
       detail: `${id} at ${router}: ${body.slice(0, 120)}`,
     }));
 
-/** A replica may stop in the middle of an event. */
+/** The complete events of a stream: a cut may leave an incomplete one at its end. */
 const completeEvents = (body: string): string => body.slice(0, body.lastIndexOf(eventEnd) + eventEnd.length);
 
 const eventEnd = "\n\n";
@@ -124,7 +124,7 @@
     }));
 };
 
-/** Whether something kept any router from knowing better at a moment or shortly before. */
+/** Whether a fault could have kept any router from receiving updates at some time between `since` and `at`. */
 const couldMissUpdates = (steps: readonly StepRecord[], since: number, at: number): boolean =>
   steps.some(
     ({ kind, from, until }) => updateBlockingSteps.has(kind) && from < at && until + recoveryTime > since,
@@ -146,7 +146,7 @@
 
 const routerOf = ({ headers }: Arrival): string => String(headers[throughHeader]);
 
-/** Whether a router lost what it knew, or could not act on it, between two moments. */
+/** Whether a step between two times made a router lose its state or kept it from acting on it. */
 const wasRouterDisturbed = (
   steps: readonly StepRecord[],
   router: string,
@@ -160,7 +160,7 @@
 
 const stepsOnAllRouters: ReadonlySet<string> = new Set(["killAllRouters", "endRoutersInTurn"]);
 
-/** Whether an answer may have been lost or late on its way from a replica. */
+/** Whether a replica's answer may have been lost or delayed in transit. */
 const wasReplicaLinkDisturbed = (steps: readonly StepRecord[], at: number): boolean =>
   steps.some(
     ({ kind, from, until }) =>
@@ -197,7 +197,10 @@
     });
   });
 
-/** Requests under way when a replica asks for backoff may arrive for so long; after that so many. */
+/**
+ * Requests in transit when a replica asks for backoff may arrive for `backoffGrace` milliseconds, and at most
+ * `maxRequestsInBackoff` after that.
+ */
 const backoffGrace = 500;
 const maxRequestsInBackoff = 2;
 
@@ -271,7 +274,7 @@
     .map(([salt]) => ({ promise: "an isolated organisation shares no cached part", detail: `salt ${salt}` }));
 };
 
-/** The organisation of the stand-in's configuration that shares nothing. */
+/** The isolated organisation in the stand-in's configuration. */
 const isolatedOrganisation = "two";
 
 const findFailedShutdowns = ({ shutdowns }: SoakHistory): readonly Violation[] =>
@@ -282,7 +285,7 @@
       detail: `${router} ${code === undefined ? "did not end" : `ended with ${String(code)}`}`,
     }));
 
-/** Requests that a router had read when it was asked to end, and cut although nothing else was wrong. */
+/** Finds requests that were sent before a router was asked to shut down and cut without any other fault. */
 const findRequestsCutByShutdown = ({ callers, shutdowns, steps }: SoakHistory): readonly Violation[] =>
   shutdowns.flatMap(({ router, askedAt }) =>
     callers
@@ -307,7 +310,7 @@
       kind !== "changeConfiguration",
   );
 
-/** Of requests sent once all is over, nearly all are served. */
+/** Share of the requests after the last step that must be served, and the number of requests that it takes. */
 const minServedShare = 0.9;
 const minRequestsForShare = 20;
 
@@ -334,7 +337,7 @@
       detail: `${age} ms old`,
     }));
 
-/** @returns All that is wrong. */
+/** @returns All violations found in the records of a run. */
 export const findPlatformViolations = (history: SoakHistory): readonly Violation[] => [
   ...findWrongAnswers(history),
   ...findWrongPartialAnswers(history),
--- a/soak/platform/faultInjector.ts
+++ b/soak/platform/faultInjector.ts
@@ -1,4 +1,4 @@
-/** Carries out the steps of a plan, each undone after its time, and notes what it struck. */
+/** Carries out the steps of a plan, undoes each one after its duration, and records what it affected. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Behaviour, ReportHeaders } from "../../standIns/platform/replica.ts";
 import { drainingReport, keys } from "../../standIns/platform/platformSystem.ts";
@@ -8,7 +8,7 @@
 import type { ReplicaSlot, RouterSlot, SoakSystem } from "./soakSystem.ts";
 import type { ShutdownRecord, OperatorActions, StepRecord } from "./types.ts";
 
-/** See {@link createFaultInjector}. */
+/** Carries out the steps of a plan and records them. */
 export interface FaultInjector {
   /** Carries out a step and undoes it. */
   readonly carryOut: (step: Step) => Promise<void>;
@@ -17,25 +17,25 @@
   readonly operator: OperatorActions;
 }
 
-/** Far longer than the grace time: a router that takes longer doesn't end. */
+/** Milliseconds, far longer than the grace period: a router that takes longer is recorded as not ended. */
 const shutdownTimeout = 20_000;
 
-/** Until a process that was killed is started again, and between two that are ended in turn, milliseconds. */
+/** Delay before a stopped process is started again, and between two shutdowns of a rolling restart, milliseconds. */
 const restartDelay = 300;
 const rollingRestartGap = 700;
 
-/** A service that leaves must not be left without replicas. */
+/** Other active replicas that a service must have before one of its replicas is drained or asks for backoff. */
 const minOtherReplicas = 2;
 
-/** What a replica may ask for, seconds; requests that it turns away at most. */
+/** Range of the backoff that a replica asks for, seconds, and the most requests that it sheds meanwhile. */
 const backoffSeconds = { least: 0.8, most: 2.5 } as const;
 const maxShedRequests = 5_000;
 
-/** How long the store may be away before it returns from a copy, and until the operator writes again, milliseconds. */
+/** Longest outage of the store before it is restored, and delay until the operator publishes again, milliseconds. */
 const maxStoreOutage = 600;
 const republishDelay = 200;
 
-/** What engines and plain services do on the wire that they should not. */
+/** Misbehaviours of engines and plain services on the wire. */
 const misbehaviours = {
   engines: ["shed", "fail", "reset", "cut", "crossed", "unsealed"],
   desk: ["shed", "fail", "reset", "cut", "crossed", "unsealed", "extra", "unframed", "broken"],
@@ -73,7 +73,7 @@
   slot?.replica.setBehaviours(...behaviours);
 };
 
-/** What becomes of routers' processes. */
+/** Creates the faults of routers' processes. */
 const createRouterFaults = (system: SoakSystem, shutdowns: ShutdownRecord[]) => {
   const restart = async (slot: RouterSlot): Promise<void> => {
     await sleep(restartDelay);
@@ -125,7 +125,11 @@
   return { kill, shutDown, shutDownInTurn, freeze };
 };
 
-/** @param republish - What the operator does a moment after a return. */
+/**
+ * Creates the step that restores the store from a backup; it does nothing while another restore is in progress.
+ *
+ * @param republish - Publishes the operator's records again shortly after the restore.
+ */
 const createStoreRestore = (system: SoakSystem, republish: () => void) => {
   let isRestoring = false;
   return async ({ duration, target }: Step): Promise<void> => {
@@ -138,7 +142,11 @@
   };
 };
 
-/** @param spareKeys - Keys that the operator may take away, first to last. */
+/**
+ * Creates a fault injector for a system.
+ *
+ * @param spareKeys - API keys that the operator may revoke, in this order.
+ */
 export const createFaultInjector = (system: SoakSystem, spareKeys: readonly string[]): FaultInjector => {
   const steps: StepRecord[] = [];
   const shutdowns: ShutdownRecord[] = [];
@@ -163,7 +171,7 @@
       target,
     );
 
-  /** Other replicas of its service that take requests. */
+  /** Counts the other replicas of its service that accept requests. */
   const countOthers = (slot: ReplicaSlot): number =>
     system.replicas.filter(
       (other) =>
@@ -181,7 +189,7 @@
     system.register(slot, undefined);
   };
 
-  /** Its answers say so long before the registry does. */
+  /** The replica's answers report draining long before its registration does. */
   const reportDraining = async (slot: ReplicaSlot | undefined, duration: number): Promise<void> => {
     if (slot === undefined || countOthers(slot) < minOtherReplicas) return;
     slot.isReporting = true;
@@ -286,7 +294,7 @@
   };
 };
 
-/** The organisations of the stand-in's configuration, the first with keys that may be taken away. */
+/** Creates the organisations of the stand-in's configuration; the first one gets the keys that may be revoked. */
 export const createTenants = (spareKeys: readonly string[]) => [
   { name: "one", apiKeys: [keys.known, ...spareKeys], priority: 1, isolated: false },
   { name: "two", apiKeys: [keys.isolated], priority: 1, isolated: true },
--- a/soak/platform/loopbackProxy.ts
+++ b/soak/platform/loopbackProxy.ts
@@ -1,38 +1,38 @@
-/** A TCP proxy on a loopback address that harms what passes through it, from outside the processes at either end. */
+/** A TCP proxy on a loopback address that injects network faults between two processes. */
 import { once } from "node:events";
 import type { AddressInfo, Socket } from "node:net";
 import { connect, createServer } from "node:net";
 
 /**
- * What happens to connections.
+ * The fault that a proxy applies to its connections.
  *
- * - `pass`: nothing.
- * - `delay`: every piece waits, in both directions.
- * - `reset`: open ones are reset, new ones too.
- * - `silent`: new ones are accepted, and nothing passes on any until it ends.
- * - `oneWay`: what the far end answers doesn't arrive until it ends.
- * - `mute`: those that are open fall silent for good, new ones work.
+ * - `pass`: none.
+ * - `delay`: every chunk is delayed, in both directions.
+ * - `reset`: open connections are reset, and so are new ones.
+ * - `silent`: new connections are accepted, but no connection passes data until the mode changes.
+ * - `oneWay`: data from the target is withheld until the mode changes.
+ * - `mute`: open connections never pass data again, new ones work.
  */
 export type ProxyMode = "pass" | "delay" | "reset" | "silent" | "oneWay" | "mute";
 
-/** See {@link startLoopbackProxy}. */
+/** A running proxy. */
 export interface LoopbackProxy extends AsyncDisposable {
   /** `IP:PORT`. */
   readonly address: string;
   readonly setMode: (mode: ProxyMode) => void;
 }
 
-/** How long a piece waits in mode `delay`, milliseconds: more than a usual answer, less than any time limit. */
+/** Delay of a chunk in mode `delay`, milliseconds: longer than a typical answer, shorter than any timeout. */
 const delayTime = 150;
 
 interface ConnectionPair {
   readonly near: Socket;
   readonly far: Socket;
-  /** Nothing passes on it any more, whatever the mode. */
+  /** True if the connection passes no more data, whatever the mode. */
   isMuted: boolean;
 }
 
-/** Starts a proxy before an address. */
+/** Starts a proxy in front of an address, `IP:PORT`. */
 export const startLoopbackProxy = async (target: string): Promise<LoopbackProxy> => {
   const [host = "", port = ""] = target.split(":");
   const pairs = new Set<ConnectionPair>();
@@ -57,7 +57,7 @@
       else forward();
     });
     from.on("end", () => {
-      // The system reports a reset that follows data as an end, and then there is no peer any more.
+      // The operating system reports a reset after data as an end; the socket then has no remote address any more.
       if (from.remoteAddress === undefined) to.resetAndDestroy();
       else to.end();
     });
--- a/soak/platform/main.ts
+++ b/soak/platform/main.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run soak:platform [-- --seed N --seeds 1 --seconds 20 --routers 4 --engines 4 --desks 3 --reports --returns --suspend --shrink --logs DIR]`:
- * routers as processes before the platform's stand-in, struck from outside by a seeded plan. Exit code 1 if a
- * promise was broken; the plan and the routers' logs of such a run are kept.
+ * runs routers as processes with the platform's stand-in, under the faults of a seeded plan. Exit code 1 if an
+ * invariant was violated; the plan and the routers' logs of such a run are written to the directory of `--logs`.
  */
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -46,8 +46,8 @@
 const firstSeed = Number(values.seed ?? Date.now() % 1_000_000);
 
 const createSeedPlan = (seed: number): readonly Step[] => {
-  const reporting = values.reports ? replicaReportStepKinds : defaultStepKinds;
-  const kinds = values.returns ? storeRestoreStepKinds : reporting;
+  const reportKinds = values.reports ? replicaReportStepKinds : defaultStepKinds;
+  const kinds = values.returns ? storeRestoreStepKinds : reportKinds;
   const plan = createPlan(seed, Number(values.seconds), kinds);
   const only = values.only?.split(",").map(Number);
   return only === undefined ? plan : plan.filter((_, index) => only.includes(index));
--- a/soak/platform/plan.ts
+++ b/soak/platform/plan.ts
@@ -1,4 +1,4 @@
-/** The plan of a run: what happens when, the same for the same seed. */
+/** The plan of a run: its steps and their times, determined by the seed. */
 import { createRandom } from "../../bench/model/random.ts";
 
 export const defaultStepKinds = [
@@ -26,38 +26,40 @@
   "changeSettings",
 ] as const;
 
-/** The usual ones, and replicas that report about themselves in their answers. */
+/** The default kinds, and replicas that report draining or backoff in their answers. */
 export const replicaReportStepKinds = [
   ...defaultStepKinds,
   "replicaReportsDraining",
   "replicaAsksForBackoff",
 ] as const;
 
-/** All of these, and a store that returns from older copies of itself. */
+/** All kinds; a store that is restored from an older backup is listed twice, so that it is twice as likely. */
 export const storeRestoreStepKinds = [...replicaReportStepKinds, "storeReturns", "storeReturns"] as const;
 
-/** What may happen. */
+/** The kind of a step. */
 export type StepKind = (typeof storeRestoreStepKinds)[number];
 
-/** One thing that happens. */
+/** One fault or change during a run. */
 export interface Step {
   readonly kind: StepKind;
   /** Milliseconds from the start of the load. */
   readonly at: number;
   /** How long it lasts, milliseconds. */
   readonly duration: number;
-  /** Picks what is struck: 0 to 1. */
+  /** Selects the router or replica that it affects: 0 to 1. */
   readonly target: number;
 }
 
 const durations = { shortest: 300, longest: 3_000 } as const;
 
-/** Between two steps on average, milliseconds: several overlap. */
+/** Mean time between the starts of two steps, milliseconds; several overlap. */
 const meanGap = 700;
 
 /**
- * @param kinds - What may happen: the same seed with other kinds is another plan.
- * @returns The steps of a seed, in the order of their times.
+ * Creates the plan of a seed.
+ *
+ * @param kinds - The kinds of steps to choose from; the same seed with other kinds gives another plan.
+ * @returns The steps, ordered by time.
  */
 export const createPlan = (
   seed: number,
@@ -76,7 +78,7 @@
   return steps;
 };
 
-/** @returns A line for each step, with the number by which it can be left out. */
+/** @returns A line for each step, with the number that selects it in the option `--only`. */
 export const describePlan = (plan: readonly Step[]): readonly string[] =>
   plan.map(
     ({ kind, at, duration, target }, index) =>
--- a/soak/platform/runSoak.ts
+++ b/soak/platform/runSoak.ts
@@ -1,4 +1,4 @@
-/** One seeded run: a system, callers, the steps of the plan, and what the checks find. */
+/** One run of the soak: starts a system and callers, carries out a plan and checks the records. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandom } from "../../bench/model/random.ts";
 import { numberOf, readLogLines } from "../../src/commandLine/logLines.ts";
@@ -11,24 +11,24 @@
 import { bounds, compiledProgram, startSoakSystem, suspendableProgram } from "./soakSystem.ts";
 import type { SoakHistory } from "./types.ts";
 
-/** What one run is made of. */
+/** Options of a run. */
 export interface SoakRun {
   readonly seed: number;
   readonly plan: readonly Step[];
   readonly size: SystemSize;
-  /** Whether routers that freeze are suspended, with clocks that stand still. */
+  /** True simulates suspended VMs instead of frozen processes: the routers' monotonic clocks stop meanwhile. */
   readonly isSuspending?: boolean;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SoakOutcome {
   readonly violations: readonly Violation[];
   readonly history: SoakHistory;
-  /** What the routers wrote, for whoever traces a violation. */
+  /** The routers' log lines, for tracing a violation. */
   readonly log: readonly string[];
 }
 
-/** After the last step: until all should be well again, and for how long that is looked at, milliseconds. */
+/** After the last step: time to recover, and time for which the recovered system is observed, milliseconds. */
 const settleTime = 3_000;
 const observationTime = 2_500;
 
@@ -40,10 +40,10 @@
     .lines.map((line) => numberOf(line, "configurationAge"))
     .filter((age) => age !== undefined);
 
-/** Carries out a run. */
+/** Carries out a run and checks it. */
 export const runSoak = async ({ seed, plan, size, isSuspending = false }: SoakRun): Promise<SoakOutcome> => {
   const spareKeys = Array.from({ length: spareKeyCount }, (_, index) => `key-spare-${index}`);
-  // The process's id keeps runs beside one another apart; the seed decides what happens.
+  // The process id gives concurrent runs different addresses; the seed alone decides the faults and requests.
   await using system = await startSoakSystem(
     size,
     process.pid + seed,
--- a/soak/platform/seeds.test.ts
+++ b/soak/platform/seeds.test.ts
@@ -1,13 +1,13 @@
-/** A short run of the soak, and every seed that has failed, each with what caused it. */
+/** A short run of the soak, runs of its other kinds of steps, and the seeds that failed, each with the cause. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { replicaReportStepKinds, createPlan, storeRestoreStepKinds, defaultStepKinds } from "./plan.ts";
 import { runSoak } from "./runSoak.ts";
 
-/** The size at which the seeds failed; the number of replicas decides which one a step strikes. */
+/** The size at which the seeds failed: the number of replicas decides which one a step affects. */
 const size = { routers: 4, engines: 4, desks: 3 } as const;
 
-/** What each seed is there for. */
+/** The seeds, each with what it covers. */
 const seeds: readonly {
   readonly seed: number;
   readonly seconds: number;
@@ -16,15 +16,19 @@
   readonly isReporting?: boolean;
   readonly isReturning?: boolean;
 }[] = [
-  { seed: 3, seconds: 5, cause: "a short run of several kinds of disturbance" },
-  { seed: 1027, seconds: 12, cause: "replicas that never registered again with their new weights" },
-  { seed: 1028, seconds: 12, cause: "a proof that a peer had given to the process before a restart" },
+  { seed: 3, seconds: 5, cause: "a short run with several kinds of faults" },
+  { seed: 1027, seconds: 12, cause: "replicas that never registered again after loading new weights" },
+  {
+    seed: 1028,
+    seconds: 12,
+    cause: "a proof of the configuration that a peer gave to the previous process before a restart",
+  },
   { seed: 5, seconds: 10, cause: "replicas that report draining and backoff", isReporting: true },
-  { seed: 11, seconds: 10, cause: "a store that returns from older copies", isReturning: true },
+  { seed: 11, seconds: 10, cause: "a store that is restored from older backups", isReturning: true },
   { seed: 2, seconds: 8, cause: "routers on VMs that are suspended", isSuspending: true },
 ];
 
-describe("routers as processes, struck from outside", () => {
+describe("router processes under injected faults", () => {
   for (const {
     seed,
     seconds,
@@ -33,11 +37,11 @@
     isReporting = false,
     isReturning = false,
   } of seeds) {
-    const reporting = isReporting ? replicaReportStepKinds : defaultStepKinds;
-    it(`keep the promises with seed ${seed}: ${cause}`, async () => {
+    const stepKinds = isReporting ? replicaReportStepKinds : defaultStepKinds;
+    it(`keep all invariants with seed ${seed}: ${cause}`, async () => {
       const { violations } = await runSoak({
         seed,
-        plan: createPlan(seed, seconds, isReturning ? storeRestoreStepKinds : reporting),
+        plan: createPlan(seed, seconds, isReturning ? storeRestoreStepKinds : stepKinds),
         size,
         isSuspending,
       });
--- a/soak/platform/shrink.ts
+++ b/soak/platform/shrink.ts
@@ -1,11 +1,11 @@
-/** Cuts a failing plan down: leaves out parts as long as what is left still fails. */
+/** Shrinks a failing plan by removing steps while the rest still fails. */
 import type { Step } from "./plan.ts";
 
 /**
- * Halves, then quarters and so on down to single steps are left out where the rest fails without them.
+ * Tries to remove halves of the plan, then quarters, down to single steps, and keeps each removal that still fails.
  *
- * @param fails - Runs a plan; a failure that comes by chance may have to be run more than once.
- * @returns A plan that failed, of which no part tried could be left out.
+ * @param fails - Runs a plan; for an intermittent failure it may have to run the plan several times.
+ * @returns A failing plan from which none of the parts tried could be removed.
  */
 export const shrinkPlan = async (
   plan: readonly Step[],
--- a/soak/platform/soakSystem.ts
+++ b/soak/platform/soakSystem.ts
@@ -1,4 +1,4 @@
-/** Routers as processes of their own before the platform's stand-in, with proxies between all of them. */
+/** A system with routers as processes and the platform's stand-in, with a proxy before each store and replica. */
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -23,14 +23,14 @@
 import type { LoopbackProxy } from "./loopbackProxy.ts";
 import { startLoopbackProxy } from "./loopbackProxy.ts";
 
-/** How many of each there are. */
+/** Number of routers, engines and replicas of the plain service. */
 export interface SystemSize {
   readonly routers: number;
   readonly engines: number;
   readonly desks: number;
 }
 
-/** The time limits of the run, short so that they are reached often. Milliseconds unless named otherwise. */
+/** The routers' limits, short so that they are reached often. Milliseconds unless the name says otherwise. */
 export const bounds = {
   keyRevocation: 2_000,
   drain: 800,
@@ -42,27 +42,27 @@
   retryReserve: 50,
 } as const;
 
-/** One router: its place stays, processes come and go. */
+/** The slot of a router: its name, addresses and store stay the same while its process is replaced. */
 export interface RouterSlot {
   readonly name: string;
   readonly url: string;
   readonly readinessUrl: string;
-  /** A way of its own to the store, with faults of its own, behind a proxy of its own. */
+  /** The router's own server for the shared store, with faults and a proxy of its own. */
   readonly store: StoreStandIn;
   readonly storeProxy: LoopbackProxy;
   readonly settingsFile: string;
   process: StartedProcess | undefined;
-  /** It is being ended or replaced: nothing else strikes it meanwhile. */
+  /** True while the process is stopped, frozen or replaced: no other step affects it meanwhile. */
   isBusy: boolean;
 }
 
-/** One replica behind a proxy. */
+/** A replica behind a proxy. */
 export interface ReplicaSlot {
   readonly replica: ReplicaStandIn;
   readonly service: string;
   readonly proxy: LoopbackProxy;
   drainingSince: number | undefined;
-  /** Its answers report draining or ask for backoff. */
+  /** True while its answers report draining or ask for backoff. */
   isReporting: boolean;
 }
 
@@ -71,37 +71,37 @@
   readonly store: StoreStandIn;
   readonly routers: readonly RouterSlot[];
   readonly replicas: readonly ReplicaSlot[];
-  /** Starts a process in a router's place; resolves once it listens. */
+  /** Starts a router's process; resolves once it listens. */
   readonly startRouter: (slot: RouterSlot) => Promise<void>;
   readonly register: (slot: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
   readonly publish: (version: number, fields?: Readonly<Record<string, unknown>>) => void;
   readonly publishWeightsVersion: (version: number) => void;
   /**
-   * The store is away for a time and returns from a copy; replicas then register again.
+   * Makes the store unavailable for a time and restores it from a backup; the replicas then register again.
    *
-   * @param age - How old the copy is at least, milliseconds.
-   * @param outage - Milliseconds.
+   * @param age - Minimum age of the backup, milliseconds; the oldest one is used if none is old enough.
+   * @param outage - Duration of the outage, milliseconds.
    */
   readonly restoreStore: (age: number, outage: number) => Promise<void>;
   readonly writeSettings: (slot: RouterSlot, retryReserve: number) => Promise<void>;
-  /** Lines that the routers have printed, the last ones. */
+  /** The most recent lines printed by the routers. */
   readonly log: readonly string[];
 }
 
-/** What is started in a router's place. */
+/** The program that routers run. */
 export interface RouterProgram {
   readonly module: URL;
-  /** Options of the runtime. */
+  /** Options of Node.js. */
   readonly runtimeOptions: readonly string[];
 }
 
-/** The routers as they are run. */
+/** The routers' program as it is deployed. */
 export const compiledProgram: RouterProgram = {
   module: new URL("../../platform/main.js", import.meta.url),
   runtimeOptions: ["--enable-source-maps"],
 };
 
-/** The same on VMs that are suspended where others would freeze: their steady clocks don't count it. */
+/** The same program on simulated suspendable VMs: its monotonic clock does not count the time while it is stopped. */
 export const suspendableProgram: RouterProgram = {
   ...compiledProgram,
   runtimeOptions: [
@@ -113,16 +113,16 @@
 
 const ports = { callers: 8_080, readiness: 8_081, peers: 7_000 } as const;
 
-/** Milliseconds. */
+/** How often replicas register again, milliseconds. */
 const heartbeatInterval = 500;
 
-/** Copies of the store that are kept, and milliseconds between two. */
+/** Number of backups of the store that are kept, and milliseconds between two. */
 const maxBackups = 10;
 const backupInterval = 400;
 
 const maxLogLines = 200_000;
 
-/** Each run has addresses of its own, so that several can run at once. */
+/** Creates a router's loopback address; concurrent runs use different networks. */
 const createRouterAddress = (network: number, index: number): string =>
   `127.${100 + (network % 100)}.${Math.floor(network / 100) % 250}.${10 + index}`;
 
@@ -157,10 +157,10 @@
 };
 
 /**
- * Starts everything.
+ * Starts the store, the replicas, their proxies and the routers.
  *
- * @param network - Picks the loopback addresses of the routers.
- * @param program - The routers' program.
+ * @param network - Selects the loopback addresses of the routers.
+ * @param program - The program of the routers.
  */
 export const startSoakSystem = async (
   size: SystemSize,
@@ -189,7 +189,7 @@
   writers.publish(createConfiguration());
   for (const slot of replicas) register(slot, "ready");
 
-  /** Replicas register again and again, with the weights that they run by then. */
+  /** Registers the replicas periodically with their current weights. */
   const heartbeat = setInterval(() => {
     for (const slot of replicas) if (slot.drainingSince === undefined) register(slot, "ready");
   }, heartbeatInterval);
--- a/soak/platform/types.ts
+++ b/soak/platform/types.ts
@@ -1,11 +1,11 @@
-/** What a soak run on the platform's stand-in records, for the checks. Times are milliseconds on one clock. */
+/** Records of a soak run on the platform's stand-in. Times are milliseconds on one monotonic clock. */
 import type { Arrival, ReceivedOrder, ExecutedRequest } from "../../standIns/platform/replica.ts";
 import type { StepKind } from "./plan.ts";
 
-/** The ways in which callers ask; the configuration's routes have these names. */
+/** The kinds of requests; the configuration's routes have these names. */
 export type RequestName = "read" | "post" | "ask" | "tag";
 
-/** One request as its caller saw it. */
+/** One request, as its caller recorded it. */
 export interface CallerRecord {
   readonly id: string;
   readonly name: RequestName;
@@ -14,52 +14,52 @@
   readonly router: string;
   readonly sentAt: number;
   readonly endedAt: number;
-  /** 0: the connection ended without an answer. */
+  /** 0 if the connection ended without an answer. */
   readonly status: number;
   readonly body: string;
   readonly sentBody: string;
   readonly isCut: boolean;
-  /** The replica whose answer it is, if the answer reports that the replica drains. */
+  /** The replica that sent the answer, if the answer reports that the replica is draining. */
   readonly drainingReplica: string | undefined;
-  /** The caller went away by itself. */
+  /** True if the caller disconnected on purpose. */
   readonly hasDisconnected: boolean;
 }
 
-/** What one replica did. */
+/** The requests and orders of one replica. */
 export interface ReplicaRecord {
   readonly id: string;
   readonly service: string;
   readonly runs: readonly ExecutedRequest[];
   readonly arrivals: readonly Arrival[];
   readonly orders: readonly ReceivedOrder[];
-  /** When the store accepted that it leaves. */
+  /** When the store accepted its registration as draining; `undefined` if it never drained. */
   readonly drainingSince: number | undefined;
 }
 
-/** One step of the plan as it was carried out. */
+/** One step of the plan, as it was carried out. */
 export interface StepRecord {
   readonly kind: StepKind;
   readonly from: number;
   readonly until: number;
-  /** The router that it struck; nothing if it struck something else. */
+  /** The router selected for it; `undefined` if there was none. */
   readonly router: string | undefined;
 }
 
-/** A process that was asked to end. */
+/** A router process that was asked to shut down. */
 export interface ShutdownRecord {
   readonly router: string;
   readonly askedAt: number;
-  /** Nothing if it did not end. */
+  /** The exit code; `null` if a signal ended it, `undefined` if it did not end. */
   readonly code: number | null | undefined;
 }
 
-/** What the operator did. */
+/** Keys that the operator revoked and weights versions that it published. */
 export interface OperatorActions {
   readonly revokedKeys: readonly { readonly key: string; readonly at: number }[];
   readonly weights: readonly { readonly version: number; readonly at: number }[];
 }
 
-/** Everything that a run recorded. */
+/** All records of a run. */
 export interface SoakHistory {
   readonly callers: readonly CallerRecord[];
   readonly replicas: readonly ReplicaRecord[];
@@ -67,8 +67,8 @@
   readonly shutdowns: readonly ShutdownRecord[];
   readonly operator: OperatorActions;
   readonly bounds: { readonly keyRevocation: number; readonly drain: number; readonly weights: number };
-  /** Ages of proofs of the configuration that routers wrote to their logs, milliseconds. */
+  /** Ages of the proofs of the configuration, from the routers' logs, milliseconds. */
   readonly proofAges: readonly number[];
-  /** When the last step was over. */
+  /** When the last step had ended. */
   readonly lastStepEndedAt: number;
 }
--- a/soak/types.ts
+++ b/soak/types.ts
@@ -1,15 +1,15 @@
-/** Data of the soak run. */
+/** Records of a soak run. */
 import type { CallerRequest, CallerResult } from "../tests/processes/caller.ts";
 
-/** One request of a caller with all its tries. */
+/** A caller's request with all its tries. */
 export interface SoakRecord {
   readonly request: CallerRequest;
-  /** What the answer has to contain: the whole text of a stream, or what the service echoes. */
+  /** The expected answer: the whole text of a stream, or a text that the service's answer must contain. */
   readonly expected: string;
   readonly tries: readonly CallerResult[];
 }
 
-/** Something that must never be. */
+/** A violated invariant; `promise` names the invariant. */
 export interface Violation {
   readonly promise: string;
   readonly detail: string;
--- a/standIns/engine/answers.ts
+++ b/standIns/engine/answers.ts
@@ -1,4 +1,4 @@
-/** Writes the engine stand-in's answers in OpenAI's form, with the faults of streams. */
+/** Formats the engine stand-in's answers as OpenAI's API does, and injects faults into streams. */
 import type { ServerResponse } from "node:http";
 import { setImmediate as nextEventLoopTick } from "node:timers/promises";
 import { headers as headerNames } from "../../src/protocol/constants.ts";
@@ -8,14 +8,14 @@
 import type { Generation } from "./generation.ts";
 import type { EngineStandInFaults } from "./types.ts";
 
-/** What an answer needs of its engine. */
+/** The engine's faults and lifetime, as an answer uses them. */
 export interface AnswerContext {
   readonly faults: EngineStandInFaults;
   readonly closed: AbortSignal;
   readonly crash: () => void;
 }
 
-/** All answers bear the same time, so that recorded sessions compare. */
+/** Every answer has the same creation time, so that recorded sessions can be compared. */
 const created = 1_700_000_000;
 
 const usageOf = (generation: Generation): object => {
@@ -30,7 +30,7 @@
 
 const formatEvent = (value: object): string => `data: ${JSON.stringify(value)}\n\n`;
 
-/** Formats the chunks of one stream. */
+/** Creates the functions that format the chunks of one stream. */
 const createChunkFormatter = (generation: Generation, id: string) => {
   const { kind, model } = generation.request;
   const chat = kind === "chat";
@@ -46,7 +46,7 @@
   return { formatText, formatEnd };
 };
 
-/** Tokens that a stream may still send before a fault strikes. */
+/** Counts the tokens that a stream may still send before one of its faults applies. */
 const tokensUntilFault = (faults: EngineStandInFaults, sent: number): number =>
   Math.min(
     ...[faults.closeEarlyAfterTokens, faults.stallAfterTokens, faults.dieAfterTokens].map((limit) =>
@@ -54,14 +54,14 @@
     ),
   );
 
-/** Applies the faults that strike after so many tokens of one stream. */
+/** Applies the faults that are set for the number of tokens that a stream has sent. */
 const applyStreamFaults = async (
   { faults, closed, crash }: AnswerContext,
   sent: number,
   response: ServerResponse,
 ): Promise<void> => {
   const isReached = (limit: number | null): boolean => limit !== null && sent >= limit;
-  // What was written before must leave this process first.
+  // Lets earlier writes leave this process before a fault cuts the connection.
   if (tokensUntilFault(faults, sent) === 0) await nextEventLoopTick();
   if (isReached(faults.dieAfterTokens)) {
     faults.dieAfterTokens = null;
@@ -89,7 +89,8 @@
     else if (generation.ended()) break;
     else await generation.nextChange();
   }
-  if (generation.finishReason() === undefined) throw cutError("The answer was broken off.");
+  if (generation.finishReason() === undefined)
+    throw cutError("The generation was stopped before the answer was complete.");
   yield formatEnd();
 };
 
@@ -112,13 +113,17 @@
   yield await Promise.resolve("data: {no such thing as JSON\n\n");
 };
 
-/** The id that an answer bears: its attempt's, unless the fault crosses it with another. */
+/** The id sent with an answer: the attempt's own, or another one while the fault `crossAnswers` is set. */
 const answerId = (generation: Generation, faults: EngineStandInFaults): string => {
   const { attempt } = generation.request;
   return consumeFault(faults, "crossAnswers") ? `${attempt}-of-another` : attempt;
 };
 
-/** Answers by a stream of server-sent events, from a token on. */
+/**
+ * Answers with a stream of server-sent events.
+ *
+ * @param from - The index of the first token to send.
+ */
 export const streamAnswer = (
   generation: Generation,
   from: number,
@@ -133,11 +138,12 @@
   return { status: 200, headers, body };
 };
 
-/** Answers by one JSON object, once the answer is whole. */
+/** Waits until the generation has ended, then answers with a single JSON object. */
 export const wholeAnswer = async (generation: Generation, context: AnswerContext): Promise<Answer> => {
   while (!generation.ended()) await generation.nextChange();
   const finishReason = generation.finishReason();
-  if (finishReason === undefined) throw cutError("The answer was broken off.");
+  if (finishReason === undefined)
+    throw cutError("The generation was stopped before the answer was complete.");
   const id = answerId(generation, context.faults);
   const headers = answerHeaders(generation, id);
   if (consumeFault(context.faults, "garbage"))
--- a/standIns/engine/blockCache.ts
+++ b/standIns/engine/blockCache.ts
@@ -1,4 +1,4 @@
-/** The prompt cache of the engine stand-in: least recently used blocks, and the events that it publishes. */
+/** The engine stand-in's prompt cache: blocks with LRU eviction, and the cache events that it publishes. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { CacheEvent } from "../../src/protocol/types.ts";
@@ -6,12 +6,12 @@
 
 const maxEvents = 10_000;
 
-/** The events that can be seen, from a sequence number on. */
+/** The visible events from a sequence number on, and the number to continue from. */
 export type EventPage = readonly [events: readonly CacheEvent[], nextSequence: number];
 
-/** A cache of blocks. */
+/** A cache of prompt blocks, identified by their hashes. */
 export interface BlockCache {
-  /** Counts the leading blocks that are cached, and marks them as used. */
+  /** Counts the leading blocks that are cached and marks them as recently used. */
   readonly match: (blocks: readonly string[]) => number;
   readonly store: (blocks: readonly string[]) => void;
   readonly clear: () => void;
@@ -26,7 +26,7 @@
   settings: Pick<EngineSettings, "cacheBlocks" | "evictAfterMilliseconds" | "seed">,
   faults: () => EventFaults,
 ): BlockCache => {
-  /** Last use by block; the least recently used come first. */
+  /** Time of last use by block, least recently used first. */
   const lastUsedAt = new Map<string, number>();
   const random = xoroshiro128plus(settings.seed);
   let log: { readonly event: CacheEvent; readonly at: number; readonly lost: boolean }[] = [];
@@ -59,7 +59,7 @@
     evict();
     const missing = blocks.findIndex((block) => !lastUsedAt.has(block));
     const count = missing === -1 ? blocks.length : missing;
-    // The end first: what is left of a chain must be its beginning.
+    // Touches the last block first: eviction then drops the end of a chain and leaves a usable prefix.
     for (const block of blocks.slice(0, count).reverse()) touch(block);
     return count;
   };
--- a/standIns/engine/engine.test.ts
+++ b/standIns/engine/engine.test.ts
@@ -20,15 +20,17 @@
   return post(`${url}/v1/completions`, { model: "model", stream: true, ...body }, headers);
 };
 
-/** Reads a stream up to its end, or to where it breaks off. */
-const readText = async (answer: Response): Promise<{ readonly body: string; readonly whole: boolean }> => {
+/** Reads a stream up to its end or to the point where it was cut. */
+const readText = async (
+  answer: Response,
+): Promise<{ readonly body: string; readonly isComplete: boolean }> => {
   const decoder = new TextDecoder();
   let body = "";
   try {
     for await (const part of answer.body ?? []) body += decoder.decode(part as Uint8Array);
-    return { body, whole: true };
+    return { body, isComplete: true };
   } catch {
-    return { body, whole: false };
+    return { body, isComplete: false };
   }
 };
 
@@ -52,18 +54,18 @@
   return [answer.status, error.code, answer.headers.get("x-pomelocleat-outcome")];
 };
 
-describe("engine stand-in's text and cache", () => {
+describe("engine stand-in: text and cache", () => {
   it("continues a partial answer byte for byte", async () => {
     await using engine = await createEngineStandIn();
     const property = fastCheck.asyncProperty(
       fastCheck.string({ maxLength: 300 }),
       fastCheck.nat(),
       async (prompt, cut) => {
-        const whole = textsOf(await complete(engine.url, { prompt, max_tokens: 60 }));
-        const delivered = cut % (whole.length + 1);
-        const continued = prompt + whole.slice(0, delivered).join("");
+        const completeAnswer = textsOf(await complete(engine.url, { prompt, max_tokens: 60 }));
+        const delivered = cut % (completeAnswer.length + 1);
+        const continued = prompt + completeAnswer.slice(0, delivered).join("");
         const rest = await complete(engine.url, { prompt: continued, max_tokens: 60 - delivered });
-        expect(textsOf(rest)).toEqual(whole.slice(delivered));
+        expect(textsOf(rest)).toEqual(completeAnswer.slice(delivered));
       },
     );
     await fastCheck.assert(property, { seed: 7, numRuns: 60 });
@@ -79,8 +81,8 @@
       };
       return choices[0]?.message.content ?? "";
     };
-    const whole = await ask({ messages: [question], max_tokens: 30, ignore_eos: true });
-    const partial = whole.split(" ").slice(0, 11).join(" ");
+    const completeAnswer = await ask({ messages: [question], max_tokens: 30, ignore_eos: true });
+    const partial = completeAnswer.split(" ").slice(0, 11).join(" ");
     const messages = [question, { role: "assistant", content: partial }];
     const rest = await ask({
       messages,
@@ -88,7 +90,7 @@
       ignore_eos: true,
       continue_final_message: true,
     });
-    expect(partial + rest).toEqual(whole);
+    expect(partial + rest).toEqual(completeAnswer);
   });
 
   it("serves a prompt from its cache only under the same salt", async () => {
@@ -100,7 +102,7 @@
     expect(await ask("other")).toEqual(0);
   });
 
-  it("publishes cache events, late and with gaps where its faults say so", async () => {
+  it("delays and drops cache events as its fault switches say", async () => {
     await using engine = await createEngineStandIn({ cacheBlocks: 4 });
     const read = async (from: number): Promise<CacheEventPage> =>
       (await (await fetch(`${engine.url}/cache-events?from=${String(from)}`)).json()) as CacheEventPage;
@@ -118,7 +120,7 @@
     expect((await read(0)).events).toEqual([]);
   });
 
-  it("comes back from a crash empty and as another incarnation", async () => {
+  it("restarts after a crash with an empty cache and a new incarnation", async () => {
     await using engine = await createEngineStandIn();
     await complete(engine.url, { prompt: longPrompt });
     const before = engine.load();
@@ -129,8 +131,8 @@
   });
 });
 
-describe("engine stand-in's attempts", () => {
-  it("keeps an answer whose caller is gone, and resumes it from any token", async () => {
+describe("engine stand-in: attempts", () => {
+  it("keeps the answer of a disconnected caller and resumes it from any token", async () => {
     await using engine = await createEngineStandIn();
     engine.faults.closeEarlyAfterTokens = 3;
     const body = { prompt: "a long history", max_tokens: 20, ignore_eos: true };
@@ -146,7 +148,7 @@
     expect(await refusalOf(unknown)).toEqual([404, "unknown_attempt", "not_run"]);
   });
 
-  it("runs the smallest priority first and refuses what it cannot queue", async () => {
+  it("runs the smallest priority number first and refuses requests beyond its queue", async () => {
     await using engine = await createEngineStandIn({
       maximumRunning: 1,
       maximumWaiting: 2,
@@ -169,7 +171,7 @@
     expect([engine.load().running, engine.load().waiting]).toEqual([1, 1]);
   });
 
-  it("refuses before running: unknown models, missing identity, leaving", async () => {
+  it("refuses unknown models, missing identity and requests while leaving, without running them", async () => {
     await using engine = await createEngineStandIn({ identity: "checked" });
     const ask = async (model: string, organisation?: string): Promise<readonly unknown[]> => {
       const headers: Record<string, string> =
@@ -184,15 +186,15 @@
   });
 });
 
-describe("engine stand-in's faults", () => {
-  it("takes effect although the answer is lost", async () => {
+describe("engine stand-in: faults", () => {
+  it("executes a request whose answer is lost", async () => {
     await using engine = await createEngineStandIn();
     engine.faults.loseAnswers = 1;
     await expect(complete(engine.url, { prompt: "check" })).toBeRejected();
     expect(engine.executions().length).toEqual(1);
   });
 
-  it("crosses answers and answers with garbage", async () => {
+  it("sends answers with another attempt's id and answers that are not JSON", async () => {
     await using engine = await createEngineStandIn();
     engine.faults.crossAnswers = 1;
     const crossed = await complete(engine.url, { prompt: "a", max_tokens: 1 }, "mine");
@@ -204,18 +206,18 @@
     expect(right.every(({ id }) => id === "mine")).toEqual(true);
   });
 
-  it("dies in the middle of a stream and forgets the attempt", async () => {
+  it("crashes in the middle of a stream and forgets the attempt", async () => {
     await using engine = await createEngineStandIn();
     const { incarnation } = engine.load();
     engine.faults.dieAfterTokens = 4;
     const body = { prompt: "a", max_tokens: 9, ignore_eos: true };
     const answer = await readText(await startText(engine.url, body, "first"));
-    expect([answer.whole, answer.body.split("data: ").length - 1]).toEqual([false, 4]);
+    expect([answer.isComplete, answer.body.split("data: ").length - 1]).toEqual([false, 4]);
     expect(engine.load().incarnation === incarnation).toEqual(false);
     expect((await post(`${engine.url}/v1/attempts/first/resume`)).status).toEqual(404);
   });
 
-  it("stalls and freezes until the switch is off", async () => {
+  it("stalls and freezes until the fault switch is reset", async () => {
     await using engine = await createEngineStandIn();
     engine.faults.stallAfterTokens = 2;
     const answer = await startText(engine.url, { prompt: "a", max_tokens: 9, ignore_eos: true });
@@ -231,7 +233,7 @@
     expect((await fetch(`${engine.url}/load`)).status).toEqual(200);
   });
 
-  it("reports its load as it was before the lag", async () => {
+  it("reports its load with the configured lag", async () => {
     await using engine = await createEngineStandIn();
     engine.faults.loadLagMilliseconds = 50_000;
     await complete(engine.url, { prompt: longPrompt });
--- a/standIns/engine/engine.ts
+++ b/standIns/engine/engine.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine: continuous batching, a prompt cache, deterministic text, and faults. */
+/** A stand-in for a model engine with continuous batching, a prompt cache, deterministic text and fault injection. */
 import type { CacheEventPage } from "../../src/protocol/types.ts";
 import { jsonAnswer, parseBody, startServer, type Answer, type Exchange } from "../httpServer.ts";
 import { streamAnswer, wholeAnswer, type AnswerContext } from "./answers.ts";
@@ -9,7 +9,11 @@
 
 const parseFrom = (query: URLSearchParams): number => Math.max(0, Number(query.get("from") ?? 0) || 0);
 
-/** Starts a stand-in of a model engine. */
+/**
+ * Starts a stand-in of a model engine.
+ *
+ * @param input - Settings; those left out take their defaults.
+ */
 export const createEngineStandIn = async (input: EngineStandInSettings = {}): Promise<EngineStandIn> => {
   const settings = settingsSchema.parse(input);
   const counts = { crashes: 0, resumes: 0 };
--- a/standIns/engine/engineCore.ts
+++ b/standIns/engine/engineCore.ts
@@ -1,4 +1,4 @@
-/** The engine stand-in without its HTTP form: what it runs, holds and believes. */
+/** The engine stand-in without its HTTP interface: its generations, its cache and its state. */
 import { randomUUID } from "node:crypto";
 import type { EngineLoad } from "../../src/protocol/types.ts";
 import { refusal } from "../errors.ts";
@@ -10,21 +10,21 @@
 import { blockTokens } from "./text.ts";
 import type { EngineSettings, EngineStandInFaults, Execution } from "./types.ts";
 
-/** What the engine's calls work on. */
+/** The operations behind the engine's HTTP routes. */
 export interface EngineCore {
   readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly load: () => EngineLoad;
-  /** The load as it was told so long ago. */
+  /** The load as it was reported `lagMilliseconds` ago. */
   readonly laggedLoad: (lagMilliseconds: number) => EngineLoad;
-  /** Records a change that the load shows. */
+  /** Adds the current load to the history that {@link EngineCore.laggedLoad} reads. */
   readonly recordChange: () => void;
-  /** Accepts a request and starts it; throws a `RefusalError` that says why not. */
+  /** Accepts a request and starts its generation; throws a `RefusalError` with the reason if it cannot. */
   readonly start: (request: GenerationRequest) => Generation;
-  /** Throws a `RefusalError` for an attempt that is not, or no longer, known. */
+  /** Throws a `RefusalError` for an attempt that is unknown or no longer kept. */
   readonly findAttempt: (attempt: string) => Generation;
   readonly abortAnswers: () => void;
-  /** Forgets everything but the weights, the faults and the ledger of executions. */
+  /** Resets the engine as a crash does: only the weights, the faults and the list of executions remain. */
   readonly reset: () => void;
   readonly executions: () => readonly Execution[];
 }
@@ -45,7 +45,11 @@
   return wanted === model || names.some((name) => wanted === name || wanted === `${model}:${name}`);
 };
 
-/** Creates an idle engine. */
+/**
+ * Creates an idle engine.
+ *
+ * @param faults - Returns the fault switches as they are now.
+ */
 export const createEngineCore = (
   settings: EngineSettings,
   faults: () => Pick<EngineStandInFaults, "leaving" | "eventDelayMilliseconds" | "eventLossRatio">,
@@ -142,7 +146,7 @@
   };
 
   const laggedLoad = (lagMilliseconds: number): EngineLoad => {
-    // Switches and time change the load unannounced.
+    // Fault switches and cache evictions change the load without a call of `recordChange`.
     recordChange();
     return lagMilliseconds === 0 ? load() : history.read(lagMilliseconds);
   };
--- a/standIns/engine/generation.ts
+++ b/standIns/engine/generation.ts
@@ -1,4 +1,4 @@
-/** One answer that the engine stand-in generates, whether or not a caller still listens. */
+/** One answer that the engine stand-in generates; it continues after its caller has disconnected. */
 import { setMaxListeners } from "node:events";
 import { createNotifier, pause, type Notifier } from "../waiting.ts";
 import type { BlockCache } from "./blockCache.ts";
@@ -6,7 +6,7 @@
 import { appendToken, blockTokens, countTokens, hashBlocks, nextToken, createTextState } from "./text.ts";
 import type { EngineSettings, Execution, ExecutionState } from "./types.ts";
 
-/** What a request asks for, once its body has been read. */
+/** The parsed request behind a generation. */
 export interface GenerationRequest {
   readonly attempt: string;
   readonly idempotencyKey: string | undefined;
@@ -17,11 +17,11 @@
   readonly cacheSalt: string;
   readonly rendered: string;
   readonly maximumTokens: number;
-  /** Stop at `maximumTokens` only. */
+  /** Ends only at `maximumTokens`, never with an end token. */
   readonly ignoreEnd: boolean;
 }
 
-/** The engine as a generation meets it; a crash or load of weights makes a new one. */
+/** What a generation uses of its engine, as of the time at which it starts. */
 export interface GenerationDependencies {
   readonly settings: EngineSettings;
   readonly incarnation: string;
@@ -29,32 +29,32 @@
   readonly cache: BlockCache;
   readonly running: PrioritySemaphore;
   readonly prefill: PrioritySemaphore;
-  /** Called after each change of state. */
+  /** Called after each change of the generation's state. */
   readonly recordChange: () => void;
 }
 
-/** A generation, seen by the streams that follow it. */
+/** A generation, as the streams that send its tokens use it. */
 export interface Generation {
   readonly request: GenerationRequest;
   readonly tokens: readonly string[];
-  /** Undefined until the answer is whole. */
+  /** `undefined` until the answer is complete. */
   readonly finishReason: () => string | undefined;
   readonly execution: () => Execution;
-  /** Prompt tokens not yet computed. */
+  /** Number of prompt tokens that have not been computed yet. */
   readonly pendingPromptTokens: () => number;
-  /** True once nothing more will come. */
+  /** True once no more tokens will be generated. */
   readonly ended: () => boolean;
   readonly nextChange: Notifier["nextChange"];
   readonly stop: (state: "cancelled" | "aborted") => void;
-  /** Runs to the end; never rejects. */
+  /** Generates the whole answer; never rejects. */
   readonly run: () => Promise<void>;
 }
 
-/** Seeds the hashes of all blocks that may be shared with one another. */
+/** Creates the seed of block hashes: prompts share cached blocks only if they have the same seed. */
 export const createBlockSeed = (cacheSalt: string, model: string, weightsVersion: string): string =>
   JSON.stringify([cacheSalt, model, weightsVersion]);
 
-/** Creates a generation that has not started. */
+/** Creates a generation; {@link Generation.run} starts it. */
 export const createGeneration = (
   request: GenerationRequest,
   dependencies: GenerationDependencies,
@@ -79,7 +79,7 @@
 
   const compute = async (): Promise<void> => {
     const blocks = hashBlocks(createBlockSeed(request.cacheSalt, request.model, weightsVersion), rendered);
-    // An engine computes at least the last token of a prompt.
+    // Like a real engine, always computes at least the last token of the prompt.
     const usable = blocks.slice(0, Math.floor((promptTokens - 1) / blockTokens));
     cachedTokens = cache.match(usable) * blockTokens;
     const uncached = promptTokens - cachedTokens;
@@ -98,7 +98,7 @@
     }
   };
 
-  /** Paced by the clock, so that a late timer costs no token. */
+  /** Computes each token's due time from the start, so that a late timer doesn't slow down the rate of tokens. */
   const decode = async (): Promise<void> => {
     const average = request.ignoreEnd ? 0 : settings.averageTokens;
     const startedAt = performance.now();
@@ -126,7 +126,7 @@
       await decode();
       state = "finished";
     } catch {
-      // Stopped: `stop` has set the state.
+      // Aborted by `stop`, which has already set the state.
     } finally {
       dependencies.running.release();
       setState(state);
--- a/standIns/engine/orders.test.ts
+++ b/standIns/engine/orders.test.ts
@@ -8,15 +8,22 @@
 
 const prompt = "shared rules of the consortium ".repeat(20);
 
-/** Gives an order under the engine's present conditions; answers `done` or the code of the refusal. */
+/** Sends an order for the engine's current incarnation and weights; returns `done` or the code of the refusal. */
 const order = async (
   engine: EngineStandIn,
   action: EngineOrderAction,
   changes: Partial<EngineOrder> = {},
 ): Promise<string> => {
   const { incarnation: ifIncarnation, weightsVersion: ifWeightsVersion } = engine.load();
-  const whole = { id: "order", fencingNumber: 1, ifIncarnation, ifWeightsVersion, action, ...changes };
-  const answer = await fetch(`${engine.url}/orders`, { method: "POST", body: JSON.stringify(whole) });
+  const completeOrder = {
+    id: "order",
+    fencingNumber: 1,
+    ifIncarnation,
+    ifWeightsVersion,
+    action,
+    ...changes,
+  };
+  const answer = await fetch(`${engine.url}/orders`, { method: "POST", body: JSON.stringify(completeOrder) });
   if (answer.status === 200) return "done";
   return ((await answer.json()) as { readonly error: { readonly code: string } }).error.code;
 };
@@ -34,8 +41,8 @@
 
 const loadTwo = { kind: "load_weights", model: "model", weightsVersion: "2" } as const;
 
-describe("engine stand-in's orders", () => {
-  it("refuses an old fencing number only where it checks", async () => {
+describe("engine stand-in: orders", () => {
+  it("refuses a lower fencing number only if fencing is checked", async () => {
     for (const [fencing, outcome] of [
       ["checked", "stale_fencing"],
       ["ignored", "done"],
@@ -54,7 +61,7 @@
     expect(engine.load().weightsVersion).toEqual("1");
   });
 
-  it("loads weights with an empty cache and other answers, as the same incarnation", async () => {
+  it("clears the cache and changes answers after loading weights, within the same incarnation", async () => {
     await using engine = await createEngineStandIn();
     const before = await ask(engine);
     const { incarnation } = engine.load();
@@ -65,7 +72,7 @@
     expect([engine.load().incarnation, engine.load().weightsVersion]).toEqual([incarnation, "2"]);
   });
 
-  it("takes no new request while drained", async () => {
+  it("refuses new requests while drained", async () => {
     await using engine = await createEngineStandIn();
     await order(engine, { kind: "drain" });
     expect(await ask(engine)).toEqual({ status: 503 });
@@ -82,7 +89,7 @@
     expect(engine.load().role).toEqual("prefill");
   });
 
-  it("carries a prompt's cache to another engine of the same weights only", async () => {
+  it("transfers a prompt's cached blocks only to an engine with the same weights", async () => {
     await using store = await createKeyValueStoreStandIn();
     await using first = await createEngineStandIn();
     await using second = await createEngineStandIn();
@@ -96,7 +103,7 @@
     expect(await order(newer, { kind: "import_cache", ...where })).toEqual("condition_failed");
   });
 
-  it("loads from the weight store, which counts simultaneous loads", async () => {
+  it("loads weights from the weight store, which counts simultaneous loads", async () => {
     await using quick = await createWeightStoreStandIn();
     await using alone = await createEngineStandIn({ weightStoreUrl: quick.url });
     expect(await order(alone, loadTwo)).toEqual("done");
--- a/standIns/engine/orders.ts
+++ b/standIns/engine/orders.ts
@@ -1,4 +1,4 @@
-/** Carries out orders at the engine stand-in, one after the other. */
+/** Executes orders at the engine stand-in, one at a time. */
 import { request } from "undici";
 import { z } from "zod";
 import type { EngineOrder, EngineOrderAction } from "../../src/protocol/types.ts";
@@ -25,7 +25,7 @@
   z.strictObject({ kind: z.literal("import_cache"), storeUrl: z.string(), cacheKey: z.string() }),
 ]);
 
-/** The wire form of an order. */
+/** The body of `POST /orders`. */
 export const orderSchema = z.strictObject({
   id: z.string(),
   fencingNumber: z.number().int(),
@@ -40,7 +40,7 @@
   blocks: z.array(z.string()),
 });
 
-/** What orders change of an engine. */
+/** The part of an engine's state that orders change. */
 export interface EngineState {
   incarnation: string;
   model: string;
@@ -52,13 +52,13 @@
   highestFencingNumber: number;
 }
 
-/** The engine as orders meet it. */
+/** What executing orders uses of the engine. */
 export interface OrderDependencies {
   readonly settings: EngineSettings;
   readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly closed: AbortSignal;
-  /** Breaks off all answers, as loading weights does. */
+  /** Aborts all running answers; called before weights are loaded. */
   readonly abortAnswers: () => void;
   /** Called after each change of {@link OrderDependencies.state}. */
   readonly recordChange: () => void;
@@ -70,7 +70,7 @@
     const text = await answer.body.text();
     if (answer.statusCode === 200) return text;
   } catch {
-    // Treated like a store that answers with an error.
+    // A connection failure is reported like an error answer of the store.
   }
   throw refusal(503, "store_unavailable");
 };
@@ -80,21 +80,21 @@
 
 type ActionOf<Kind extends EngineOrderAction["kind"]> = Extract<EngineOrderAction, { kind: Kind }>;
 
-/** Takes the orders of one engine. */
+/** Executes the orders of one engine. */
 export interface OrderExecutor {
-  /** Carries out one order, or throws a {@link RefusalError}. */
+  /** Executes an order after those before it; rejects with a {@link RefusalError} if the order fails. */
   readonly execute: (order: EngineOrder) => Promise<void>;
-  /** Every order taken, with what came of it. */
+  /** Every order received, with its outcome. */
   readonly records: readonly OrderRecord[];
 }
 
-/** Creates an {@link OrderExecutor}. */
+/** Creates the {@link OrderExecutor} of an engine. */
 export const createOrderExecutor = (dependencies: OrderDependencies): OrderExecutor => {
   const { settings, state } = dependencies;
   const records: OrderRecord[] = [];
   let previous = Promise.resolve();
 
-  /** Throws if the engine crashed since: what an order began is lost with the rest. */
+  /** Throws if the engine has crashed since the order started: a crash discards the work of its orders. */
   const checkNotCrashed = (incarnation: string): void => {
     if (state.incarnation !== incarnation) throw refusal(503, "crashed");
   };
--- a/standIns/engine/prioritySemaphore.ts
+++ b/standIns/engine/prioritySemaphore.ts
@@ -1,6 +1,6 @@
-/** A semaphore that lets in the smallest priority number first, and equals in order of arrival. */
+/** A semaphore that serves the smallest priority number first, and equal priorities in order of arrival. */
 export interface PrioritySemaphore {
-  /** Resolves with a place taken; rejects, with none, if the signal is aborted first. */
+  /** Resolves once a permit is acquired; rejects without one if the signal is aborted first. */
   readonly acquire: (priority: number, signal: AbortSignal) => Promise<void>;
   readonly release: () => void;
   readonly waiting: () => number;
@@ -12,7 +12,11 @@
   readonly grant: () => void;
 }
 
-/** Creates a {@link PrioritySemaphore} with so many places. */
+/**
+ * Creates a {@link PrioritySemaphore}.
+ *
+ * @param permits - How many holders it admits at a time.
+ */
 export const createPrioritySemaphore = (permits: number): PrioritySemaphore => {
   const queue: Waiter[] = [];
   let acquired = 0;
--- a/standIns/engine/requests.ts
+++ b/standIns/engine/requests.ts
@@ -1,4 +1,4 @@
-/** Reads the engine stand-in's completion requests. */
+/** Parses the engine stand-in's completion requests. */
 import { randomUUID } from "node:crypto";
 import { z } from "zod";
 import { headers as headerNames } from "../../src/protocol/constants.ts";
@@ -33,7 +33,7 @@
 const textSchema = z.object({ ...sharedFields, prompt: z.string() });
 type SharedBody = z.output<z.ZodObject<typeof sharedFields>>;
 
-/** A request and whether its answer is streamed. */
+/** A parsed request, and whether its answer is streamed. */
 export interface ParsedRequest {
   readonly request: GenerationRequest;
   readonly stream: boolean;
@@ -60,13 +60,13 @@
   },
 });
 
-/** Reads a call of `/v1/chat/completions`. */
+/** Parses a request to `/v1/chat/completions`; throws a `RefusalError` if its body is invalid. */
 export const readChatRequest = (exchange: Exchange): ParsedRequest => {
   const body = parseBody(chatSchema, exchange.body);
   return buildRequest(exchange, "chat", body, renderChat(body.messages, body.continue_final_message));
 };
 
-/** Reads a call of `/v1/completions`. */
+/** Parses a request to `/v1/completions`; throws a `RefusalError` if its body is invalid. */
 export const readTextRequest = (exchange: Exchange): ParsedRequest => {
   const body = parseBody(textSchema, exchange.body);
   return buildRequest(exchange, "text", body, body.prompt);
--- a/standIns/engine/text.ts
+++ b/standIns/engine/text.ts
@@ -1,10 +1,10 @@
 /**
- * The deterministic text of the engine stand-in: each token follows from a rolling hash over the prompt and
- * the tokens before it, so that continuing a partial answer gives byte for byte the rest.
+ * Deterministic text of the engine stand-in: a rolling hash of the prompt and the tokens so far decides the next token.
+ * Continuing a partial answer therefore gives the remaining text byte for byte.
  */
 import { charactersPerToken } from "../../src/protocol/constants.ts";
 
-/** Tokens in a block of the prompt cache. */
+/** Number of tokens in a block of the prompt cache. */
 export const blockTokens = 16;
 
 const blockCharacters = blockTokens * charactersPerToken;
@@ -16,7 +16,7 @@
   "valid due late early signed counted matched listed found kept sent moved";
 const vocabulary = words.trim().split(" ");
 
-/** Continues an FNV-1a hash over a text's UTF-16 units. */
+/** Continues an FNV-1a hash over a text's UTF-16 code units. */
 export const continueHash = (hash: number, text: string): number => {
   let state = hash;
   for (let index = 0; index < text.length; index += 1) {
@@ -28,7 +28,7 @@
 /** Starts a hash that depends on a seed. */
 export const startHash = (seed: string): number => continueHash(offsetBasis, seed);
 
-/** Spreads a hash, so that its remainders do not follow from the last letter alone. */
+/** Mixes a hash's bits, so that its remainders depend on more than the last character. */
 const mixHash = (hash: number): number => {
   const mixed = Math.imul(hash ^ (hash >>> 16), 0x45d9f3b);
   return (mixed ^ (mixed >>> 15)) >>> 0;
@@ -36,48 +36,64 @@
 
 const endToken = " done.";
 
-/** Where a text stands: all that its rest depends on. */
+/** The state of a text: everything that its continuation depends on. */
 export interface TextState {
   readonly hash: number;
-  /** True if the text ends with the word that ends an answer. */
+  /** True if the text ends with the token that ends an answer. */
   readonly ended: boolean;
 }
 
-/** Reads a rendered prompt, partial answer included. */
+/**
+ * Computes the state after a rendered prompt, including a partial answer.
+ *
+ * @param seed - Texts with different seeds continue differently.
+ */
 export const createTextState = (seed: string, rendered: string): TextState => ({
   hash: continueHash(startHash(seed), rendered),
   ended: rendered.endsWith(endToken),
 });
 
-/** The token that follows. @param averageTokens - Average length of an answer; 0 never ends one. */
+/**
+ * Generates the next token.
+ *
+ * @param averageTokens - Average length of an answer in tokens; 0 never ends one.
+ */
 export const nextToken = ({ hash }: TextState, averageTokens: number): string => {
   const value = mixHash(hash);
   if (averageTokens > 0 && value % averageTokens === 0) return endToken;
   return ` ${vocabulary[Math.floor(value / 64) % vocabulary.length] ?? ""}`;
 };
 
-/** The state after a token. */
+/** Computes the state after one more token. */
 export const appendToken = ({ hash }: TextState, token: string): TextState => ({
   hash: continueHash(hash, token),
   ended: token === endToken,
 });
 
-/** A chat message as far as rendering needs it. */
+/** The fields of a chat message that are rendered. */
 export interface ChatMessage {
   readonly role: string;
   readonly content: string;
 }
 
-/** Renders a chat; the last message is left open if its answer is to be continued. */
+/**
+ * Renders a chat as one text.
+ *
+ * @param continueFinal - True if the last message is a partial answer that is to be continued.
+ */
 export const renderChat = (messages: readonly ChatMessage[], continueFinal: boolean): string => {
   const parts = messages.map(({ role, content }) => `<|${role}|>${content}`);
   return continueFinal ? parts.join("\n") : [...parts, "<|assistant|>"].join("\n");
 };
 
-/** Tokens of a rendered text. */
+/** Counts the tokens of a rendered text. */
 export const countTokens = (rendered: string): number => Math.ceil(rendered.length / charactersPerToken);
 
-/** Chained hashes of the whole blocks of a text. @param seed - Texts with other seeds share no block. */
+/**
+ * Computes chained hashes of a text's complete blocks.
+ *
+ * @param seed - Texts with different seeds share no block.
+ */
 export const hashBlocks = (seed: string, rendered: string): readonly string[] => {
   const blocks: string[] = [];
   let first = startHash(seed);
--- a/standIns/engine/types.ts
+++ b/standIns/engine/types.ts
@@ -1,4 +1,4 @@
-/** Settings, faults and records of the engine stand-in. */
+/** Settings, fault switches and records of the engine stand-in. */
 import { z } from "zod";
 import type { EngineLoad } from "../../src/protocol/types.ts";
 import { commonFaults, commonSettings, milliseconds, type StandIn } from "../types.ts";
@@ -9,27 +9,27 @@
   weightsVersion: z.string().min(1).default("1"),
   adapters: z.array(z.string()).default([]),
   role: z.string().default("serve"),
-  /** Whether a call that does not say its organisation is refused. */
+  /** `checked` refuses a request without the header that names its organisation. */
   identity: z.enum(["checked", "ignored"]).default("ignored"),
-  /** Whether an order with an older fencing number than one seen is refused. */
+  /** `checked` refuses an order whose fencing number is lower than the highest one received. */
   fencing: z.enum(["checked", "ignored"]).default("checked"),
   cacheBlocks: z.number().int().min(0).default(4096),
-  /** Blocks unused for so long are evicted. */
+  /** Blocks that have been unused for this long are evicted. */
   evictAfterMilliseconds: milliseconds.default(600_000),
   prefillMicrosecondsPerToken: z.number().min(0).default(0),
   tokenMilliseconds: milliseconds.default(0),
   maximumRunning: z.number().int().min(1).default(16),
   maximumWaiting: z.number().int().min(0).default(64),
-  /** How long an answer that has ended can still be resumed. */
+  /** How long a finished answer can still be resumed. */
   lingerMilliseconds: milliseconds.default(30_000),
-  /** Average length of an answer that nothing else ends; 0 never ends one. */
+  /** Average answer length in tokens if no limit ends it earlier; 0 never ends one. */
   averageTokens: z.number().int().min(0).default(40),
-  /** Time that loading weights takes, besides the weight store's. */
+  /** Time to load weights, in addition to the weight store's own time. */
   loadMilliseconds: milliseconds.default(0),
   weightStoreUrl: z.string().optional(),
-  /** Time that exporting or importing one block takes, besides the store's. */
+  /** Time to export or import one block, in addition to the store's own time. */
   transferMicrosecondsPerBlock: z.number().min(0).default(0),
-  /** Seed of the losses of cache events. */
+  /** Seed of the random choice of cache events that are lost. */
   seed: z.number().int().default(1),
 });
 export type EngineStandInSettings = z.input<typeof settingsSchema>;
@@ -40,28 +40,28 @@
 
 export const faultsSchema = z.strictObject({
   ...commonFaults,
-  /** `GET /load` tells what was true so long ago. */
+  /** `GET /load` reports the load as it was this long ago. */
   loadLagMilliseconds: milliseconds.default(0),
-  /** Cache events are shown so long after they happened. */
+  /** Cache events become visible this long after they happened. */
   eventDelayMilliseconds: milliseconds.default(0),
-  /** Share of cache events that are never shown. */
+  /** Share of cache events that never become visible. */
   eventLossRatio: z.number().min(0).max(1).default(0),
-  /** New requests are refused as leaving, and the load says so. */
+  /** New requests are refused with `leaving`, and the load reports it. */
   leaving: z.boolean().default(false),
   /** The next N answers carry the id of another attempt. */
   crossAnswers: nextAnswers,
   /** The next N answers are not JSON. */
   garbage: nextAnswers,
-  /** Each stream's connection is cut after so many tokens. */
+  /** Each stream's connection is cut after this number of tokens. */
   closeEarlyAfterTokens: afterTokens,
-  /** Each stream falls silent after so many tokens. */
+  /** Each stream stalls after this number of tokens. */
   stallAfterTokens: afterTokens,
-  /** The engine crashes once a stream has so many tokens; then the switch is off again. */
+  /** The engine crashes once a stream has sent this number of tokens; the switch is then reset. */
   dieAfterTokens: afterTokens,
 });
 export type EngineStandInFaults = z.output<typeof faultsSchema>;
 
-/** How a request that the engine accepted stands; `aborted` is by a crash or a load of weights. */
+/** State of an accepted request; `aborted` by a crash or by loading weights. */
 export type ExecutionState = "waiting" | "running" | "finished" | "cancelled" | "aborted";
 
 /** A request that the engine accepted. */
@@ -75,12 +75,12 @@
   readonly state: ExecutionState;
   readonly promptTokens: number;
   readonly cachedTokens: number;
-  /** Prompt tokens computed. */
+  /** Number of prompt tokens that were computed, not taken from the cache. */
   readonly computedTokens: number;
   readonly completionTokens: number;
 }
 
-/** An order that the engine was given; `outcome` is `done` or the code of its refusal. */
+/** An order that the engine received; `outcome` is `done`, the code of its refusal, or `failed`. */
 export interface OrderRecord {
   readonly id: string;
   readonly kind: string;
@@ -90,10 +90,10 @@
 
 /** A running stand-in of a model engine. */
 export interface EngineStandIn extends StandIn<EngineStandInFaults> {
-  /** Drops all connections and answers and comes back at once, empty, as a new incarnation. */
+  /** Drops all connections and answers, and restarts at once as a new incarnation with an empty cache. */
   readonly crash: () => void;
   readonly executions: () => readonly Execution[];
   readonly orders: () => readonly OrderRecord[];
-  /** The load as it is, with no lag. */
+  /** The current load, without lag. */
   readonly load: () => EngineLoad;
 }
--- a/standIns/errors.ts
+++ b/standIns/errors.ts
@@ -1,30 +1,31 @@
-/** Failures of the stand-ins, as types. */
+/** Error types of the stand-ins. */
 import { PomelocleatError } from "../src/protocol/errors.ts";
 
-/** A call that a stand-in refuses with an error answer. */
+/** Makes a stand-in answer a request with an error status. */
 export const RefusalError = PomelocleatError.subclass("RefusalError", {
   props: { status: 500, code: "failed", notRun: false },
 });
 export type RefusalError = InstanceType<typeof RefusalError> & Error;
 
 /**
- * Makes a {@link RefusalError}.
+ * Creates a {@link RefusalError}.
  *
- * @param notRun - True adds the header by which an upstream declares that nothing ran.
+ * @param code - The error code in the answer's body.
+ * @param notRun - True adds the header that declares that the request was not executed.
  */
 export const refusal = (status: number, code: string, notRun = false): RefusalError =>
   new RefusalError(`The stand-in refuses: ${code}`, { props: { status, code, notRun } });
 
-/** A connection that a stand-in cuts on purpose. */
+/** Makes a stand-in cut the connection of a request on purpose. */
 export const CutError = PomelocleatError.subclass("CutError");
 export type CutError = InstanceType<typeof CutError> & Error;
 
-/** Makes a {@link CutError}. */
+/** Creates a {@link CutError}. */
 export const cutError = (message: string): CutError => new CutError(message);
 
-/** A process that ended, or stayed silent, before it was ready. */
+/** A process that ended or timed out before it was ready. */
 export const ProcessError = PomelocleatError.subclass("ProcessError");
 export type ProcessError = InstanceType<typeof ProcessError> & Error;
 
-/** Makes a {@link ProcessError}. */
+/** Creates a {@link ProcessError}. */
 export const processError = (message: string): ProcessError => new ProcessError(message);
--- a/standIns/httpServer.ts
+++ b/standIns/httpServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server under every stand-in: routes, fault switches and state. */
+/** The HTTP server of every stand-in: routing, fault injection and the control routes for faults and state. */
 import { once, setMaxListeners } from "node:events";
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
@@ -8,50 +8,50 @@
 import type { CommonFaults } from "./types.ts";
 import { pause, pollUntil } from "./waiting.ts";
 
-/** One call, with its whole body. */
+/** One request with its complete body, and its response. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly method: string;
   /** Path and query. */
   readonly target: string;
-  /** What the `:name` segments of the route's path matched, decoded. */
+  /** Decoded values of the `:name` segments in the route's path. */
   readonly parameters: Readonly<Record<string, string>>;
   readonly query: URLSearchParams;
   readonly body: Buffer;
 }
 
-/** The answer to a call; a body that is an iterable is sent piece by piece. */
+/** The answer to a request; an iterable body is streamed chunk by chunk. */
 export interface Answer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | AsyncIterable<string>;
 }
 
-/** Answers a call, or throws a {@link RefusalError} or {@link cutError}. */
+/** Answers a request; throws a {@link RefusalError} to refuse it or a {@link cutError} to cut its connection. */
 export type Handler = (exchange: Exchange) => Answer | Promise<Answer>;
 
-/** What a stand-in does on one method and path. */
+/** The handler of one method and path. */
 export interface Route {
   readonly method: string;
   /** For example `/streams/:name/records`. */
   readonly path: string;
   readonly handler: Handler;
-  /** A polled route takes no part in `loseAnswers`. */
+  /** True for a route that is polled: the fault `loseAnswers` does not apply to it. */
   readonly polled?: boolean;
 }
 
-/** A server that has started to listen. */
+/** A listening server. */
 export interface StandInServer<Faults extends CommonFaults> extends AsyncDisposable {
   readonly url: string;
   readonly faults: Faults;
   /** Aborted when the stand-in is disposed of. */
   readonly closed: AbortSignal;
-  /** Cuts every connection but one. */
+  /** Cuts every connection except that of one request. */
   readonly cutConnections: (except?: IncomingMessage) => void;
 }
 
-/** Makes a JSON answer. */
+/** Creates an answer with a JSON body. */
 export const jsonAnswer = (
   value: unknown,
   status = 200,
@@ -62,13 +62,13 @@
   body: JSON.stringify(value),
 });
 
-/** Reads a single header. */
+/** Returns a header's value, the first one if it occurs several times. */
 export const readHeader = (request: IncomingMessage, name: string): string | undefined => {
   const value = request.headers[name];
   return Array.isArray(value) ? value[0] : value;
 };
 
-/** Parses a JSON body by a schema; anything else is a 400 that says so. */
+/** Parses and validates a JSON body; throws a `RefusalError` with status 400 if it is invalid. */
 export const parseBody = <Value>(schema: z.ZodType<Value>, body: Buffer): Value => {
   let parsed: unknown;
   try {
@@ -114,7 +114,7 @@
   }
 };
 
-/** The calls by which a test reads and sets the stand-in itself; no fault applies to them. */
+/** The routes by which a test reads and controls the stand-in; faults do not apply to them. */
 const controlRoutes = <Faults extends CommonFaults>(
   faults: Faults,
   schema: z.ZodType<Faults>,
@@ -133,20 +133,20 @@
   },
 ];
 
-/** What a stand-in brings to its server. */
+/** Address, routes and faults of a stand-in's server. */
 export interface StandInServerOptions<Faults extends CommonFaults> {
   readonly host: string;
   readonly port: number;
-  /** All switches off, unless the stand-in shares them with its parts. */
+  /** Given if the stand-in reads the switches too; created with all of them off if left out. */
   readonly faults?: Faults;
   readonly faultsSchema: z.ZodType<Faults>;
   readonly routes: readonly Route[];
-  /** For calls that no route matches; without it they are a 404. */
+  /** Handles requests that match no route; without it they get a 404. */
   readonly fallback?: Handler;
   readonly state: () => unknown;
 }
 
-/** Starts a stand-in's server. */
+/** Starts a stand-in's server and waits until it listens. */
 export const startServer = async <Faults extends CommonFaults>(
   options: StandInServerOptions<Faults>,
 ): Promise<StandInServer<Faults>> => {
@@ -172,10 +172,10 @@
       return;
     }
     response.flushHeaders();
-    for await (const piece of answer.body) {
+    for await (const chunk of answer.body) {
       await waitWhileFrozen();
       if (response.destroyed) return;
-      response.write(piece);
+      response.write(chunk);
     }
     response.end();
   };
@@ -217,7 +217,7 @@
   };
 
   const server = createServer({ keepAliveTimeout: 60_000 }, (request, response) => {
-    // A failed exchange ends like a crashed upstream's: its connection is cut.
+    // Any other failure cuts the connection, as a crash of the upstream would.
     receive(request, response).catch(() => request.socket.destroy());
   });
   server.on("connection", (socket) => {
--- a/standIns/logService.test.ts
+++ b/standIns/logService.test.ts
@@ -12,7 +12,7 @@
 };
 
 describe("log service stand-in", () => {
-  it("gives offsets in order and keeps only the newest records", async () => {
+  it("assigns offsets in order and keeps only the newest records", async () => {
     await using log = await createLogServiceStandIn({ retentionRecords: 2 });
     expect(await (await append(log, "a", "b")).json()).toEqual({ offsets: [0, 1] });
     expect(await (await append(log, "c")).json()).toEqual({ offsets: [2] });
@@ -24,21 +24,21 @@
     expect([page.earliestOffset, page.nextOffset]).toEqual([1, 3]);
   });
 
-  it("takes an append whose answer is lost", async () => {
+  it("stores an append whose answer is lost", async () => {
     await using log = await createLogServiceStandIn();
     log.faults.loseAppendAnswers = 1;
     await expect(append(log, "a")).toBeRejected();
     expect(log.records("leases").map(({ data }) => data)).toEqual(["a"]);
   });
 
-  it("answers a waiting read when a record comes", async () => {
+  it("answers a long poll once a record is appended", async () => {
     await using log = await createLogServiceStandIn();
     const waiting = read(log, "from=0&waitMilliseconds=5000");
     await append(log, "a");
     expect((await waiting).records.length).toEqual(1);
   });
 
-  it("refuses appends past its rate and calls in an outage", async () => {
+  it("refuses appends above the rate limit and every request during an outage", async () => {
     await using log = await createLogServiceStandIn({ appendsPerSecond: 1 });
     await append(log, "a");
     expect((await append(log, "b")).status).toEqual(429);
@@ -46,7 +46,7 @@
     await expect(read(log, "from=0")).toBeRejected();
   });
 
-  it("takes fault switches over HTTP and refuses unknown ones", async () => {
+  it("accepts fault switches over HTTP and refuses unknown ones", async () => {
     await using log = await createLogServiceStandIn();
     const set = (faults: object): Promise<Response> =>
       fetch(`${log.url}/stand-in/faults`, { method: "POST", body: JSON.stringify(faults) });
--- a/standIns/logService.ts
+++ b/standIns/logService.ts
@@ -9,24 +9,24 @@
 
 const settingsSchema = z.strictObject({
   ...commonSettings,
-  /** Append requests over all streams; also the burst. More are refused with a 429. */
+  /** Rate limit for append requests of all streams together, also the burst; excess requests get a 429. */
   appendsPerSecond: z.number().min(1).default(400),
   retentionMilliseconds: milliseconds.default(86_400_000),
-  /** Newest records kept of each stream. */
+  /** Maximum number of records kept for each stream; the oldest are dropped. */
   retentionRecords: z.number().int().min(0).default(1_000_000),
 });
 export type LogServiceStandInSettings = z.input<typeof settingsSchema>;
 
 const faultsSchema = z.strictObject({
   ...commonFaults,
-  /** The next N appends take effect, but their connections are cut with no answer. */
+  /** The next N appends are stored, but their connections are cut without an answer. */
   loseAppendAnswers: z.number().int().min(0).default(0),
 });
 export type LogServiceStandInFaults = z.output<typeof faultsSchema>;
 
 /** A running stand-in of the log service. */
 export interface LogServiceStandIn extends StandIn<LogServiceStandInFaults> {
-  /** The records of a stream that are still kept. */
+  /** Returns the records of a stream that are still retained. */
   readonly records: (stream: string) => readonly LogRecord[];
 }
 
@@ -39,7 +39,7 @@
   waitMilliseconds: z.coerce.number().min(0).max(maxWaitMilliseconds).default(0),
 });
 
-/** Refills evenly and holds at most one second's worth. */
+/** Creates a token bucket that refills continuously and holds at most one second's tokens. */
 const createTokenBucket = (perSecond: number): (() => boolean) => {
   let tokens = perSecond;
   let refilledAt = performance.now();
@@ -93,7 +93,7 @@
     appended.notify();
     if (server.faults.loseAppendAnswers > 0) {
       server.faults.loseAppendAnswers -= 1;
-      throw cutError("The stand-in loses the answer of this append.");
+      throw cutError("The stand-in loses the answer to this append.");
     }
     return jsonAnswer({ offsets: added.map(({ offset }) => offset) });
   };
--- a/standIns/main.ts
+++ b/standIns/main.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one stand-in as a process: `main KIND [JSON-SETTINGS]`.
+ * Runs a stand-in as a process: `main KIND [JSON-SETTINGS]`.
  *
- * Prints one line of JSON when it is ready, and ends on SIGTERM or SIGINT.
+ * Prints one line of JSON once it is ready, and exits on SIGTERM or SIGINT.
  */
 import { createEngineStandIn } from "./engine/engine.ts";
 import { processError } from "./errors.ts";
@@ -25,7 +25,9 @@
 const [kindName = "", settingsText = "{}"] = process.argv.slice(2);
 const factory = factories.get(kindName);
 if (factory === undefined) {
-  throw processError(`No stand-in "${kindName}"; there are: ${[...factories.keys()].join(", ")}.`);
+  throw processError(
+    `Unknown kind of stand-in "${kindName}"; expected one of: ${[...factories.keys()].join(", ")}.`,
+  );
 }
 const standIn = await factory(JSON.parse(settingsText) as object);
 const { kind, name, url } = standIn;
--- a/standIns/platform/platformSystem.ts
+++ b/standIns/platform/platformSystem.ts
@@ -1,4 +1,4 @@
-/** A system on the platform's stand-in, in one process: store, replicas, and routers by the real adapter. */
+/** A complete system in one process: stand-ins for the platform's store and replicas, and routers with the real adapter. */
 import { request as httpRequest } from "node:http";
 import type { IncomingHttpHeaders } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -11,8 +11,10 @@
 import type { StoreStandIn } from "./store.ts";
 import { startStoreStandIn } from "./store.ts";
 
+/** API keys of the default configuration: `known` of an ordinary organisation, `isolated` of the isolated one. */
 export const keys = { known: "key-one", isolated: "key-two" } as const;
 
+/** Host names of the default configuration's routes: `desk` for the plain service, `model` for the engines. */
 export const hosts = { desk: "desk.example", model: "model.example" } as const;
 
 const route = (name: string, host: string, fields: Readonly<Record<string, unknown>>) => ({
@@ -29,7 +31,11 @@
   ...fields,
 });
 
-/** The configuration that the operator publishes unless a test says otherwise. */
+/**
+ * Creates the operator's default configuration.
+ *
+ * @param fields - Replace fields of the default.
+ */
 export const createConfiguration = (version = 1, fields: Readonly<Record<string, unknown>> = {}) => ({
   version,
   routes: [
@@ -61,7 +67,7 @@
   ...fields,
 });
 
-/** A replica as it registers. */
+/** Creates a replica's entry in the registry. */
 export const createRegistryEntry = (service: string, { address }: ReplicaStandIn, version: number) => ({
   service,
   address,
@@ -76,20 +82,20 @@
 
 type RegistryEntry = ReturnType<typeof createRegistryEntry>;
 
-/** How long the callers of tests wait, milliseconds. */
+/** Deadline of the requests of tests, milliseconds. */
 const defaultTimeout = 3_000;
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface CallerAnswer {
-  /** 0: the connection ended without an answer. */
+  /** 0 if the connection ended without an answer. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** The answer ended before its body was whole. */
+  /** The answer ended before its body was complete. */
   readonly isCut: boolean;
 }
 
-/** What a caller sends. */
+/** The request to send; the fields left out have defaults. */
 export interface RequestOptions {
   readonly host: string;
   readonly path: string;
@@ -101,16 +107,20 @@
   readonly signal?: AbortSignal;
 }
 
-/** Writes to a store as the operator and the replicas do. */
+/** Creates functions that write to a store as the operator and the replicas do. */
 export const createStoreWriters = (store: StoreStandIn) => ({
   publish: (value: unknown): void => store.put("keyed.op", "config", value),
   publishWeightsVersion: (version: number): void =>
     store.put("keyed.op", "version/m", { model: "m", version }),
-  /** Without an entry the replica is gone. */
+  /** Without an entry, the replica's registration is deleted. */
   register: (id: string, entry: RegistryEntry | undefined): void => store.put("keyed.servers", id, entry),
 });
 
-/** The headers of every request. @param timeout - Milliseconds. */
+/**
+ * Creates the headers that every request has.
+ *
+ * @param timeout - The request's deadline, milliseconds from now.
+ */
 export const callHeaders = (id: string, key: string, timeout: number): Readonly<Record<string, string>> => ({
   "x-attempt-id": id,
   "x-deadline-ms": String(timeout),
@@ -119,24 +129,24 @@
 
 const saltHeader = "x-cache-salt";
 
-/** The header of a request whose cached parts are kept under a salt. */
+/** Creates the header that sets the salt of a request's cached parts. */
 export const saltHeaders = (salt: string): Readonly<Record<string, string>> => ({ [saltHeader]: salt });
 
-/** @returns What a run's cached parts are kept under; nothing if the request said nothing of it. */
+/** @returns The salt of an executed request's cached parts; `undefined` if the request had none. */
 export const cacheSaltOf = ({ headers }: ExecutedRequest): string | undefined => {
   const salt = headers[saltHeader];
   return typeof salt === "string" ? salt : undefined;
 };
 
-/** Where the balancer asks. */
+/** The path that the load balancer probes for readiness. */
 export const readinessPath = "/-/ready";
 
-/** The variable that names a router's settings file. */
+/** The environment variable with the path of a router's settings file. */
 export const settingsVariable = "POMELOCLEAT_BOOT";
 
 let nextId = 0;
 
-/** Sends one request on a connection of its own. */
+/** Sends a request to a router on a new connection. */
 export const sendRequest = (router: ForwardingRouter, options: RequestOptions): Promise<CallerAnswer> =>
   new Promise((resolve) => {
     nextId += 1;
@@ -168,13 +178,17 @@
     request.end(body);
   });
 
-/** A part of a prompt. */
+/** A prompt part as a caller declares it: the id of its content and its length. */
 export interface SentPromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** The headers of a request to an engine with a prompt. @param answerTokens - The most that the answer may have. */
+/**
+ * Creates the headers of a request to an engine.
+ *
+ * @param answerTokens - The maximum length of the answer.
+ */
 export const createPromptHeaders = (
   parts: readonly SentPromptPart[],
   answerTokens: number,
@@ -187,7 +201,7 @@
   };
 };
 
-/** The headers of a usual request to an engine. */
+/** Creates the headers of a request to an engine with a typical prompt. @param part - The id of the first part. */
 export const defaultPromptHeaders = (part = "5c1e07a2"): Readonly<Record<string, string>> =>
   createPromptHeaders(
     [
@@ -198,16 +212,16 @@
     80,
   );
 
-/** What the answers of a replica that drains carry. */
+/** The headers by which a replica reports that it is draining. */
 export const drainingReport: ReportHeaders = { "server-leaving": "1" };
 
-/** @returns The replica whose answer it is, if the answer reports that the replica drains. */
+/** @returns The replica that sent the answer, if the answer reports that the replica is draining. */
 export const drainingReplicaOf = (headers: IncomingHttpHeaders): string | undefined => {
   const seal = headers["x-replica-seal"];
   return headers["server-leaving"] === "1" && typeof seal === "string" ? seal.split(".")[0] : undefined;
 };
 
-/** A running system. */
+/** A running system with its routers; disposing of it stops everything. */
 export interface PlatformSystem extends AsyncDisposable {
   readonly store: StoreStandIn;
   readonly desks: readonly ReplicaStandIn[];
@@ -217,11 +231,11 @@
   /** Publishes a configuration. */
   readonly publish: (value: unknown) => void;
   readonly publishWeightsVersion: (version: number) => void;
-  /** Writes a replica's registration; without fields the replica is gone. */
+  /** Writes a replica's registration; without fields, deletes it. */
   readonly register: (replica: ReplicaStandIn, fields: Readonly<Record<string, unknown>> | undefined) => void;
-  /** @param routerStore - Another way to the store. */
+  /** @param routerStore - The store that the router connects to, if not {@link PlatformSystem.store} itself. */
   readonly startRouter: (routerStore?: StoreStandIn) => Promise<ForwardingRouter>;
-  /** Ends all routers. */
+  /** Stops all routers. */
   readonly stopRouters: () => Promise<void>;
 }
 
@@ -230,14 +244,14 @@
   ...store.topics.newest("keyed.routers").keys(),
 ];
 
-/** What a system is made of. */
+/** Number and settings of the replicas, and limits of the routers. */
 export interface PlatformSystemSettings {
   readonly desks?: number;
   readonly engines?: number;
   readonly engine?: Partial<ReplicaSettings>;
   readonly desk?: Partial<ReplicaSettings>;
   readonly bounds?: Partial<ForwardingSettings["bounds"]>;
-  /** Without it the store holds nothing at first. */
+  /** False starts with an empty store: no configuration and no registered replicas. */
   readonly isPublished?: boolean;
 }
 
@@ -257,12 +271,12 @@
 
 const anyPort = { address: "127.0.0.1", port: 0 };
 
-/** @returns Once something holds. */
+/** Polls a condition until it is true. */
 export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
   while (!(await condition())) await sleep(10);
 };
 
-/** @returns Whether a router says that it takes requests. */
+/** @returns Whether a router reports that it is ready for requests. */
 export const isReady = async ({ readinessPort }: ForwardingRouter): Promise<boolean> =>
   (await fetch(`http://127.0.0.1:${readinessPort}${readinessPath}`)).ok;
 
@@ -272,7 +286,7 @@
 ): Promise<ReplicaStandIn[]> =>
   Promise.all(Array.from({ length: count }, (_, index) => startReplicaStandIn(createSettings(index))));
 
-/** Starts a store, replicas and one router that is ready. */
+/** Starts a store, replicas and one router, and waits until the router is ready if a configuration is published. */
 export const startPlatformSystem = async (settings: PlatformSystemSettings = {}): Promise<PlatformSystem> => {
   const store = await startStoreStandIn();
   const writers = createStoreWriters(store);
--- a/standIns/platform/replica.ts
+++ b/standIns/platform/replica.ts
@@ -1,6 +1,7 @@
 /**
- * A replica of the platform: answers requests as an engine or a plain service, takes orders, and misbehaves on the
- * wire as it is told. It speaks raw HTTP/1.1, since most misbehaviour is what a server library would prevent.
+ * A stand-in for a replica of the platform: answers requests as an engine or a plain service, accepts orders, and
+ * misbehaves on the wire on request. Malformed answers are written to the socket as raw HTTP/1.1, since a server
+ * library would prevent them.
  */
 import { once } from "node:events";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
@@ -11,18 +12,18 @@
 /**
  * How the next request is answered.
  *
- * - `well`: whole, in order.
- * - `shed`: refused as not run.
- * - `fail`: the replica's own failure, status 500.
- * - `reset`: run, and the connection closed without an answer.
- * - `cut`: run, and closed in the middle of the answer's body.
- * - `extra`: answered whole, and a second answer follows on the same connection.
- * - `crossed`: the answer bears another request's id.
- * - `unframed`: the answer has no length and ends with its connection.
- * - `broken`: the answer has no length, and its connection is reset in the middle.
- * - `early`: the answer comes before the body has been read; the connection is kept, and the rest read on.
- * - `unsealed`: the answer bears no mark of a replica.
- * - `hang`: run, and never answered.
+ * - `well`: completely and correctly.
+ * - `shed`: refused with status 503 as not executed.
+ * - `fail`: executed, and answered with status 500.
+ * - `reset`: executed, and the connection closed without an answer.
+ * - `cut`: executed, and the connection closed in the middle of the answer's body.
+ * - `extra`: answered completely, followed by a second answer on the same connection.
+ * - `crossed`: the answer carries another request's id.
+ * - `unframed`: the answer has no length and ends when the connection closes.
+ * - `broken`: the answer has no length, and the connection is reset in the middle of it.
+ * - `early`: answered before the request's body has been read; the connection stays open and the body is read.
+ * - `unsealed`: the answer has neither the request's id nor the replica's seal.
+ * - `hang`: executed, and never answered.
  */
 export type Behaviour =
   | "well"
@@ -38,30 +39,30 @@
   | "unsealed"
   | "hang";
 
-/** A request that was run. */
+/** A request that was executed. */
 export interface ExecutedRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** When it began, milliseconds on this process's monotonic clock. */
+  /** When its execution began, milliseconds on this process's monotonic clock. */
   readonly at: number;
-  /** The weights that it began on; 0 at a plain service. */
+  /** The weights version on which it began; 0 at a plain service. */
   readonly weightsVersion: number;
-  /** True once the caller's connection closed before the answer had ended. */
+  /** True once the connection has closed before the answer was complete. */
   wasCut: boolean;
 }
 
-/** A request that came, whether it was run or refused. */
+/** A request that arrived, whether it was executed or refused. */
 export interface Arrival extends Pick<ExecutedRequest, "headers" | "at"> {
-  /** When it was turned away, milliseconds on this process's monotonic clock; nothing if it was run. */
+  /** When it was shed, milliseconds on this process's monotonic clock; `undefined` if it was not shed. */
   refusedAt: number | undefined;
-  /** `Retry-After` of that answer. */
+  /** `Retry-After` of the answer that shed it; empty if the answer had none. */
   retryAfter: string | undefined;
 }
 
-/** An order as it arrived. */
+/** An order that was accepted. */
 export interface ReceivedOrder {
   /** When it was accepted, milliseconds on this process's monotonic clock. */
   readonly at: number;
@@ -72,23 +73,23 @@
   readonly expectedRev: number | undefined;
 }
 
-/** Headers in which a replica reports about itself, by lower-case name. */
+/** Headers by which a replica reports its state, by lower-case name. */
 export type ReportHeaders = Readonly<Record<string, string>>;
 
-/** What a replica is like. */
+/** Identity and behaviour of a replica. */
 export interface ReplicaSettings {
   readonly id: string;
-  /** Set for engines: their model and its version. */
+  /** The model and weights version of an engine; left out for a plain service. */
   readonly model?: { readonly name: string; readonly version: number };
-  /** Events of a stream, and the pause between two of them, milliseconds. */
+  /** Number of events in a stream, and the pause between two of them in milliseconds. */
   readonly events?: { readonly count: number; readonly pause: number };
-  /** How long a plain request takes, milliseconds. */
+  /** Duration of a plain request, milliseconds. */
   readonly serviceTime?: number;
-  /** How long a load takes, milliseconds. */
+  /** Time to load weights, milliseconds. */
   readonly loadTime?: number;
-  /** Every order is answered as if another one were being carried out. */
+  /** Every order is refused as if another one were in progress. */
   readonly refusesOrders?: boolean;
-  /** Requests under which the process ends as soon as it has begun to run them, or in the middle of their stream. */
+  /** Decides which requests crash the process: shortly after their execution began, or in the middle of their stream. */
   readonly crashesOn?: (run: ExecutedRequest) => "never" | "begin" | "midway";
 }
 
@@ -101,18 +102,18 @@
   readonly arrivals: readonly Arrival[];
   readonly orders: readonly ReceivedOrder[];
   readonly version: () => number;
-  /** Behaviours of the next requests, first to last; then they are answered well. */
+  /** Sets the behaviours of the next requests, in order; the requests after them are answered with `well`. */
   readonly setBehaviours: (...behaviours: readonly Behaviour[]) => void;
-  /** What all answers from now on name as the limit; nothing ends it. */
+  /** Sets the limit that all following answers report; `undefined` removes it. */
   readonly setReportedLimit: (text: string | (() => string | undefined) | undefined) => void;
-  /** Headers of all answers from now on, whatever their status. */
+  /** Sets the headers of all following answers, whatever their status. */
   readonly setReportHeaders: (headers: ReportHeaders | ((behaviour: Behaviour) => ReportHeaders)) => void;
-  /** Ends as a killed process does: all connections are reset, and the port is closed. */
+  /** Simulates a killed process: resets all connections and closes the port. */
   readonly crash: () => void;
   readonly hasCrashed: () => boolean;
 }
 
-/** Pauses between events from the beginning of a run until the crash that it causes. */
+/** Time from the start of an execution to the crash that it causes, as a number of event pauses. */
 const eventPausesBeforeCrash = 2;
 
 const sealOf = (id: string, run: ExecutedRequest): string => `${id}.${run.id}`;
@@ -142,7 +143,7 @@
 
 const bodyOf = (run: ExecutedRequest): string => JSON.stringify({ id: run.id, body: run.body });
 
-/** Answers what has not been read; the id of the request is all that is needed. */
+/** Answers a request whose body has not been read. */
 const answerEarly = (replica: string, attempt: string, response: ServerResponse): void => {
   const body = "early";
   response.writeHead(200, {
@@ -153,7 +154,7 @@
   response.end(body);
 };
 
-/** Answers a plain request in a way that it should not be answered. */
+/** Answers a plain request incorrectly, as the behaviour says. */
 const sendMalformedAnswer = (
   replica: string,
   pause: number,
@@ -182,7 +183,7 @@
   } else if (behaviour === "unsealed") writeRaw(response, [length], body);
 };
 
-/** @returns What closes a server's port and resets its connections, as the end of its process does. */
+/** @returns A function that closes a server's port and resets its connections, as the end of its process would. */
 const createConnectionReset = (server: Server): (() => void) => {
   const sockets = new Set<Socket>();
   server.on("connection", (socket) => {
@@ -195,11 +196,11 @@
   };
 };
 
-/** What an order comes with, checked against what a replica is doing. */
+/** @returns Whether an order expects another number of accepted orders than the replica has. */
 const isConflict = (order: Omit<ReceivedOrder, "at">, accepted: number): boolean =>
   order.expectedRev !== undefined && order.expectedRev !== accepted;
 
-/** @returns Whether the request was for another replica or other weights, and was refused as such. */
+/** Refuses a request for another replica or weights version. @returns Whether it was refused. */
 const refuseMisdirected = (
   headers: ExecutedRequest["headers"],
   own: { readonly id: string; readonly version: number },
@@ -216,7 +217,7 @@
   return true;
 };
 
-/** What an engine says of itself. */
+/** Creates the body of a replica's report. */
 const createReport = ({
   model,
   version,
@@ -233,15 +234,15 @@
   ...fields,
 });
 
-/** What a replica reports about itself in the heads of its answers. */
+/** Manages the headers by which a replica reports its state. */
 const createReportedHeaders = () => {
   let limitText: () => string | undefined = () => undefined;
-  let reported: (behaviour: Behaviour) => ReportHeaders = () => ({});
+  let reportHeaders: (behaviour: Behaviour) => ReportHeaders = () => ({});
   const setReportedLimit: ReplicaStandIn["setReportedLimit"] = (text) => {
     limitText = typeof text === "function" ? text : () => text;
   };
   const setReportHeaders: ReplicaStandIn["setReportHeaders"] = (headers) => {
-    reported = typeof headers === "function" ? headers : () => headers;
+    reportHeaders = typeof headers === "function" ? headers : () => headers;
   };
   return {
     setReportedLimit,
@@ -251,12 +252,12 @@
       if (limit !== undefined) response.setHeader("server-limit", limit);
     },
     addHeaders: (response: ServerResponse, behaviour: Behaviour): void => {
-      for (const [name, value] of Object.entries(reported(behaviour))) response.setHeader(name, value);
+      for (const [name, value] of Object.entries(reportHeaders(behaviour))) response.setHeader(name, value);
     },
   };
 };
 
-/** Starts a replica on a free port. */
+/** Starts a replica on a free loopback port. */
 export const startReplicaStandIn = async (settings: ReplicaSettings): Promise<ReplicaStandIn> => {
   const { id, model, events = { count: 5, pause: 5 }, loadTime = 30, refusesOrders = false } = settings;
   const { crashesOn = () => "never", serviceTime = 0 } = settings;
@@ -280,16 +281,13 @@
     ...(model === undefined ? {} : { "x-weight-versions": String(version) }),
   });
 
-  const streamEvents = async (
-    run: ExecutedRequest,
-    response: ServerResponse,
-    stopAfter: number,
-  ): Promise<void> => {
+  /** @param limit - Number of complete events after which the connection is cut. */
+  const sendEvents = async (run: ExecutedRequest, response: ServerResponse, limit: number): Promise<void> => {
     response.writeHead(200, { ...headersOf(run), "content-type": "text/event-stream" });
     const first = Number(run.headers["last-event-id"] ?? 0) + 1;
     for (let number = first; number <= events.count; number += 1) {
       if (response.destroyed) return;
-      if (number - first >= stopAfter) {
+      if (number - first >= limit) {
         response.write(`id: ${number}\ndata: ha`);
         await sleep(events.pause);
         response.destroy();
@@ -307,7 +305,7 @@
     response.end(body);
   };
 
-  const run = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleRequest = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const { headers, method = "", url: target = "" } = request;
     const behaviour = behaviours.shift() ?? "well";
     const arrival: Arrival = { headers, at: performance.now(), refusedAt: undefined, retryAfter: undefined };
@@ -337,16 +335,16 @@
     if (behaviour === "hang") return;
     const crashPoint = crashesOn(executed);
     if (crashPoint !== "never") {
-      if (crashPoint === "midway") void streamEvents(executed, response, Number.POSITIVE_INFINITY);
+      if (crashPoint === "midway") void sendEvents(executed, response, Number.POSITIVE_INFINITY);
       await sleep(events.pause * eventPausesBeforeCrash);
       crash();
       return;
     }
     if (serviceTime > 0 && !isStream(executed)) await sleep(serviceTime);
     if (behaviour === "fail") refuse(response, 500, headersOf(executed));
-    else if (isStream(executed) && behaviour === "cut") await streamEvents(executed, response, 2);
+    else if (isStream(executed) && behaviour === "cut") await sendEvents(executed, response, 2);
     else if (behaviour !== "well") sendMalformedAnswer(id, events.pause, executed, response, behaviour);
-    else if (isStream(executed)) await streamEvents(executed, response, Number.POSITIVE_INFINITY);
+    else if (isStream(executed)) await sendEvents(executed, response, Number.POSITIVE_INFINITY);
     else answerPlain(executed, response);
   };
 
@@ -369,7 +367,7 @@
     if (request.url === "/-/report")
       sendJson(response, createReport({ model, version, busy: isLoading, sequence: orders.length }));
     else if (request.url === "/-/order") void handleOrder(request, response);
-    else void run(request, response);
+    else void handleRequest(request, response);
   });
   const resetAll = createConnectionReset(server);
   server.listen(0, "127.0.0.1");
--- a/standIns/platform/store.ts
+++ b/standIns/platform/store.ts
@@ -1,4 +1,4 @@
-/** The platform's store over HTTP, with the ways in which it fails. */
+/** A stand-in for the platform's store over HTTP, with fault injection. */
 import { once } from "node:events";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { createServer } from "node:http";
@@ -7,19 +7,19 @@
 import type { StoreBackup, Topics } from "./topics.ts";
 import { createTopics, keyedRecord, splitRecords, valueOf } from "./topics.ts";
 
-/** What a test can switch on; each is off at first. */
+/** Fault switches of the store; all are off initially. */
 export interface StoreFaults {
-  /** Every call is answered 503. */
+  /** Every request is answered with status 503. */
   isBusy: boolean;
-  /** No call is answered. */
+  /** No request is answered. */
   isUnresponsive: boolean;
-  /** The same, until the store returns from a copy. */
+  /** No request is answered until the store has been restored from a backup. */
   isDown: boolean;
-  /** The next appends are done, and their connections closed without an answer. */
+  /** The next N appends are stored, but their connections are closed without an answer. */
   loseAppends: number;
-  /** Answers are sent so long after the call was carried out, milliseconds. */
+  /** Delay of each answer after its request was processed, milliseconds. */
   answerDelay: number;
-  /** Answers don't name the epoch. */
+  /** Answers have no header with the store's epoch. */
   omitsEpoch: boolean;
 }
 
@@ -29,19 +29,19 @@
   readonly address: string;
   readonly topics: Topics;
   readonly faults: StoreFaults;
-  /** Calls by path. */
+  /** Number of requests by path. */
   readonly calls: ReadonlyMap<string, number>;
-  /** Reads of a topic's records, by topic. */
+  /** Number of reads by topic. */
   readonly reads: ReadonlyMap<string, number>;
-  /** Writes as the operator or a replica would. */
+  /** Writes a keyed record, as the operator or a replica does. */
   readonly put: (topic: string, key: string, value: unknown) => void;
   /** Resets all open connections. */
   readonly closeConnections: () => void;
   /**
-   * Is away for a time, then returns from a copy in the next epoch.
+   * Makes the store unavailable for a time, then restores it from a backup in the next epoch.
    *
-   * @param away - Milliseconds.
-   * @param options - Whether calls that are under way are still answered.
+   * @param away - Duration of the outage, milliseconds.
+   * @param options - `keepsConnections`: pending requests are still answered.
    */
   readonly restoreFrom: (
     copy: StoreBackup,
@@ -71,7 +71,7 @@
   return Buffer.concat(chunks);
 };
 
-/** What a call is answered with. */
+/** The answer to a request. */
 interface Answer {
   readonly status: number;
   readonly body: Buffer;
@@ -83,9 +83,9 @@
 });
 
 /**
- * Starts a store on a free port.
+ * Starts a store on a free loopback port.
  *
- * @param topics - Of another store: this one is a second way to it, with faults of its own.
+ * @param topics - The topics of another store: this one then serves the same data with faults of its own.
  */
 export const startStoreStandIn = async (topics = createTopics()): Promise<StoreStandIn> => {
   const faults: StoreFaults = {
@@ -137,7 +137,7 @@
     return json(200, { items, hasMore: all.length > page.length, end: topics.end(topic) });
   };
 
-  /** @returns Nothing where the connection ends without an answer. */
+  /** @returns `undefined` if the connection is to be closed without an answer. */
   const handleCall = (
     pathname: string,
     query: URLSearchParams,
--- a/standIns/platform/topics.ts
+++ b/standIns/platform/topics.ts
@@ -1,6 +1,6 @@
-/** Topics of the platform's store in memory, by its published protocol. */
+/** The topics of the platform's store in memory, with the semantics of its published protocol. */
 
-/** One record; the value of a keyed record is behind its key. */
+/** One record; a keyed record's bytes are the key's length, the key and the value. */
 export interface StoredRecord {
   readonly offset: number;
   readonly bytes: Buffer;
@@ -12,27 +12,27 @@
   readonly keys: ReadonlyMap<string, StoredRecord>;
 }
 
-/** The store as it was at a moment, by topic. */
+/** A backup of the store, by topic. */
 export type StoreBackup = ReadonlyMap<string, TopicBackup>;
 
-/** See {@link createTopics}. */
+/** The topics of a store. */
 export interface Topics {
-  /** Rises each time the store returns from a copy. */
+  /** Increases each time the store is restored from a backup. */
   readonly epoch: () => number;
   readonly backUp: () => StoreBackup;
-  /** Loses everything that is not in a copy; offsets from its end on are given out again. */
+  /** Discards everything that is not in the backup; the offsets after its end are assigned again. */
   readonly restore: (backUp: StoreBackup) => void;
-  /** @returns The offset of the first record. */
+  /** @returns The offset of the first appended record. */
   readonly append: (topic: string, records: readonly Buffer[]) => number;
-  /** @returns The records from an offset on; nothing if they are no longer kept, or the topic ends before it. */
+  /** @returns The records from an offset on; `undefined` if some were trimmed or the topic ends before the offset. */
   readonly read: (topic: string, from: number) => readonly StoredRecord[] | undefined;
   readonly first: (topic: string) => number;
   readonly end: (topic: string) => number;
-  /** The newest record of each key, those that were dropped left out. */
+  /** The newest record of each key, without deleted keys. */
   readonly newest: (topic: string) => ReadonlyMap<string, StoredRecord>;
-  /** Deletes the records before an offset; the newest of each key stay. */
+  /** Deletes the records before an offset; the newest record of each key stays available. */
   readonly trim: (topic: string, before: number) => void;
-  /** Resolves when a topic has a record at an offset, when the store returns from a copy, or after a time. */
+  /** Resolves when a topic has a record at an offset, when the store is restored, or after a timeout. */
   readonly waitFor: (topic: string, offset: number, milliseconds: number) => Promise<void>;
 }
 
@@ -45,7 +45,7 @@
 
 const lengthBytes = 4;
 
-/** Cuts the body of an append into records. */
+/** Splits the body of an append request into records. */
 export const splitRecords = (body: Buffer): readonly Buffer[] => {
   const records: Buffer[] = [];
   for (let at = 0; at < body.length;) {
@@ -56,7 +56,7 @@
   return records;
 };
 
-/** A record with a key; without a value it drops the key. */
+/** Creates a record with a key; without a value it deletes the key. */
 export const keyedRecord = (key: string, value: unknown): Buffer => {
   const text = value === undefined ? "" : JSON.stringify(value);
   return Buffer.concat([Buffer.from([Buffer.byteLength(key)]), Buffer.from(key), Buffer.from(text)]);
@@ -64,10 +64,10 @@
 
 const keyOf = (bytes: Buffer): string => bytes.toString("utf8", 1, 1 + (bytes[0] ?? 0));
 
-/** @returns The value of a keyed record; empty if it drops its key. */
+/** @returns The value of a keyed record; empty if the record deletes its key. */
 export const valueOf = (bytes: Buffer): Buffer => bytes.subarray(1 + (bytes[0] ?? 0));
 
-/** Creates a store without topics. */
+/** Creates an empty store. */
 export const createTopics = (): Topics => {
   const topics = new Map<string, Topic>();
   let epoch = 1;
--- a/standIns/service.test.ts
+++ b/standIns/service.test.ts
@@ -10,7 +10,7 @@
   });
 
 describe("service stand-in", () => {
-  it("counts executions whose answers are lost", async () => {
+  it("records executions whose answers are lost", async () => {
     await using service = await createServiceStandIn();
     service.faults.loseAnswers = 1;
     await expect(signOff(service.url)).toBeRejected();
@@ -18,14 +18,14 @@
     expect(service.executions().map(({ idempotencyKey }) => idempotencyKey)).toEqual(["key", "key"]);
   });
 
-  it("runs a key once where it deduplicates", async () => {
+  it("executes an idempotency key once if it deduplicates by key", async () => {
     await using service = await createServiceStandIn({ deduplicatesByKey: true });
     const first: unknown = await (await signOff(service.url)).json();
     expect(await (await signOff(service.url)).json()).toEqual(first);
     expect(service.executions().length).toEqual(1);
   });
 
-  it("answers with garbage and with crossed ids", async () => {
+  it("sends invalid HTTP and answers with another attempt's id", async () => {
     await using service = await createServiceStandIn();
     service.faults.garbage = 1;
     await expect(signOff(service.url)).toBeRejected();
@@ -34,7 +34,7 @@
     expect((await signOff(service.url)).headers.get("x-attempt-id")).toEqual("attempt");
   });
 
-  it("refuses with a true not run", async () => {
+  it("declares refused requests as not run and does not execute them", async () => {
     await using service = await createServiceStandIn();
     service.faults.refuse = true;
     const answer = await signOff(service.url);
--- a/standIns/service.ts
+++ b/standIns/service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for one replica of a plain service: deterministic answers, counted executions. */
+/** A stand-in for one replica of a plain service, with deterministic answers; it records every execution. */
 import { z } from "zod";
 import { headers as headerNames } from "../src/protocol/constants.ts";
 import { cutError, refusal } from "./errors.ts";
@@ -9,11 +9,11 @@
 const settingsSchema = z.strictObject({
   ...commonSettings,
   service: z.string().min(1).default("service"),
-  /** Whether a call that does not say its organisation is refused. */
+  /** `checked` refuses a request without the header that names its organisation. */
   identity: z.enum(["checked", "ignored"]).default("ignored"),
-  /** Whether a key that has run already gets the first answer again. */
+  /** True if a repeated idempotency key gets the first answer again without a second execution. */
   deduplicatesByKey: z.boolean().default(false),
-  /** Time that each execution takes. */
+  /** Duration of each request. */
   workMilliseconds: milliseconds.default(0),
 });
 export type ServiceStandInSettings = z.input<typeof settingsSchema>;
@@ -21,18 +21,18 @@
 const nextAnswers = z.number().int().min(0).default(0);
 const faultsSchema = z.strictObject({
   ...commonFaults,
-  /** Every call is refused as overloaded, with a true "not run". */
+  /** Every request is refused with `overloaded` and not executed; the answer declares this. */
   refuse: z.boolean().default(false),
-  /** Every call is refused as leaving, with a true "not run". */
+  /** Every request is refused with `leaving` and not executed; the answer declares this. */
   leaving: z.boolean().default(false),
-  /** The next N answers are bytes that are no HTTP. */
+  /** The next N answers are not valid HTTP. */
   garbage: nextAnswers,
   /** The next N answers carry the id of another attempt. */
   crossAnswers: nextAnswers,
 });
 export type ServiceStandInFaults = z.output<typeof faultsSchema>;
 
-/** One run of a call. */
+/** One execution of a request. */
 export interface ServiceExecution {
   readonly attempt: string;
   readonly idempotencyKey: string | undefined;
@@ -54,7 +54,11 @@
   return counts;
 };
 
-/** Starts a stand-in of a plain service's replica. */
+/**
+ * Starts a stand-in of a plain service's replica.
+ *
+ * @param input - Settings; those left out take their defaults.
+ */
 export const createServiceStandIn = async (input: ServiceStandInSettings = {}): Promise<ServiceStandIn> => {
   const settings = settingsSchema.parse(input);
   const executions: ServiceExecution[] = [];
--- a/standIns/startProcess.test.ts
+++ b/standIns/startProcess.test.ts
@@ -3,7 +3,7 @@
 import { startStandInProcess } from "./startProcess.ts";
 
 describe("startStandInProcess", () => {
-  it("starts a stand-in that serves until it is killed", async () => {
+  it("starts a stand-in that answers requests until it is killed", async () => {
     await using store = await startStandInProcess("keyValueStore", { name: "memoria" });
     expect(store.name).toEqual("memoria");
     const put = await fetch(`${store.url}/caches/a`, { method: "PUT", body: '{"blocks":[]}' });
@@ -13,7 +13,7 @@
     await expect(fetch(store.url)).toBeRejected();
   });
 
-  it("reports a program that ends before it is ready", async () => {
+  it("rejects if the program ends before it is ready", async () => {
     await expect(startStandInProcess("keyValueStore", { host: "10.0.0.1" })).toBeRejected();
   });
 });
--- a/standIns/startProcess.ts
+++ b/standIns/startProcess.ts
@@ -1,4 +1,4 @@
-/** Starts the project's programs as processes of their own, for tests and the demo. */
+/** Starts the project's programs as child processes, for tests, the soak and the demo. */
 import { spawn, type ChildProcess } from "node:child_process";
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
@@ -10,32 +10,32 @@
 
 const readySchema = z.looseObject({ url: z.string(), name: z.string().default("") });
 
-/** How a process ended. */
+/** Exit code or signal of a process; both are `null` if it could not be started. */
 export interface ProcessEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
 
-/** A process that is ready; disposing of it ends it. */
+/** A child process that is ready; disposing of it terminates it. */
 export interface StartedProcess extends AsyncDisposable {
   readonly name: string;
   readonly url: string;
   readonly processId: number;
-  /** The whole line that it printed when ready. */
+  /** The whole JSON line that it printed once it was ready. */
   readonly ready: Readonly<Record<string, unknown>>;
-  /** Sends a signal and does not wait for what comes of it. */
+  /** Sends a signal without waiting for its effect. */
   readonly kill: (signal: NodeJS.Signals) => void;
   /** Resolves when the process has ended. */
   readonly ended: Promise<ProcessEnd>;
 }
 
-/** Settings of the operating system's for a process. */
+/** Environment, output and runtime options of a process. */
 export interface ProcessOptions {
-  /** Variables added to this process's own. */
+  /** Variables added to this process's environment. */
   readonly environment?: Readonly<Record<string, string>>;
-  /** Called with every line that the process prints. */
+  /** Called with every line that the process prints to standard output. */
   readonly onLine?: (line: string) => void;
-  /** Options of the runtime; those of a source that was compiled unless they are given. */
+  /** Options of Node.js; `--enable-source-maps` by default. */
   readonly runtimeOptions?: readonly string[];
 }
 
@@ -58,7 +58,7 @@
   }
 };
 
-/** Reads lines until one says that the program is ready; keeps the pipe flowing afterwards. */
+/** Reads lines until the program reports that it is ready; keeps reading so that the pipe does not fill up. */
 const waitUntilReady = (
   child: ChildProcess,
   output: NodeJS.ReadableStream,
@@ -67,7 +67,7 @@
 ) =>
   new Promise<z.output<typeof readySchema>>((resolve, reject) => {
     const timer = setTimeout(
-      () => reject(processError(`Process ${String(child.pid)} printed no line that it is ready.`)),
+      () => reject(processError(`Process ${String(child.pid)} did not report that it is ready in time.`)),
       readyTimeoutMilliseconds,
     );
     createInterface(output).on("line", (line) => {
@@ -95,7 +95,8 @@
  * Starts a compiled program and waits until it prints one line of JSON with its `url`.
  *
  * @param module - The program's module.
- * @returns The process; it is also killed when this one exits. Rejects with a {@link ProcessError}.
+ * @returns The process, which is also killed when this one exits. Rejects with a {@link ProcessError} if the program
+ * ends or times out before it is ready.
  */
 export const startProcess = async (
   module: URL,
@@ -126,13 +127,13 @@
   }
 };
 
-/** The kinds of stand-in that `main.ts` starts. */
+/** The kinds of stand-in that `main.ts` can start. */
 export type StandInKind = "engine" | "service" | "logService" | "vmList" | "weightStore" | "keyValueStore";
 
 /**
- * Starts a stand-in as a process.
+ * Starts a stand-in as a child process.
  *
- * @param settings - The settings of its kind.
+ * @param settings - Settings for this kind of stand-in.
  */
 export const startStandInProcess = (kind: StandInKind, settings: object = {}): Promise<StartedProcess> =>
   startProcess(new URL("./main.js", import.meta.url), [kind, JSON.stringify(settings)]);
--- a/standIns/stores.ts
+++ b/standIns/stores.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the weight store and for the store of kept KV cache. */
+/** Stand-ins for the weight store and for the store of exported KV caches. */
 import { z } from "zod";
 import { refusal } from "./errors.ts";
 import { jsonAnswer, startServer, type Answer, type Exchange } from "./httpServer.ts";
@@ -9,7 +9,7 @@
 
 const weightStoreSettings = z.strictObject({
   ...commonSettings,
-  /** Time of one load while no more than `simultaneousLoads` run; beyond that all in proportion. */
+  /** Duration of one load with up to `simultaneousLoads` at a time; proportionally longer with more. */
   loadMilliseconds: milliseconds.default(0),
   simultaneousLoads: z.number().int().min(1).default(2),
 });
@@ -17,7 +17,7 @@
 
 /** A running stand-in of the weight store. */
 export interface WeightStoreStandIn extends StandIn<CommonFaults> {
-  /** The most loads that ever ran at once. */
+  /** The highest number of loads that ran at the same time. */
   readonly mostSimultaneousLoads: () => number;
 }
 
--- a/standIns/suspendedClock.ts
+++ b/standIns/suspendedClock.ts
@@ -1,9 +1,9 @@
 /**
- * Loaded into a process before its program: its steady clock doesn't count the time for which the process was stopped,
- * as that of a VM doesn't that was suspended. The time of day goes on. Stopping and resuming is the test's.
+ * Preloaded into a process to simulate a suspended VM: the monotonic clock does not count the time for which the
+ * process was stopped, while the time of day continues. The test stops and resumes the process.
  */
 
-/** Between two looks at the clock, and the shortest gap between looks that is a stop, milliseconds. */
+/** Interval between readings of the clock, and the shortest gap between them that counts as a stop, milliseconds. */
 const polling = { interval: 50, gap: 700 } as const;
 
 const readClock = performance.now.bind(performance);
--- a/standIns/types.ts
+++ b/standIns/types.ts
@@ -1,7 +1,7 @@
-/** What the stand-ins for outside systems have in common. */
+/** Settings, faults and interface that all stand-ins have in common. */
 import { z } from "zod";
 
-/** Settings that every stand-in takes. */
+/** Settings of every stand-in. */
 export const commonSettings = {
   name: z.string().min(1).default("stand-in"),
   /** Loopback address to listen on. */
@@ -13,32 +13,32 @@
   port: z.number().int().min(0).max(65535).default(0),
 };
 
-/** Faults that every stand-in has. */
+/** Fault switches of every stand-in. */
 export const commonFaults = {
-  /** Every call is refused by closing its connection. */
+  /** Every request's connection is closed without an answer. */
   outage: z.boolean().default(false),
-  /** Time before each call takes effect. */
+  /** Delay before each request is processed. */
   latencyMilliseconds: z.number().min(0).default(0),
-  /** The next N calls take effect, but their connections are cut with no answer. */
+  /** The next N requests are processed, but their connections are cut without an answer. */
   loseAnswers: z.number().int().min(0).default(0),
-  /** Calls are accepted but neither take effect nor go on until this is unset. */
+  /** Requests are accepted, but not processed or continued until this is reset. */
   freeze: z.boolean().default(false),
 };
 
-/** A number of milliseconds, zero by default. */
+/** A number of milliseconds, zero or more. */
 export const milliseconds = z.number().min(0);
 
-/** The fault switches of {@link commonFaults}; a test sets them directly. */
+/** The values of {@link commonFaults}; a test in the same process sets them directly. */
 export type CommonFaults = z.output<z.ZodObject<typeof commonFaults>>;
 
-/** A running stand-in; disposing of it cuts its connections and frees its port. */
+/** A running stand-in; disposing of it cuts its connections and releases its port. */
 export interface StandIn<Faults extends CommonFaults> extends AsyncDisposable {
   readonly kind: string;
   readonly name: string;
   /** `http://IP:PORT`. */
   readonly url: string;
-  /** Fault switches, read at each call. */
+  /** Fault switches, read at each request. */
   readonly faults: Faults;
-  /** Counts of what it has done. */
+  /** Counters of what it has done. */
   readonly state: () => Readonly<Record<string, unknown>>;
 }
--- a/standIns/vmList.test.ts
+++ b/standIns/vmList.test.ts
@@ -22,7 +22,7 @@
   fetch(`${list.url}/stand-in/vms/vm-1`, { method: "POST", body: '{"state":"leaving"}' });
 
 describe("VM list stand-in", () => {
-  it("shows a change at once without a lag", async () => {
+  it("shows a change at once if no lag is set", async () => {
     await using list = await createVmListStandIn({ vms: [vm] });
     await changeOne(list);
     expect(await readStates(list)).toEqual(["leaving"]);
@@ -30,7 +30,7 @@
     expect(await readStates(list)).toEqual([]);
   });
 
-  it("shows the list as it was before the lag", async () => {
+  it("shows the list with the configured lag", async () => {
     await using list = await createVmListStandIn({ vms: [vm], lagMilliseconds: 50_000 });
     await changeOne(list);
     expect(await readStates(list)).toEqual(["live"]);
--- a/standIns/vmList.ts
+++ b/standIns/vmList.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's VM list, which shows the VMs as they were some time ago. */
+/** A stand-in for the platform's VM list, which shows changes only after a configurable lag. */
 import { createHash } from "node:crypto";
 import { z } from "zod";
 import type { ListedVm } from "../src/protocol/types.ts";
@@ -32,7 +32,7 @@
 
 /** A running stand-in of the VM list. */
 export interface VmListStandIn extends StandIn<VmListStandInFaults> {
-  /** Sets the whole list; readers see it after the lag. */
+  /** Replaces the whole list; readers see the change after the lag. */
   readonly set: (vms: readonly ListedVm[]) => void;
 }
 
@@ -44,7 +44,7 @@
 
   const answer = (lagMilliseconds: number): Answer => jsonAnswer({ vms: history.read(lagMilliseconds) });
 
-  /** Answers with a tag; a reader that names the current one is told that it has the list already. */
+  /** Answers with an `ETag`, or with 304 if the reader already has the current version. */
   const read = ({ request }: Exchange): Answer => {
     counts.reads += 1;
     const { body } = answer(settings.lagMilliseconds);
--- a/standIns/waiting.ts
+++ b/standIns/waiting.ts
@@ -1,20 +1,20 @@
-/** Waiting helpers that end when their stand-in is disposed of. */
+/** Helpers for waiting; those that take a signal stop when their stand-in is disposed of. */
 import { setTimeout as sleep } from "node:timers/promises";
 
 const pollMilliseconds = 5;
 
-/** Waits; rejects with an `AbortError` if the signal is aborted first. */
+/** Waits for a time; rejects with an `AbortError` if the signal is aborted first. */
 export const pause = async (milliseconds: number, signal: AbortSignal): Promise<void> => {
   signal.throwIfAborted();
   if (milliseconds > 0) await sleep(milliseconds, undefined, { signal });
 };
 
-/** Waits until a condition that nothing announces is true. */
+/** Polls a condition until it is true; rejects if the signal is aborted first. */
 export const pollUntil = async (condition: () => boolean, signal: AbortSignal): Promise<void> => {
   while (!condition()) await pause(pollMilliseconds, signal);
 };
 
-/** Wakes all who wait for the next change. */
+/** Notifies everything that waits for the next change. */
 export interface Notifier {
   readonly notify: () => void;
   /** Resolves at the next {@link Notifier.notify}. */
@@ -34,16 +34,16 @@
   };
 };
 
-/** A value that can be read as it was some time ago. */
+/** A value whose past states can be read. */
 export interface History<Value> {
   readonly record: (value: Value) => void;
-  /** The value as it was; the first one recorded if that is younger. */
+  /** The value as it was `lagMilliseconds` ago, or the oldest one kept if there is none that old. */
   readonly read: (lagMilliseconds: number) => Value;
 }
 
 const historyMilliseconds = 60_000;
 
-/** Creates a {@link History} that reaches back one minute. */
+/** Creates a {@link History} that keeps the states of the last minute. */
 export const createHistory = <Value>(first: Value): History<Value> => {
   const entries = [{ value: first, at: performance.now() }];
   const record = (value: Value): void => {
