--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -4,8 +4,8 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../src/coordination/clock.ts";
-import type { RouterPeers } from "../src/daemons/routerPeers.ts";
-import { createRouterPeers } from "../src/daemons/routerPeers.ts";
+import type { PeerExchanges } from "../src/daemons/peerExchanges.ts";
+import { createPeerExchanges } from "../src/daemons/peerExchanges.ts";
 import { parseRouterSettings } from "../src/daemons/routerSettings.ts";
 import type { Configuration } from "../src/protocol/configuration/schema.ts";
 import { createPublication, encodeConfigurationRecord } from "../src/protocol/configuration/record.ts";
@@ -17,7 +17,7 @@
 import type { EngineDirectory } from "../src/state/engineDirectory.ts";
 import { createEngineDirectory } from "../src/state/engineDirectory.ts";
 import { MemoryMetrics } from "../src/state/MemoryMetrics.ts";
-import { configurationOf, createFakeLog, publisher } from "../tests/support/configuration.ts";
+import { configurationOf, createMemoryLog, publisher } from "../tests/support/configuration.ts";
 import type { Row } from "./report/table.ts";
 import { formatTable } from "./report/table.ts";
 import type { Bench } from "./types.ts";
@@ -42,7 +42,7 @@
 const quickDurations: Durations = { settling: 3_000, measured: 4_000, changes: 4, changeInterval: 1_000 };
 
 interface Node {
-  readonly peers: RouterPeers;
+  readonly peers: PeerExchanges;
   readonly engines: EngineDirectory;
   readonly history: ConfigurationHistory;
   readonly metrics: MemoryMetrics;
@@ -92,7 +92,7 @@
   const history = createConfigurationHistory();
   const engines = createEngineDirectory();
   const metrics = new MemoryMetrics();
-  const peers = createRouterPeers({
+  const peers = createPeerExchanges({
     settings: settingsOf(index),
     history,
     engines,
@@ -171,7 +171,7 @@
 
 /** Publishes on a log that the data centre's readers follow. */
 const createPublisher = (nodes: readonly Node[]) => {
-  const log = createFakeLog();
+  const log = createMemoryLog();
 
   const readLog = (): void => {
     for (const { peers, history } of nodes) {
--- a/soak/platform/callers.ts
+++ b/soak/platform/callers.ts
@@ -10,7 +10,7 @@
   keys,
   defaultPromptHeaders,
 } from "../../standIns/platform/platformSystem.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import type { RouterSlot } from "./soakSystem.ts";
 import type { CallerRecord, RequestName } from "./types.ts";
 
@@ -44,7 +44,7 @@
 }
 
 const headersOf = ({ id, name, key }: Ask, { name: router }: RouterSlot): Record<string, string> => ({
-  [throughHeader]: router,
+  [routerHeader]: router,
   host: name === "read" || name === "post" ? hosts.desk : hosts.model,
   ...callHeaders(id, key, times.timeout),
   ...(name === "ask" || name === "tag" ? defaultPromptHeaders() : {}),
--- a/soak/platform/checks.test.ts
+++ b/soak/platform/checks.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import type { Arrival, ReceivedOrder, ExecutedRequest } from "../../standIns/platform/replica.ts";
 import { saltHeaders } from "../../standIns/platform/platformSystem.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import { eventsPerStream, findPlatformViolations } from "./checks.ts";
 import { createPlan } from "./plan.ts";
 import { shrinkPlan } from "./shrink.ts";
@@ -52,7 +52,7 @@
 });
 
 const arrival = (router: string, at: number, fields: Partial<Arrival> = {}): Arrival => ({
-  headers: { [throughHeader]: router },
+  headers: { [routerHeader]: router },
   at,
   refusedAt: undefined,
   retryAfter: undefined,
--- a/soak/platform/checks.ts
+++ b/soak/platform/checks.ts
@@ -1,7 +1,7 @@
 /** Invariants that must hold under every fault, checked on what callers and replicas recorded. */
 import type { Arrival, ReceivedOrder } from "../../standIns/platform/replica.ts";
 import { cacheSaltOf } from "../../standIns/platform/platformSystem.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import type { Violation } from "../types.ts";
 import type { CallerRecord, SoakHistory, ReplicaRecord, RequestName, StepRecord } from "./types.ts";
 
@@ -144,7 +144,7 @@
       }));
   });
 
-const routerOf = ({ headers }: Arrival): string => String(headers[throughHeader]);
+const routerOf = ({ headers }: Arrival): string => String(headers[routerHeader]);
 
 /** Whether a step between two times made a router lose its state or kept it from acting on it. */
 const wasRouterDisturbed = (
--- a/src/commandLine/commands/configurationHistory.ts
+++ b/src/commandLine/commands/configurationHistory.ts
@@ -1,7 +1,7 @@
 import { Command } from "clipanion";
 import { createConfigurationHistory } from "../../state/configurationHistory.ts";
 import type { HistoryEntry } from "../../state/configurationReplay.ts";
-import { describeFate } from "../describeFate.ts";
+import { describeFate } from "../describeOutcome.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { readConfigurationLog } from "../readConfigurationLog.ts";
--- a/src/commandLine/commands/configurationPublish.ts
+++ b/src/commandLine/commands/configurationPublish.ts
@@ -2,7 +2,7 @@
 import { Command, Option } from "clipanion";
 import { parseConfiguration } from "../../protocol/configuration/check.ts";
 import { readTextFile } from "../clientSettings.ts";
-import { describeReason } from "../describeFate.ts";
+import { describeReason } from "../describeOutcome.ts";
 import type { ExitName } from "../exitCodes.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
--- a/src/commandLine/commands/dump.ts
+++ b/src/commandLine/commands/dump.ts
@@ -1,5 +1,5 @@
 import { Command, Option } from "clipanion";
-import { findRouter } from "../askRouters.ts";
+import { findRouter } from "../queryRouters.ts";
 import type { ClientSettings } from "../clientSettings.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
--- a/src/commandLine/commands/engines.ts
+++ b/src/commandLine/commands/engines.ts
@@ -2,7 +2,7 @@
 import type { EngineView } from "../../protocol/operator.ts";
 import type { ListedVm } from "../../protocol/types.ts";
 import type { OperatorClient } from "../../transport/operatorClient.ts";
-import { askRouters, listRouters } from "../askRouters.ts";
+import { queryRouters, listRouters } from "../queryRouters.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { formatTable } from "../table.ts";
@@ -22,7 +22,7 @@
   routers: readonly ListedVm[],
 ): Promise<DataCentreEngines> => {
   for (const router of routers) {
-    const [answer] = await askRouters([router], (url) => client.readEngines(url));
+    const [answer] = await queryRouters([router], (url) => client.readEngines(url));
     if (answer?.reached === true) return { dataCentre, router: router.id, engines: answer.value };
   }
   return { dataCentre, router: null, engines: [] };
--- a/src/commandLine/commands/explain.ts
+++ b/src/commandLine/commands/explain.ts
@@ -2,8 +2,8 @@
 import { OperatorCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { readLogs } from "../readLogs.ts";
-import type { RequestStory, StoryStep } from "../requestStory.ts";
-import { tellStory } from "../requestStory.ts";
+import type { RequestStory, StoryStep } from "../requestTimeline.ts";
+import { tellStory } from "../requestTimeline.ts";
 
 const writeStep = ({ at, router, text }: StoryStep): string => `  ${at} ${router}: ${text}\n`;
 
--- a/src/commandLine/commands/versions.ts
+++ b/src/commandLine/commands/versions.ts
@@ -4,8 +4,8 @@
 import type { RouterVersion } from "../../protocol/operator.ts";
 import { createConfigurationHistory } from "../../state/configurationHistory.ts";
 import type { ConfigurationHistory } from "../../state/configurationHistory.ts";
-import { askRouters, listRouters } from "../askRouters.ts";
-import type { RouterAnswer } from "../askRouters.ts";
+import { queryRouters, listRouters } from "../queryRouters.ts";
+import type { RouterAnswer } from "../queryRouters.ts";
 import { ConnectedCommand } from "../OperatorCommand.ts";
 import type { CommandResult } from "../OperatorCommand.ts";
 import { readConfigurationLog } from "../readConfigurationLog.ts";
@@ -126,7 +126,7 @@
     await using vmList = this.openVmList(settings);
     await using log = this.openLog(settings);
     const [vms, history] = await Promise.all([vmList.read(), readLogUnlessOut(log)]);
-    const answers = await askRouters(listRouters(vms), (url) => client.readVersion(url));
+    const answers = await queryRouters(listRouters(vms), (url) => client.readVersion(url));
     const inForce = history?.current();
     const expected: Expected =
       history === undefined
--- a/src/commandLine/askRouters.ts
+++ b/src/commandLine/queryRouters.ts
@@ -37,7 +37,7 @@
 };
 
 /** Asks every router; the answers come in the routers' order. */
-export const askRouters = async <Value>(
+export const queryRouters = async <Value>(
   routers: readonly ListedVm[],
   ask: (url: string) => Promise<Value>,
 ): Promise<readonly RouterAnswer<Value>[]> => {
--- a/src/commandLine/requestStory.test.ts
+++ b/src/commandLine/requestTimeline.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { readLogLines } from "./logLines.ts";
 import { summarise } from "./logSummary.ts";
-import { tellStory } from "./requestStory.ts";
+import { tellStory } from "./requestTimeline.ts";
 
 const line = (
   second: number,
--- a/src/coordination/claims/claimWriter.ts
+++ b/src/coordination/claims/claimWriter.ts
@@ -6,7 +6,7 @@
 import type { Claim } from "./ClaimLedger.ts";
 import { createOutcomeRecord, encodeClaimRecord } from "./claimRecord.ts";
 import type { KeyState } from "./claimState.ts";
-import { backOff, releaseTimeout } from "./constants.ts";
+import { appendBackoff, releaseTimeout } from "./constants.ts";
 import type { PartitionReader } from "./partitionReader.ts";
 import type { PartitionWriter } from "./partitionWriter.ts";
 import type { ClaimKey } from "./types.ts";
@@ -75,7 +75,7 @@
         return await readOnce();
       } catch (error) {
         if (!(error instanceof PlatformError) || clock.monotonic() >= attempt.deadline) throw error;
-        await pause(clock, backOff.initial);
+        await pause(clock, appendBackoff.initial);
       }
     }
   };
--- a/src/coordination/claims/constants.ts
+++ b/src/coordination/claims/constants.ts
@@ -34,7 +34,7 @@
  * Delays between appends: the first, and the maximum while the log service refuses by its rate limit or is
  * unavailable.
  */
-export const backOff = { initial: 10, maxWhileRateLimited: 500, maxWhileUnavailable: 100 } as const;
+export const appendBackoff = { initial: 10, maxWhileRateLimited: 500, maxWhileUnavailable: 100 } as const;
 
 /** How long a request waits for its claim before it is refused as `not_run`. */
 export const claimTimeout = 2_000;
--- a/src/coordination/claims/partitionWriter.ts
+++ b/src/coordination/claims/partitionWriter.ts
@@ -6,7 +6,7 @@
 import type { LogService } from "../../protocol/LogService.ts";
 import type { Clock } from "../clock.ts";
 import { pause } from "../clock.ts";
-import { backOff, maxBatchSize, maxBackgroundRecords, batchingDelay } from "./constants.ts";
+import { appendBackoff, maxBatchSize, maxBackgroundRecords, batchingDelay } from "./constants.ts";
 
 /** Result of appending a record. */
 export type AppendResult =
@@ -87,8 +87,8 @@
     background = [...batch.filter((item) => !item.isUrgent), ...background];
     dropExcessRecords();
     isUnavailable = !isPlatformError || error.fault !== "overloaded";
-    const maxDelay = isUnavailable ? backOff.maxWhileUnavailable : backOff.maxWhileRateLimited;
-    backOffDelay = Math.min(maxDelay, Math.max(backOff.initial, backOffDelay * 2));
+    const maxDelay = isUnavailable ? appendBackoff.maxWhileUnavailable : appendBackoff.maxWhileRateLimited;
+    backOffDelay = Math.min(maxDelay, Math.max(appendBackoff.initial, backOffDelay * 2));
   };
 
   const appendBatch = async (batch: readonly QueuedRecord[]): Promise<void> => {
@@ -97,7 +97,7 @@
       const records = batch.map((item) => item.data);
       const { offsets } = await log.append(stream, records);
       isUnavailable = false;
-      backOffDelay = backOffDelay > backOff.initial ? backOffDelay * 0.9 : 0;
+      backOffDelay = backOffDelay > appendBackoff.initial ? backOffDelay * 0.9 : 0;
       batch.forEach((item, index) =>
         settle(item, { kind: "appended", offset: offsets[index] ?? 0, mayBeDuplicated: item.mayBeAppended }),
       );
--- a/src/coordination/coordinators/constants.ts
+++ b/src/coordination/coordinators/constants.ts
@@ -1,7 +1,7 @@
 /** Constants for the coordination of keys. Durations are milliseconds. */
 
 /** Interval at which each router checks which keys it coordinates. */
-export const pollInterval = 250;
+export const roleCheckInterval = 250;
 
 /**
  * A router from which nothing was received for this long coordinates nothing any more: its successor takes over. It is
@@ -33,7 +33,7 @@
 export const maxCandidates = 3;
 
 /** A process whose own timer fires this late was paused: its view of the other routers is out of date. */
-export const processPause = 1_000;
+export const processPauseThreshold = 1_000;
 
 /** Timeout of a query: a multiple of the average answer time, between two bounds. */
 export const answerTimeout = { factor: 4, shortest: 15, longest: 80 } as const;
@@ -42,7 +42,7 @@
 export const initialAnswerTime = 5;
 
 /** Weight of a new sample in the moving average of answer times. */
-export const answerTimeGain = 0.1;
+export const answerTimeSmoothing = 0.1;
 
 /** A router that did not answer, or does not coordinate the key it was asked about, is skipped for this long. */
 export const skipDuration = 400;
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -1,11 +1,15 @@
 /** Sends queries to coordinators and matches answers to them; answers that arrive after the timeout are dropped. */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { KeeperQuestion, LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type {
+  CoordinatorQuery,
+  LimitAnswer,
+  UsageLimitQuery,
+} from "../../protocol/forwarding/limitMessage.ts";
 import { encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
 import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
 import type { LiveRouter } from "../replicaOwners/owners.ts";
-import { answerTimeGain, answerTimeout, initialAnswerTime } from "./constants.ts";
+import { answerTimeSmoothing, answerTimeout, initialAnswerTime } from "./constants.ts";
 
 export interface CoordinatorQueriesDependencies {
   readonly link: DatagramLink;
@@ -21,7 +25,7 @@
    *
    * @returns The answer of that router, or `undefined` if none arrives within the timeout.
    */
-  readonly ask: (to: LiveRouter, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  readonly query: (to: LiveRouter, query: CoordinatorQuery) => Promise<LimitAnswer | undefined>;
   /** Asks for a heartbeat: any answer counts as one. */
   readonly probe: (to: LiveRouter) => void;
   /** Resolves the query that an answer belongs to. */
@@ -40,7 +44,7 @@
 const firstNumberBound = 2 ** 32;
 
 /** A question without an organisation asks for a heartbeat only. */
-const heartbeatQuery: LimitQuestion = {
+const heartbeatQuery: UsageLimitQuery = {
   kind: "question",
   number: 0,
   organisation: "",
@@ -59,12 +63,12 @@
   let lastNumber = Math.floor(random() * firstNumberBound);
   const times = createAdaptiveTimeout({
     initialLatency: initialAnswerTime,
-    smoothingFactor: answerTimeGain,
+    smoothingFactor: answerTimeSmoothing,
     timeoutRange: answerTimeout,
   });
 
   return {
-    ask: ({ at }, query) =>
+    query: ({ at }, query) =>
       new Promise((resolve) => {
         lastNumber += 1;
         const number = lastNumber;
--- a/src/coordination/coordinators/coordinators.ts
+++ b/src/coordination/coordinators/coordinators.ts
@@ -12,9 +12,9 @@
 import {
   dataCentreTimeout,
   maxCandidates,
-  pollInterval,
+  roleCheckInterval,
   probeAfter,
-  processPause,
+  processPauseThreshold,
   successorsToConfirm,
   takeoverTimeout,
 } from "./constants.ts";
@@ -43,7 +43,7 @@
   readonly noteAnswer: (from: DatagramAddress) => void;
   /** @returns The routers to ask for a heartbeat, since a monitored key may depend on whether they are reachable. */
   readonly routersToProbe: () => ReadonlySet<LiveRouter>;
-  /** Detects that this process was paused; to be called at least every {@link pollInterval}. */
+  /** Detects that this process was paused; to be called at least every {@link roleCheckInterval}. */
   readonly poll: () => void;
 }
 
@@ -98,13 +98,13 @@
 
   const detectPause = (): void => {
     const now = clock.monotonic();
-    if (now - polledAt > processPause) runningSince = now;
+    if (now - polledAt > processPauseThreshold) runningSince = now;
     polledAt = now;
   };
 
   const refreshRouters = (): void => {
     const now = clock.monotonic();
-    if (now - refreshedAt < pollInterval) return;
+    if (now - refreshedAt < roleCheckInterval) return;
     refreshedAt = now;
     const byName = new Map<string, KnownRouter>();
     const addresses = new Map<string, KnownRouter>();
--- a/src/coordination/crashes/quarantine.ts
+++ b/src/coordination/crashes/quarantine.ts
@@ -134,7 +134,7 @@
 
   const add = (fingerprint: Fingerprint, why: QuarantineReason): void => {
     if (!quarantined.add(fingerprint, evidence.isOwn(fingerprint))) return;
-    maintenance.keep(fingerprint);
+    maintenance.cancelDrop(fingerprint);
     writeLog("held", { held: fingerprint, crashes: evidence.crashesOf(fingerprint), why });
   };
 
--- a/src/coordination/crashes/quarantineRecords.ts
+++ b/src/coordination/crashes/quarantineRecords.ts
@@ -11,7 +11,7 @@
 import type { FeedRecord, QuarantineRecord } from "../../protocol/forwarding/types.ts";
 import type { EpochSource, StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { createLogger } from "../../state/log.ts";
-import { createRecentMap } from "../../state/recentMap.ts";
+import { createBoundedMap } from "../../state/boundedMap.ts";
 import { maxQuarantined } from "./constants.ts";
 import type { QuarantinedRequests } from "./quarantinedRequests.ts";
 
@@ -46,7 +46,7 @@
   /**
    * Requests whose records this router has dropped: the store may list them again after a return from an older copy.
    */
-  const dropped = createRecentMap<true>(maxQuarantined);
+  const dropped = createBoundedMap<true>(maxQuarantined);
   let next: StorePosition | undefined;
   let isFailing = false;
   let last: Promise<boolean> = Promise.resolve(true);
--- a/src/coordination/crashes/recordsMaintenance.ts
+++ b/src/coordination/crashes/recordsMaintenance.ts
@@ -31,7 +31,7 @@
   /** Drops the record of a request as soon as the store can be reached. */
   readonly drop: (fingerprint: Fingerprint) => void;
   /** Cancels a pending drop: the request is quarantined again. */
-  readonly keep: (fingerprint: Fingerprint) => void;
+  readonly cancelDrop: (fingerprint: Fingerprint) => void;
   /** @returns Whether the record of a request is still to be dropped. */
   readonly isDropping: (fingerprint: Fingerprint) => boolean;
 }
@@ -89,7 +89,7 @@
     isReady: () => isReady,
     ready,
     isDropping: (fingerprint) => dropping.has(fingerprint),
-    keep: (fingerprint) => {
+    cancelDrop: (fingerprint) => {
       dropping.delete(fingerprint);
     },
     drop: (fingerprint) => {
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -124,7 +124,7 @@
       search.limitedChoice(),
     );
     const askedAt = clock.monotonic();
-    const known = await owners.ask(replicas, keys);
+    const known = await owners.query(replicas, keys);
     run.noteOwnerQuery(replicas.length, known.length, Math.round(clock.monotonic() - askedAt));
     return known.length > 0 ? known : replicas;
   };
@@ -152,7 +152,7 @@
     if (search.wasLimited()) return grants.refuse(run);
     const retryAfter = availability.retryAfter(run.admission.service.name);
     if (retryAfter !== undefined) {
-      metrics.count(metricNames.turnedAwayUnavailable);
+      metrics.count(metricNames.rejectedUnavailable);
       return failures.unavailable(retryAfter, failure);
     }
     return failures.notRun(run.deadline - clock.monotonic(), failure);
@@ -174,7 +174,7 @@
     // crashes replicas.
     while (!quarantine.isQuarantined(run.request) && !search.isExhausted()) {
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
-      const known = owners.isNeeded() ? await queryOwners(run, excluded, isWide, search) : undefined;
+      const known = owners.isEnabled() ? await queryOwners(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
       run.noteSkipped(availability.describeSkipped(run.admission.service.name));
       if (typeof choice === "string") {
@@ -188,7 +188,7 @@
         continue;
       }
       const comeBackAfter = load.comeBackAfter(run, choice);
-      if (comeBackAfter !== undefined && owners.isNeeded() && !isWide) {
+      if (comeBackAfter !== undefined && owners.isEnabled() && !isWide) {
         isWide = true;
         continue;
       }
--- a/src/coordination/forwarding/cacheHolders.test.ts
+++ b/src/coordination/forwarding/cacheHolders.test.ts
@@ -55,7 +55,7 @@
     const { holders } = create();
     const { holders: peer } = create();
     const announce = (isReady: boolean): void => {
-      for (const key of holders.notePrompt("a", prompt, "one", isReady)) peer.noteKey(key, "one", isReady);
+      for (const key of holders.notePrompt("a", prompt, "one", isReady)) peer.notePart(key, "one", isReady);
     };
     announce(false);
     const computing = {
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -48,7 +48,7 @@
   /** Records that a store of prompt parts reports a part as saved or dropped. */
   readonly noteStoreChange: (store: string, change: CacheChange) => void;
   /** Records a part that a peer announced. */
-  readonly noteKey: (key: number, holder: string, isReady: boolean) => void;
+  readonly notePart: (key: number, holder: string, isReady: boolean) => void;
   /**
    * @param callback - Called once, when the part becomes ready.
    * @returns A function that cancels the callback.
@@ -172,12 +172,12 @@
       ),
     keysOf,
     wasUsed: (key) => entriesByPart.has(key),
-    noteStoreChange: (store, { isKept: isKeptByStore, salt, part }) => {
+    noteStoreChange: (store, { isStored: isKeptByStore, salt, part }) => {
       const key = keyOf(salt, part);
       if (isKeptByStore) noteReported(key, store);
       else entriesByPart.get(key)?.delete(store);
     },
-    noteKey: (key, holder, isReady) => {
+    notePart: (key, holder, isReady) => {
       noteUse(key, holder, isReady);
     },
     whenReady: (key, callback) => {
--- a/src/coordination/forwarding/decisions.ts
+++ b/src/coordination/forwarding/decisions.ts
@@ -109,7 +109,7 @@
       client,
       health,
       clock,
-      isResponsibleFor: (replica) => !owners.isNeeded() || owners.isOwn(replica),
+      isResponsibleFor: (replica) => !owners.isEnabled() || owners.isOwnerOf(replica),
     }),
   );
   forgetDepartedReplicas(view, client, estimates);
@@ -118,7 +118,7 @@
     replicas,
     // With many routers, a broadcast costs more than the one request after which each router learns it itself.
     onDraining: (id) => {
-      if (!owners.isNeeded()) peers.tellLeaving(id);
+      if (!owners.isEnabled()) peers.announceLeaving(id);
     },
     // With many routers, the work report to the replica's owner carries it instead.
     onBackoff: peers.broadcastBackoff,
@@ -142,18 +142,18 @@
   });
   const attempt = createForwardAttempt({
     client,
-    check: createAnswerCheck({ replicas, client, clock, onLeaving: peers.tellLeaving }),
+    check: createAnswerCheck({ replicas, client, clock, onLeaving: peers.announceLeaving }),
     holders,
     // Routers query owners for the holders of parts; without owners, holders are announced to every peer.
     announceHolder: (replica, key, holder, isReady) => {
-      if (owners.isNeeded()) owners.reports.noteHolder(replica, key, holder, isReady);
-      else peers.tellHolder(key, holder, isReady);
+      if (owners.isEnabled()) owners.reports.noteHolder(replica, key, holder, isReady);
+      else peers.announceHolder(key, holder, isReady);
     },
-    announceToDirectory: (home, key, holder, isReady) => {
-      if (owners.isNeeded()) owners.reports.noteHolder(home, key, holder, isReady);
+    announceToHomeOwner: (home, key, holder, isReady) => {
+      if (owners.isEnabled()) owners.reports.noteHolder(home, key, holder, isReady);
     },
-    announcesSaves: owners.isNeeded,
-    onLongPrompt: peers.tellWork,
+    announcesSaves: owners.isEnabled,
+    onLongPrompt: peers.announceWork,
     reports: owners.reports,
     estimates,
     health,
--- a/src/coordination/forwarding/feedFollower.ts
+++ b/src/coordination/forwarding/feedFollower.ts
@@ -40,7 +40,7 @@
 /** Follows a feed until it is disposed of. */
 export interface FeedFollower extends AsyncDisposable {
   /** Ends the delay before the next read. */
-  readonly hurry: () => void;
+  readonly readNow: () => void;
   /**
    * Reads once, independently of a long poll that may be open. Records may be applied twice.
    *
@@ -178,7 +178,7 @@
   return {
     check,
     position: () => next,
-    hurry: () => wake.abort(),
+    readNow: () => wake.abort(),
     [Symbol.asyncDispose]: async () => {
       stop.abort();
       epochEnd.abort();
--- a/src/coordination/forwarding/forwarder.ts
+++ b/src/coordination/forwarding/forwarder.ts
@@ -63,7 +63,7 @@
   const checkQuarantine = async ({ request }: ForwardRun): Promise<void> => {
     const wait = await quarantine.admit(request);
     if (wait === undefined) return;
-    metrics.count(metricNames.heldBack);
+    metrics.count(metricNames.quarantined);
     throw failures.quarantined(wait);
   };
 
--- a/src/coordination/forwarding/limitGrants.ts
+++ b/src/coordination/forwarding/limitGrants.ts
@@ -35,12 +35,12 @@
 export const createLimitGrants = ({ limits, metrics, clock }: LimitGrantsDependencies): LimitGrants => ({
   acquire: async ({ admission, deadline, stopper }, { replica }, search) => {
     const timeLeft = deadline - clock.monotonic();
-    const grant = await limits.take(replica, search.maxWait(timeLeft, admission.route.latencyObjective));
+    const grant = await limits.acquire(replica, search.maxWait(timeLeft, admission.route.latencyObjective));
     if (grant === undefined) {
       search.noteRefused(replica.entry.id);
       return undefined;
     }
-    metrics.count(metricNames.underLimit);
+    metrics.count(metricNames.sentUnderLimit);
     const wait = grant.from - clock.monotonic();
     if (wait > 0) await pause(clock, wait, stopper.signal);
     return grant;
--- a/src/coordination/forwarding/partSaving.test.ts
+++ b/src/coordination/forwarding/partSaving.test.ts
@@ -5,11 +5,11 @@
 import { saveBurst, saveLinkShare } from "./constants.ts";
 import { defaultLoadPolicy } from "./loadPolicy.ts";
 import { createPartSaving } from "./partSaving.ts";
-import type { SharedParts } from "./partSaving.ts";
+import type { SaveCandidate } from "./partSaving.ts";
 
 const store: CacheStore = { address: "10.0.0.9:8000", dataCentre: "here", linkMegabits: 360_000 };
 
-const shared = (fields: Partial<SharedParts> = {}): SharedParts => ({
+const shared = (fields: Partial<SaveCandidate> = {}): SaveCandidate => ({
   store,
   wasUsed: false,
   isCached: false,
@@ -32,26 +32,26 @@
   it("saves nothing while memory holds the shared parts", () => {
     const { saving } = create();
     for (let use = 0; use < 50; use += 1) {
-      expect(saving.decide(shared())).toEqual(undefined);
-      expect(saving.decide(shared({ wasUsed: true, isCached: true }))).toEqual(undefined);
+      expect(saving.chooseStore(shared())).toEqual(undefined);
+      expect(saving.chooseStore(shared({ wasUsed: true, isCached: true }))).toEqual(undefined);
     }
   });
 
   it("saves lost parts, and all parts on first use once losses are frequent", () => {
     const { saving, clock } = create();
     const lost = { wasUsed: true, isKept: false };
-    expect(saving.decide(shared(lost))).toEqual(store);
+    expect(saving.chooseStore(shared(lost))).toEqual(store);
     clock.advanceTo(2_000);
-    expect(saving.decide(shared())).toEqual(undefined);
-    for (let use = 0; use < 5; use += 1) saving.decide(shared({ ...lost, isSaved: true }));
-    expect(saving.decide(shared())).toEqual(store);
+    expect(saving.chooseStore(shared())).toEqual(undefined);
+    for (let use = 0; use < 5; use += 1) saving.chooseStore(shared({ ...lost, isSaved: true }));
+    expect(saving.chooseStore(shared())).toEqual(store);
   });
 
   it("skips parts that are saved, cheap to compute, a small share of the prompt, or of superseded weights", () => {
     const { saving } = create();
     const lost = { wasUsed: true, isKept: false };
     for (const fields of [{ isSaved: true }, { computingTime: 5 }, { share: 0.3 }, { store: undefined }]) {
-      expect(saving.decide(shared({ ...lost, ...fields }))).toEqual(undefined);
+      expect(saving.chooseStore(shared({ ...lost, ...fields }))).toEqual(undefined);
     }
   });
 
@@ -61,7 +61,7 @@
     const seconds = 20;
     for (let at = 0; at < seconds * 1_000; at += 10) {
       clock.advanceTo(at);
-      if (saving.decide(shared({ wasUsed: true })) !== undefined) taken += 67;
+      if (saving.chooseStore(shared({ wasUsed: true })) !== undefined) taken += 67;
     }
     const limit = saveBurst + (seconds * 1_000 * saveLinkShare) / 4 + 67;
     expect(taken).toBeLessThanOrEqual(limit);
--- a/src/coordination/forwarding/partSaving.ts
+++ b/src/coordination/forwarding/partSaving.ts
@@ -18,7 +18,7 @@
 }
 
 /** What the decision to save a prompt's shared parts depends on. */
-export interface SharedParts {
+export interface SaveCandidate {
   /** The store that the parts may be saved in, if there is one. */
   readonly store: CacheStore | undefined;
   /** The deepest shared part was used before, under the same salt. */
@@ -41,7 +41,7 @@
    *
    * @returns The store to save its parts in; `undefined` if they are not to be saved.
    */
-  readonly decide: (shared: SharedParts) => CacheStore | undefined;
+  readonly chooseStore: (shared: SaveCandidate) => CacheStore | undefined;
   /** @returns Share of recently reused parts that no engine cached any more, 0 to 1. */
   readonly lossShare: () => number;
 }
@@ -51,7 +51,7 @@
   let availableLinkTime = 0;
   let refilledAt = clock.monotonic();
 
-  const noteUse = ({ wasUsed, isCached }: SharedParts): void => {
+  const noteUse = ({ wasUsed, isCached }: SaveCandidate): void => {
     if (wasUsed) lossShare += ((isCached ? 0 : 1) - lossShare) * lossSmoothingFactor;
   };
 
@@ -62,11 +62,11 @@
     refilledAt = now;
   };
 
-  const isWorthSaving = ({ computingTime, share }: SharedParts): boolean =>
+  const isWorthSaving = ({ computingTime, share }: SaveCandidate): boolean =>
     computingTime > minComputingTimeToSave && share >= minShareToSave;
 
   return {
-    decide: (shared) => {
+    chooseStore: (shared) => {
       noteUse(shared);
       if (shared.store === undefined || shared.isSaved || !isWorthSaving(shared)) return undefined;
       const isLost = shared.wasUsed && !shared.isCached;
--- a/src/coordination/forwarding/partWait.test.ts
+++ b/src/coordination/forwarding/partWait.test.ts
@@ -22,10 +22,10 @@
   it("ends for all waiting requests as soon as a peer announces the part as ready", async () => {
     const { holders, begin } = create();
     const waits = [begin(), begin()];
-    holders.noteKey(17, "engine", false);
+    holders.notePart(17, "engine", false);
     await settled();
     expect(waits.map(({ isOver }) => isOver)).toEqual([false, false]);
-    holders.noteKey(17, "engine", true);
+    holders.notePart(17, "engine", true);
     await settled();
     expect(waits.map(({ isOver }) => isOver)).toEqual([true, true]);
   });
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -23,7 +23,7 @@
   readonly isNear: boolean;
   at: DatagramAddress;
   /** When its last message arrived; negative infinity before the first one. */
-  lastSeenAt: number;
+  lastMessageAt: number;
   /** When it was added to the table. */
   readonly addedAt: number;
   /** The newest timestamp of its messages, by its own clock; `undefined` before the first one. */
@@ -101,17 +101,19 @@
 
   const intervalFactor = (isNear: boolean): number => (isNear ? intervalFactors.near : intervalFactors.far);
   const isLive = (peer: Peer): boolean =>
-    !peer.isShuttingDown && clock.monotonic() - peer.lastSeenAt < peerTimeout * intervalFactor(peer.isNear);
+    !peer.isShuttingDown &&
+    clock.monotonic() - peer.lastMessageAt < peerTimeout * intervalFactor(peer.isNear);
   /** Longer than the time after which a peer is not live, also where intervals between messages are long. */
   const retentionOf = ({ isNear }: Peer): number =>
     Math.max(peerServingTimeout, 2 * peerTimeout * intervalFactor(isNear));
   const mayServe = (peer: Peer): boolean =>
-    !peer.isShuttingDown && clock.monotonic() - Math.max(peer.lastSeenAt, peer.addedAt) < retentionOf(peer);
+    !peer.isShuttingDown &&
+    clock.monotonic() - Math.max(peer.lastMessageAt, peer.addedAt) < retentionOf(peer);
 
   const addPeer = (
     { name, incarnation, dataCentre }: Pick<RouterEntry, "name" | "incarnation" | "dataCentre">,
     at: DatagramAddress,
-    lastSeenAt: number,
+    lastMessageAt: number,
   ): Peer => {
     const peer = {
       name,
@@ -119,7 +121,7 @@
       dataCentre,
       isNear: dataCentre === here,
       at,
-      lastSeenAt,
+      lastSeenAt: lastMessageAt,
       addedAt: clock.monotonic(),
       lastTimestamp: undefined,
       proofAge: Number.POSITIVE_INFINITY,
@@ -171,10 +173,10 @@
       peer.isLoggedLive = true;
       peer.lastTimestamp = message.sentAt;
       peer.at = from;
-      peer.lastSeenAt = clock.monotonic();
+      peer.lastMessageAt = clock.monotonic();
       peer.proofAge = message.configuration?.age ?? Number.POSITIVE_INFINITY;
-      peer.hasSteppedDown = message.standsDown;
-      peer.isShuttingDown = message.ends;
+      peer.hasSteppedDown = message.hasSteppedDown;
+      peer.isShuttingDown = message.isShuttingDown;
       return peer;
     },
     isLive,
--- a/src/coordination/forwarding/placementTypes.ts
+++ b/src/coordination/forwarding/placementTypes.ts
@@ -1,6 +1,6 @@
 /** Results of placement, for plain replicas and model engines alike. */
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
-import type { SharedParts } from "./partSaving.ts";
+import type { SaveCandidate } from "./partSaving.ts";
 
 /** The replica chosen for a request, with what is sent along and what was predicted. Durations are milliseconds. */
 export interface PlacementChoice {
@@ -15,7 +15,7 @@
   /** `IP:PORT` of a replica or store to copy cached parts from. */
   readonly fetchFrom: string | undefined;
   /** What the decision to save the prompt's parts depends on; `undefined` if there are none to save. */
-  readonly sharedParts: SharedParts | undefined;
+  readonly sharedParts: SaveCandidate | undefined;
   /** For engines only: 0 is the most urgent. */
   readonly priority: number | undefined;
   /** Computing the prompt takes longer than the shortest interval between two messages to a peer. */
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { configurationOf, engineEntry, pageOf } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { createManualClock } from "../manualClock.ts";
 import { messagesPerInterval, peerMessageIntervals } from "./constants.ts";
@@ -35,7 +35,7 @@
       clock,
       replicas,
       configuration,
-      holders: { noteKey: (key, holder, isReady) => noted.push([key, holder, isReady]) },
+      holders: { notePart: (key, holder, isReady) => noted.push([key, holder, isReady]) },
       maxReadAge: () => longestReadAge,
       onNewerConfiguration: () => newer.push(self.name),
       ...noEpochs,
@@ -55,7 +55,7 @@
       clock: ownClock,
       replicas: createReplicaTable(),
       configuration,
-      holders: { noteKey: () => undefined },
+      holders: { notePart: () => undefined },
       maxReadAge: () => longestReadAge,
       onNewerConfiguration: () => undefined,
       ...noEpochs,
@@ -198,7 +198,7 @@
     const { routers, run, entries, clock } = create(names, (index) => `centre-${index % 4}`);
     for (const { peers } of routers) peers.add(entries);
     run(1_000);
-    routers[0]?.peers.tellChanging("engine", clock.monotonic() + 60_000);
+    routers[0]?.peers.announceChanging("engine", clock.monotonic() + 60_000);
     run(50);
     for (const { replicas, self } of routers.slice(1)) {
       const until = replicas.get("engine")?.changingUntil ?? 0;
@@ -224,12 +224,12 @@
     };
     for (const { peers } of routers) peers.add(entries);
     run(3_000);
-    const readers = routers.filter(({ peers }) => peers.isReader());
+    const readers = routers.filter(({ peers }) => peers.isStoreReader());
     expect(readers.filter(({ self }) => self.dataCentre === "here").length).toEqual(3);
     expect(readers.filter(({ self }) => self.dataCentre === "there").length).toEqual(3);
     readers[0]?.peers.stepDown();
     run(10_000);
-    expect(routers.filter(({ peers }) => peers.isReader()).length).toEqual(6);
+    expect(routers.filter(({ peers }) => peers.isStoreReader()).length).toEqual(6);
   });
 
   it("send no more messages per second however many there are", () => {
@@ -257,7 +257,7 @@
     const { first, second, run, entries } = create(["a", "b"]);
     second.peers.add(entries);
     run(1_000);
-    first.peers.tellHolder(17, "engine", true);
+    first.peers.announceHolder(17, "engine", true);
     run(2_000);
     expect(second.noted).toEqual([[17, "engine", true]]);
   });
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -5,7 +5,7 @@
  * A router finds the others in the platform's store when it starts; they learn of it from its first message.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
+import type { RouterMessage, AnnouncedWork } from "../../protocol/forwarding/peerMessage.ts";
 import {
   decodeRouterMessage,
   encodeRouterMessage,
@@ -53,25 +53,25 @@
   /** Whether there are so many routers that duties are divided between them. */
   readonly isLarge: () => boolean;
   /** Whether this router reads the store for others of its data centre. */
-  readonly isReader: () => boolean;
+  readonly isStoreReader: () => boolean;
   /** @returns The other routers of this data centre that read the store for others. */
-  readonly readers: () => readonly Peer[];
+  readonly otherStoreReaders: () => readonly Peer[];
   /** @returns How many routers may be serving, including this one and unreachable ones. */
   readonly countServing: () => number;
   /** Announces to peers that a replica runs new weights. */
-  readonly tellWeights: (replica: string, model: string, version: number) => void;
+  readonly announceWeights: (replica: string, model: string, version: number) => void;
   /** Announces to peers at once that a replica is to get no new work until a time on the monotonic clock. */
-  readonly tellChanging: (replica: string, until: number) => void;
+  readonly announceChanging: (replica: string, until: number) => void;
   /** Announces this router's work to peers now instead of at the next tick. */
-  readonly tellWork: () => void;
+  readonly announceWork: () => void;
   /** Announces to peers that a replica leaves. */
-  readonly tellLeaving: (replica: string) => void;
+  readonly announceLeaving: (replica: string) => void;
   /** Notifies peers that a replica asked for backoff; does nothing where owners of replicas report it. */
   readonly broadcastBackoff: (replica: ReplicaState) => void;
   /** Announces a replica's reported limit at once. Does nothing where there are many routers: its owner is queried. */
-  readonly tellLimit: (replica: ReplicaState) => void;
+  readonly announceLimit: (replica: ReplicaState) => void;
   /** Announces, with the next message, that a replica computes or caches a prompt part. */
-  readonly tellHolder: (key: number, replica: string, isReady: boolean) => void;
+  readonly announceHolder: (key: number, replica: string, isReady: boolean) => void;
   /** Announces that this router takes no duties any more. */
   readonly stepDown: () => void;
   /** Announces that this router shuts down. */
@@ -107,7 +107,7 @@
 });
 
 /** @returns The work of this router's own requests, by replica. */
-const ownWorkIn = (replicas: ReplicaTable): readonly ToldWork[] =>
+const ownWorkIn = (replicas: ReplicaTable): readonly AnnouncedWork[] =>
   replicas
     .all()
     .filter(({ requests }) => requests > 0)
@@ -200,15 +200,15 @@
       configuration: proofOf(configuration),
       work,
       ...updates.take(audience),
-      wanted: configuration.wantedAges(),
+      weightsTargets: configuration.wantedAges(),
       ...describeState(dependencies),
-      standsDown: !takesDuties(),
-      ends: isShuttingDown,
+      hasSteppedDown: !takesDuties(),
+      isShuttingDown: isShuttingDown,
     };
   };
 
   /** Where there are many routers, work is reported to the owners of replicas instead, and queried from them. */
-  const announcedWork = (): readonly ToldWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
+  const announcedWork = (): readonly AnnouncedWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
 
   const sendTo = (group: PeerGroup): void => {
     const work = announcedWork();
@@ -297,21 +297,22 @@
       return names.filter((name) => readers.includes(name));
     },
     isLarge: peers.isLarge,
-    isReader: () => peers.isDutyHolder(readingDuty, storeReaderCount, !takesDuties()),
-    readers: () => {
+    isStoreReader: () => peers.isDutyHolder(readingDuty, storeReaderCount, !takesDuties()),
+    otherStoreReaders: () => {
       const names = new Set(readerNames());
       return peers.all().filter(({ name }) => names.has(name));
     },
     countServing: () => 1 + peers.all().filter(peers.mayServe).length,
-    tellWeights: (replica, model, version) => announceSoon(() => updates.addWeights(replica, model, version)),
-    tellChanging: (replica, until) => announceSoon(() => updates.addChanging(replica, until)),
-    tellLeaving: (replica) => announceSoon(() => updates.addLeaving(replica)),
-    tellWork,
+    announceWeights: (replica, model, version) =>
+      announceSoon(() => updates.addWeights(replica, model, version)),
+    announceChanging: (replica, until) => announceSoon(() => updates.addChanging(replica, until)),
+    announceLeaving: (replica) => announceSoon(() => updates.addLeaving(replica)),
+    announceWork: tellWork,
     broadcastBackoff,
-    tellLimit: ({ entry, limit }) => {
+    announceLimit: ({ entry, limit }) => {
       if (limit !== undefined && !peers.isLarge()) announceSoon(() => updates.addLimit(entry.id, limit));
     },
-    tellHolder: updates.addHolder,
+    announceHolder: updates.addHolder,
     stepDown: () => {
       hasSteppedDown = true;
       sendAll();
--- a/src/coordination/forwarding/sharedParts.ts
+++ b/src/coordination/forwarding/sharedParts.ts
@@ -2,7 +2,7 @@
 import type { CacheStore, EngineCapacity, Prompt } from "../../protocol/forwarding/types.ts";
 import type { CacheHolders, CachedPrompt } from "./cacheHolders.ts";
 import { minComputingTimeToAwait } from "./constants.ts";
-import type { SharedParts } from "./partSaving.ts";
+import type { SaveCandidate } from "./partSaving.ts";
 import type { PromptView } from "./promptView.ts";
 
 const bitsPerByte = 8;
@@ -33,7 +33,7 @@
   prompt: Prompt,
   view: PromptView,
   { holders, engine, store, isNewest, prefillRate }: SharedPartsContext,
-): SharedParts | undefined => {
+): SaveCandidate | undefined => {
   const key = holders.deepestKey(view.salt, prompt);
   if (key === undefined) return undefined;
   const isCached = ([id, cached]: readonly [string, CachedPrompt]): boolean =>
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -84,7 +84,7 @@
 
   const setChanging = (replica: ReplicaState, until: number): void => {
     replica.changingUntil = until;
-    peers.tellChanging(replica.entry.id, until);
+    peers.announceChanging(replica.entry.id, until);
   };
 
   const withOrderTimeout = <T>(call: (limit: AbortSignal) => Promise<T>): Promise<T> =>
@@ -126,7 +126,7 @@
 
   const noteDone = ({ entry }: ReplicaState, { model, version }: WeightsTarget): void => {
     replicas.noteWeights(entry.id, model, version);
-    peers.tellWeights(entry.id, model, version);
+    peers.announceWeights(entry.id, model, version);
   };
 
   const sendOrder = async (
--- a/src/coordination/membership/constants.ts
+++ b/src/coordination/membership/constants.ts
@@ -21,7 +21,7 @@
   missedIntervals: 2.5,
   suspectIntervals: 1.5,
   slack: 250,
-  memory: 600_000,
+  retention: 600_000,
 };
 
 /** Opening of streams to peers. */
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -80,7 +80,7 @@
   dataCentre: peer.dataCentre,
   state: peer.state,
   incarnation: peer.incarnation,
-  lastHeardMillisecondsAgo: peer.heardAt === 0 ? null : Math.round(now - peer.heardAt),
+  lastHeardMillisecondsAgo: peer.lastMessageAt === 0 ? null : Math.round(now - peer.lastMessageAt),
   configurationVersion: peer.configuration?.version ?? null,
   stream: hasStream,
 });
--- a/src/coordination/membership/suspicions.ts
+++ b/src/coordination/membership/suspicions.ts
@@ -38,7 +38,7 @@
 const hasRecentHeartbeat = (peer: Peer, incarnation: number, now: number): boolean =>
   peer.state === "live" &&
   peer.incarnation >= incarnation &&
-  now - peer.heardAt <= recentIntervals * peer.nextWithin;
+  now - peer.lastMessageAt <= recentIntervals * peer.nextWithin;
 
 /** Creates the functions that ask and answer. */
 export const createSuspicions = (dependencies: SuspicionsDependencies): Suspicions => {
@@ -67,7 +67,7 @@
     for (const suspicion of suspicions) {
       const peer = directory.get(suspicion.name);
       if (peer === undefined || !hasRecentHeartbeat(peer, suspicion.incarnation, now)) continue;
-      const { name: peerName, incarnation, heardAt } = peer;
+      const { name: peerName, incarnation, lastMessageAt: heardAt } = peer;
       const age = Math.round(now - heardAt);
       message.sightings.push(create(SightingSchema, { name: peerName, incarnation, age }));
     }
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -7,7 +7,7 @@
  * among them. If routers only notified one another afterwards, they would have sent many times the limit by then.
  * Replicas without a limit cost nothing.
  */
-import type { ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type { ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { AnswerSpan, ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
 import { supersedes, toReportedSpan, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -57,7 +57,7 @@
    * @param maxWait - The longest time for which the request may wait, milliseconds.
    * @returns The grant, or `undefined` if there is none; no promise where the replica has no limit.
    */
-  readonly take: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
+  readonly acquire: (replica: ReplicaState, maxWait: number) => Promise<Grant | undefined> | undefined;
   /** An answer reported a limit. */
   readonly observeLimit: (replica: ReplicaState, reported: ReportedLimit) => void;
   /** An answer reported no limit. */
@@ -91,12 +91,12 @@
   const createQuery = (
     { entry }: ReplicaState,
     reported: ReportedLimit,
-    fields: Pick<ReplicaQuestion, "unnamed" | "isAsked" | "patience">,
-  ): ReplicaQuestion => ({
+    fields: Pick<ReplicaLimitQuery, "unnamed" | "isAsked" | "patience">,
+  ): ReplicaLimitQuery => ({
     kind: "replicaQuestion",
     number: 0,
     replica: entry.id,
-    word: toReportedLimitMessage(reported, clock.monotonic()),
+    reportedLimit: toReportedLimitMessage(reported, clock.monotonic()),
     ...fields,
   });
 
@@ -117,7 +117,7 @@
   ): Promise<void> => {
     const unnamed = missing === undefined ? undefined : toReportedSpan(missing, clock.monotonic());
     const query = createQuery(replica, reported, { unnamed, isAsked: false, patience: 0 });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer?.verdict === "unlimited") endLimit(replica);
   };
 
@@ -152,7 +152,7 @@
       isAsked: true,
       patience: Math.max(0, Math.floor(maxWait)),
     });
-    const answer = await coordination.ask(replica.entry.id, query);
+    const answer = await coordination.query(replica.entry.id, query);
     if (answer === undefined) return grantLocally(replica, reported);
     localBuckets.delete(replica.entry.id);
     if (answer.verdict === "unlimited") endLimit(replica);
@@ -170,7 +170,7 @@
   };
 
   return {
-    take: (replica, maxWait) =>
+    acquire: (replica, maxWait) =>
       replica.limit === undefined ? undefined : requestGrant(replica, replica.limit, maxWait),
     observeLimit: (replica, reported) => {
       const known = replica.limit;
--- a/src/coordination/replicaOwners/constants.ts
+++ b/src/coordination/replicaOwners/constants.ts
@@ -22,7 +22,7 @@
 export const initialAnswerTime = 3;
 
 /** Weight of a new observation in the moving average of the answer time. */
-export const answerTimeWeight = 0.1;
+export const answerTimeSmoothing = 0.1;
 
 /**
  * Replicas that are asked about for one request: homes of its deepest shared part, known holders, and random others.
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -12,7 +12,7 @@
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
 import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
-import { answerTimeout, answerTimeWeight, initialAnswerTime } from "./constants.ts";
+import { answerTimeout, answerTimeSmoothing, initialAnswerTime } from "./constants.ts";
 import type { LiveRouter, Owners } from "./owners.ts";
 
 export interface OwnerQueriesDependencies {
@@ -31,7 +31,7 @@
    * @param keys - Keys of the prompt's parts.
    * @returns The replicas whose state is known now, because their owners answered or this router is the owner.
    */
-  readonly ask: (
+  readonly query: (
     replicas: readonly ReplicaState[],
     keys: readonly number[],
   ) => Promise<readonly ReplicaState[]>;
@@ -66,7 +66,7 @@
   let number = 0;
   const times = createAdaptiveTimeout({
     initialLatency: initialAnswerTime,
-    smoothingFactor: answerTimeWeight,
+    smoothingFactor: answerTimeSmoothing,
     timeoutRange: answerTimeout,
   });
 
@@ -93,7 +93,7 @@
     question.finish();
   };
 
-  const ask: OwnerQueries["ask"] = (replicas, keys) =>
+  const ask: OwnerQueries["query"] = (replicas, keys) =>
     new Promise((resolve) => {
       const known: ReplicaState[] = [];
       const byOwner = groupByOwner(replicas, known);
@@ -133,5 +133,5 @@
     if (question.waiting.size === 0) question.finish();
   };
 
-  return { ask, receiveAnswer };
+  return { query: ask, receiveAnswer };
 };
--- a/src/coordination/replicaOwners/replicaOwners.test.ts
+++ b/src/coordination/replicaOwners/replicaOwners.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { engineEntry } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { totalRequests } from "../../state/forwarding/replicaState.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
@@ -49,13 +49,13 @@
       const state = replica(id);
       state.requests += 1;
       state.promptTokens[3] = (state.promptTokens[3] ?? 0) + tokens;
-      owners.reports.noteBegin(state);
+      owners.reports.noteRequestSent(state);
     };
     const end = (id: string, tokens: number): void => {
       const state = replica(id);
       state.requests -= 1;
       state.promptTokens[3] = (state.promptTokens[3] ?? 0) - tokens;
-      owners.reports.noteChange(state);
+      owners.reports.noteWorkChanged(state);
     };
     return { self, replicas, holders, owners, replica, begin, end };
   };
@@ -70,7 +70,7 @@
     await settled();
   };
   const ownerOf = (id: string) => {
-    const owner = routers.find(({ owners, replica }) => owners.isOwn(replica(id)));
+    const owner = routers.find(({ owners, replica }) => owners.isOwnerOf(replica(id)));
     if (owner === undefined) throw new Error(`no router owns ${id}`);
     return owner;
   };
@@ -78,7 +78,7 @@
   /** Asks about one engine. */
   const ask = async (router: (typeof routers)[number], id: string, keys: readonly number[] = []) => {
     let known: readonly ReplicaState[] | undefined;
-    void router.owners.ask([router.replica(id)], keys).then((answered) => (known = answered));
+    void router.owners.query([router.replica(id)], keys).then((answered) => (known = answered));
     await run(answerTimeout.longest + 5);
     if (known === undefined) throw new Error("the question is still open");
     return known.length > 0;
@@ -90,7 +90,7 @@
   it("are the same for all routers, one for each replica", () => {
     const { routers } = create(12);
     for (const id of engineIds) {
-      expect(routers.filter(({ owners, replica }) => owners.isOwn(replica(id))).length).toEqual(1);
+      expect(routers.filter(({ owners, replica }) => owners.isOwnerOf(replica(id))).length).toEqual(1);
     }
   });
 
@@ -136,7 +136,7 @@
     expect(await ask(second, "engine-0")).toEqual(false);
     // The next candidate receives the repeated report, and answers.
     await run(unreachableOwnerTimes.first / 4);
-    first.owners.reports.noteChange(first.replica("engine-0"));
+    first.owners.reports.noteWorkChanged(first.replica("engine-0"));
     await run(60);
     expect(await ask(second, "engine-0")).toEqual(true);
     expect(totalRequests(second.replica("engine-0"))).toEqual(1);
@@ -229,27 +229,27 @@
           else if (each.kind === "ask") {
             const question = { until: clock.monotonic() + answerTimeout.longest };
             open.add(question);
-            void router.owners.ask([router.replica(id)], []).then(() => {
+            void router.owners.query([router.replica(id)], []).then(() => {
               open.delete(question);
               expect(clock.monotonic() <= question.until).toEqual(true);
             });
           } else if (each.kind === "freeze") network.freeze(router.self.port);
           else if (each.kind === "thaw") network.thaw(router.self.port);
           else if (each.kind === "delay") network.delay = each.delay;
-          else if (each.kind === "loss") network.lostOfEach = each.every;
-          else if (each.kind === "noLoss") network.lostOfEach = 0;
+          else if (each.kind === "loss") network.loseEveryNth = each.every;
+          else if (each.kind === "noLoss") network.loseEveryNth = 0;
           else if (each.kind === "run") await run(each.milliseconds);
           // Lets immediate answers arrive before the clock advances.
           await settled();
         }
         // After the faults end, the owners know each request once, and none that has ended.
-        network.lostOfEach = 0;
+        network.loseEveryNth = 0;
         network.delay = 1;
         for (const { self } of routers) network.thaw(self.port);
         await run(unreachableOwnerTimes.longest + 2 * reportLifetime);
         expect(open.size).toEqual(0);
         for (const id of engineIds) {
-          const owner = routers.find(({ owners, replica }) => owners.isOwn(replica(id)));
+          const owner = routers.find(({ owners, replica }) => owners.isOwnerOf(replica(id)));
           const truth = routers.reduce((sum, { replica }) => sum + replica(id).requests, 0);
           const known = owner?.replica(id);
           if (known === undefined) throw new Error(`no router owns ${id}`);
--- a/src/coordination/replicaOwners/replicaOwners.ts
+++ b/src/coordination/replicaOwners/replicaOwners.ts
@@ -37,16 +37,16 @@
 
 export interface ReplicaOwners extends AsyncDisposable {
   /** @returns Whether there are enough routers for owners to be asked. */
-  readonly isNeeded: () => boolean;
+  readonly isEnabled: () => boolean;
   /** @returns Whether this router is the owner of a replica. */
-  readonly isOwn: (replica: ReplicaState) => boolean;
+  readonly isOwnerOf: (replica: ReplicaState) => boolean;
   /**
    * Asks the owners of replicas for their state.
    *
    * @param keys - Keys of the prompt's parts.
    * @returns The replicas whose state is known now.
    */
-  readonly ask: (
+  readonly query: (
     replicas: readonly ReplicaState[],
     keys: readonly number[],
   ) => Promise<readonly ReplicaState[]>;
@@ -61,7 +61,7 @@
 ): number => {
   if (replica === undefined) return 0;
   const { computedTokens, reportedTokens } = replica;
-  if (owners.isNeeded() && owners.isOwn(replica)) return computedTokens + reportedTokens;
+  if (owners.isEnabled() && owners.isOwnerOf(replica)) return computedTokens + reportedTokens;
   // Assumes that other routers have as much computed there as this one, on average.
   return computedTokens * peers.countLive();
 };
@@ -80,7 +80,7 @@
     createOwnedReplicas({ replicas, holders, cacheStores: dependencies.cacheStores, clock }),
   );
   const reports = resources.use(
-    createWorkReports({ name, incarnation, link, owners, replicas, clock, isNeeded: peers.isLarge }),
+    createWorkReports({ name, incarnation, link, owners, replicas, clock, isEnabled: peers.isLarge }),
   );
 
   const applyAnswer = (answer: AnswerMessage): readonly ReplicaState[] => {
@@ -112,9 +112,9 @@
   });
 
   return {
-    isNeeded: peers.isLarge,
-    isOwn: (replica) => owners.isSelf(owners.ownerOf(replica)),
-    ask: queries.ask,
+    isEnabled: peers.isLarge,
+    isOwnerOf: (replica) => owners.isSelf(owners.ownerOf(replica)),
+    query: queries.query,
     reports,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
   };
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -5,7 +5,7 @@
 import type { WorkMessage, WorkReport } from "../../protocol/forwarding/ownerMessage.ts";
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
 import { toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
@@ -24,14 +24,14 @@
   readonly replicas: ReplicaTable;
   readonly clock: Clock;
   /** @returns Whether there are enough routers for work to be reported to owners instead of all peers. */
-  readonly isNeeded: () => boolean;
+  readonly isEnabled: () => boolean;
 }
 
 export interface WorkReports extends AsyncDisposable {
   /** Reports that a request of this router has just been sent to a replica. */
-  readonly noteBegin: (replica: ReplicaState) => void;
+  readonly noteRequestSent: (replica: ReplicaState) => void;
   /** Reports that a prompt was computed or a request has ended. */
-  readonly noteChange: (replica: ReplicaState) => void;
+  readonly noteWorkChanged: (replica: ReplicaState) => void;
   /**
    * Reports that a replica or a cache store computes or keeps a prompt part.
    *
@@ -43,7 +43,7 @@
 
 interface Pending {
   readonly replica: ReplicaState;
-  readonly holders: ToldHolder[];
+  readonly holders: AnnouncedHolder[];
 }
 
 const createReport = (replica: ReplicaState, now: number): WorkReport => ({
@@ -58,7 +58,7 @@
 
 /** Starts to report to owners until it is disposed of. */
 export const createWorkReports = (dependencies: WorkReportsDependencies): WorkReports => {
-  const { name, incarnation, link, owners, replicas, clock, isNeeded } = dependencies;
+  const { name, incarnation, link, owners, replicas, clock, isEnabled: isNeeded } = dependencies;
   const pending = new Map<string, Pending>();
   let sequence = 0;
   let cancelFlush: (() => void) | undefined;
@@ -113,12 +113,12 @@
   let cancelRepeat = clock.after(reportRepeatInterval, repeat);
 
   return {
-    noteBegin: (replica) => {
+    noteRequestSent: (replica) => {
       if (!isNeeded()) return;
       addPending(replica);
       flush();
     },
-    noteChange: (replica) => {
+    noteWorkChanged: (replica) => {
       if (!isNeeded()) return;
       addPending(replica);
       flushSoon();
--- a/src/coordination/replicaReports/backoff.ts
+++ b/src/coordination/replicaReports/backoff.ts
@@ -4,7 +4,7 @@
  * makes other replicas preferred, for a time that doubles with each refusal.
  */
 import type { ReplicaBackoff, ReplicaState } from "../../state/forwarding/replicaState.ts";
-import { avoidance, recoveryIntervals, reopeningJitter } from "./constants.ts";
+import { avoidanceTimes, recoveryIntervals, reopeningJitter } from "./constants.ts";
 
 /** @returns Whether nothing may be sent to the replica now. */
 export const isBackingOff = ({ backoff }: ReplicaState, now: number): boolean =>
@@ -64,7 +64,7 @@
 /** Notes that the replica refused a request without a usable `Retry-After`. @param random - From 0 to 1. */
 export const noteRefusal = (replica: ReplicaState, now: number, random: number): void => {
   const backoff = ensureBackoff(replica);
-  const longest = Math.min(avoidance.longest, avoidance.first * 2 ** backoff.refusals);
+  const longest = Math.min(avoidanceTimes.longest, avoidanceTimes.first * 2 ** backoff.refusals);
   backoff.refusals += 1;
   backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + (longest / 2) * (1 + random));
   if (backoff.interval > 0) backoff.interval = recoveryIntervals.first;
@@ -73,7 +73,7 @@
 /** Prefers other replicas after this one asked another router for backoff; it may have room for this router. */
 export const avoidReplica = (replica: ReplicaState, now: number): void => {
   const backoff = ensureBackoff(replica);
-  backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + avoidance.longest);
+  backoff.avoidedUntil = Math.max(backoff.avoidedUntil, now + avoidanceTimes.longest);
 };
 
 /** @returns Until when other routers should prefer other replicas, milliseconds on the monotonic clock. */
--- a/src/coordination/replicaReports/constants.ts
+++ b/src/coordination/replicaReports/constants.ts
@@ -10,7 +10,7 @@
 export const recoveryIntervals = { first: 100, shortest: 5 } as const;
 
 /** How long other replicas are preferred after a refusal that doesn't say for how long; doubles with each refusal. */
-export const avoidance = { first: 50, longest: 1_000 } as const;
+export const avoidanceTimes = { first: 50, longest: 1_000 } as const;
 
 /** Callers for which no replica is available retry spread over this time after the backoff, or a share of it if more. */
 export const retryJitter = { least: 500, share: 0.5 } as const;
--- a/src/coordination/replicaReports/replicaGate.ts
+++ b/src/coordination/replicaReports/replicaGate.ts
@@ -45,7 +45,7 @@
       withhold: () => {
         const reason = reasonToWithhold(replicas.get(replica.id), askedAt, clock.monotonic());
         if (reason === undefined) return undefined;
-        metrics.count(metricNames.withheld);
+        metrics.count(metricNames.requestsWithheld);
         return upstreamError(`the replica ${reason}`, "withheld", "not_sent");
       },
       observe: (report) => observe({ replica, id, askedAt }, report),
--- a/src/coordination/replicaReports/reportObserver.test.ts
+++ b/src/coordination/replicaReports/reportObserver.test.ts
@@ -3,7 +3,7 @@
 import { engineEntry } from "../../../tests/support/forwardingFixture.ts";
 import type { ReplicaReport } from "../../protocol/forwarding/types.ts";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
-import { directLogs } from "../../state/log.ts";
+import { setLogSink } from "../../state/log.ts";
 import { MemoryMetrics } from "../../state/MemoryMetrics.ts";
 import { createManualClock } from "../manualClock.ts";
 import { createReportObserver } from "./reportObserver.ts";
@@ -63,7 +63,7 @@
   it("change nothing where they can't be decoded, and are counted each time and logged once", () => {
     const { receive, observed, metrics } = start();
     const lines: string[] = [];
-    directLogs((_, event) => lines.push(event));
+    setLogSink((_, event) => lines.push(event));
     receive("unreadable");
     receive("unreadable");
     expect(observed).toEqual([]);
@@ -83,7 +83,7 @@
 describe("draining and backoff in answers", () => {
   const record = () => {
     const lines: [string, unknown][] = [];
-    directLogs((_, event, fields) => lines.push([event, fields]));
+    setLogSink((_, event, fields) => lines.push([event, fields]));
     return lines;
   };
 
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -89,7 +89,7 @@
       limits.observeNoLimit(replica, span);
       return;
     }
-    metrics.count(metricNames.limitsNamed);
+    metrics.count(metricNames.limitsReported);
     limits.observeLimit(replica, { perSecond: limit, ...span });
   };
 
--- a/src/coordination/republication.ts
+++ b/src/coordination/republication.ts
@@ -60,7 +60,7 @@
     // A lost answer is harmless: a later check shows whether the record was appended.
     await log.append(logStreams.configuration, [encodeConfigurationRecord(record)]);
     republishedAt = clock.monotonic();
-    metrics.count(metricNames.restatements);
+    metrics.count(metricNames.republications);
     writeLog("restated", { version: record.version });
   };
 
--- a/src/coordination/requests/attemptOpener.ts
+++ b/src/coordination/requests/attemptOpener.ts
@@ -36,7 +36,7 @@
     promptTokens: work.promptTokens + state.answer.tokens,
     maximumTokens: Math.max(1, request.maximumTokens - state.answer.tokens),
     excluded: new Set([...state.excluded, ...tried]),
-    furtherAttempt: state.wasAdmitted,
+    alreadyAdmitted: state.wasAdmitted,
   });
 
   /**
--- a/src/coordination/requests/backOff.ts
+++ b/src/coordination/requests/backoff.ts
@@ -1,5 +1,5 @@
 /** Delays before retries, randomised so that requests that failed together are not retried together. */
-import { initialBackOff, maxBackOff } from "./constants.ts";
+import { initialBackoff, maxBackoff } from "./constants.ts";
 
 /**
  * Picks a back-off delay with full jitter: at random below a maximum that doubles with each failure.
@@ -8,7 +8,7 @@
  * @param random - Returns a number from 0 up to but not including 1.
  * @returns The delay, milliseconds.
  */
-export const pickBackOff = (failures: number, random: () => number): number => {
-  const maxDelay = Math.min(maxBackOff, initialBackOff * 2 ** (failures - 1));
+export const pickBackoff = (failures: number, random: () => number): number => {
+  const maxDelay = Math.min(maxBackoff, initialBackoff * 2 ** (failures - 1));
   return random() * maxDelay;
 };
--- a/src/coordination/requests/completionRun.ts
+++ b/src/coordination/requests/completionRun.ts
@@ -89,7 +89,7 @@
 const checkQuarantine = async ({ dependencies, job }: RunScope): Promise<void> => {
   const retryAfter = await dependencies.quarantine.admit(job);
   if (retryAfter === undefined) return;
-  dependencies.metrics.count(metricNames.heldBack);
+  dependencies.metrics.count(metricNames.quarantined);
   throw refusals.quarantined(retryAfter / millisecondsPerSecond);
 };
 
--- a/src/coordination/requests/constants.ts
+++ b/src/coordination/requests/constants.ts
@@ -7,10 +7,10 @@
 export const defaultRetryAfterSeconds = 1;
 
 /** Maximum back-off before the first retry; doubled for each further one. */
-export const initialBackOff = 20;
+export const initialBackoff = 20;
 
 /** Upper bound of the back-off before any retry. */
-export const maxBackOff = 500;
+export const maxBackoff = 500;
 
 /** Retries that a class can accumulate; also the number by which continuations of streams can overdraw the budget. */
 export const maxRetryBalance = 50;
--- a/src/coordination/requests/eventIds.ts
+++ b/src/coordination/requests/eventIds.ts
@@ -13,7 +13,7 @@
 const toSeconds = (milliseconds: number): number => Math.ceil(milliseconds / 1_000);
 
 /** @returns A digest long enough to detect a different body. It is short because every event carries it. */
-export const shortDigest = (request: CompletionRequest): string =>
+export const shortRequestDigest = (request: CompletionRequest): string =>
   digestRequest(request).slice(0, shortDigestLength);
 
 /**
@@ -30,7 +30,7 @@
     const remaining = Math.max(0, context.completionDeadline - clock.monotonic());
     return tokens.sign({
       organisation: context.organisation.name,
-      digest: shortDigest(request),
+      digest: shortRequestDigest(request),
       idempotent: context.idempotent,
       engineId: batch.engineId,
       incarnation: batch.incarnation,
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -7,7 +7,7 @@
 import type { DeliveredAnswer } from "./deliveredAnswer.ts";
 import { noteEngineFailure, requestIdOfAttempt } from "./attempt.ts";
 import type { AttemptEnd, OpenAttempt } from "./attempt.ts";
-import { shortDigest } from "./eventIds.ts";
+import { shortRequestDigest } from "./eventIds.ts";
 import { resumeRefusals } from "./refusals.ts";
 import type { CompletionRunDependencies } from "./runScope.ts";
 import { createStopper } from "./stopper.ts";
@@ -41,7 +41,7 @@
   const point = tokens.read(token, context.organisation.name, Math.floor(clock.wall() / 1_000));
   if (point === "malformed" || point === "forged") throw resumeRefusals.invalidToken();
   if (point === "expired") throw resumeRefusals.expired();
-  if (point.digest !== shortDigest(request)) throw resumeRefusals.otherRequest();
+  if (point.digest !== shortRequestDigest(request)) throw resumeRefusals.otherRequest();
   const deliveredText = request.body.pomelocleat_delivered;
   return {
     ...job,
--- a/src/coordination/requests/retryDecision.ts
+++ b/src/coordination/requests/retryDecision.ts
@@ -6,8 +6,8 @@
 import type { Clock } from "../clock.ts";
 import { isExemptFromRetryBudget, mayRetry } from "./attemptFailures.ts";
 import type { RequestProgress } from "./attemptFailures.ts";
-import { pickBackOff } from "./backOff.ts";
-import { initialBackOff, maxAttemptsWithoutProgress, timerPrecision } from "./constants.ts";
+import { pickBackoff } from "./backoff.ts";
+import { initialBackoff, maxAttemptsWithoutProgress, timerPrecision } from "./constants.ts";
 import type { RetryBudget } from "./retryBudget.ts";
 import type { Stopper } from "./stopper.ts";
 
@@ -74,14 +74,14 @@
     if (failures === 0) return undefined;
     excluded.clear();
     refusals += 1;
-    const delay = initialBackOff + pickBackOff(failures + refusals, dependencies.random);
+    const delay = initialBackoff + pickBackoff(failures + refusals, dependencies.random);
     return delayIfBefore(firstTokenDeadline, delay);
   };
 
   const decideAfterFailure = (error: unknown, progress: RequestProgress): number | undefined => {
     recordFailure();
     if (failures >= maxAttemptsWithoutProgress || !mayRetry(error, progress)) return undefined;
-    const delay = pickBackOff(failures, dependencies.random);
+    const delay = pickBackoff(failures, dependencies.random);
     if (delayIfBefore(context.completionDeadline, delay) === undefined) return undefined;
     const kind = progress.delivered ? "continuation" : "attempt";
     if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, kind)) {
--- a/src/coordination/requests/serviceRunner.ts
+++ b/src/coordination/requests/serviceRunner.ts
@@ -18,7 +18,7 @@
   mayRetry,
   provesNotRun,
 } from "./attemptFailures.ts";
-import { pickBackOff } from "./backOff.ts";
+import { pickBackoff } from "./backoff.ts";
 import { refusals } from "./refusals.ts";
 import type { RetryBudget } from "./retryBudget.ts";
 import { createReplicaSelector } from "./replicaSelector.ts";
@@ -146,7 +146,7 @@
     const { requestClass, completionDeadline } = state.job.context;
     if (state.attempts >= maxAttempts || state.signal.aborted) return undefined;
     if (!mayRetry(error, toProgress(state))) return undefined;
-    const delay = pickBackOff(state.attempts, random);
+    const delay = pickBackoff(state.attempts, random);
     if (clock.monotonic() + delay >= completionDeadline) return undefined;
     if (!isExemptFromRetryBudget(error) && !retryBudget.tryTake(requestClass, "attempt")) {
       metrics.count(metricNames.retriesDenied, 1, { class: requestClass.name });
--- a/src/coordination/scheduling/PredictiveScheduler.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.ts
@@ -197,7 +197,7 @@
    * @returns The refusal if the limits are reached.
    */
   private admit(work: Work, now: number): RequestError | undefined {
-    if (work.furtherAttempt ?? work.excluded.size > 0) {
+    if (work.alreadyAdmitted ?? work.excluded.size > 0) {
       this.limits.readmit(work.context, now);
       return undefined;
     }
--- a/src/coordination/scheduling/Scheduler.ts
+++ b/src/coordination/scheduling/Scheduler.ts
@@ -18,7 +18,7 @@
    * True if the request has been admitted before, so that it is not checked against the limits again. Where absent,
    * a request with excluded engines counts as admitted before.
    */
-  readonly furtherAttempt?: boolean;
+  readonly alreadyAdmitted?: boolean;
 }
 
 /** The outcome of an attempt, from which the scheduler learns. */
--- a/src/coordination/scheduling/constants.ts
+++ b/src/coordination/scheduling/constants.ts
@@ -1,7 +1,7 @@
 /** Constants of the predictive scheduler. Times are milliseconds unless stated otherwise. */
 
 /** Size of the heat sketch, the time constant of its decay and its shortest rate window. */
-export const heatSketchLimits = { maximumKeys: 4096, memory: 4_000, shortestWindow: 4_000 } as const;
+export const heatSketchLimits = { maximumKeys: 4096, decayTime: 4_000, shortestWindow: 4_000 } as const;
 
 /** Size of the cache model: prefix levels, and engines for each level. */
 export const cacheModelLimits = { maximumLevels: 8192, maximumEnginesPerLevel: 8 } as const;
--- a/src/coordination/scheduling/engineEstimate.ts
+++ b/src/coordination/scheduling/engineEstimate.ts
@@ -21,7 +21,7 @@
 import { createInFlightHistory } from "./inFlightHistory.ts";
 
 /** Configured capacity of an engine. */
-export interface EngineCapacity {
+export interface ConfiguredCapacity {
   readonly maximumRunning: number;
   readonly prefillTokensPerSecond: number;
 }
@@ -39,7 +39,7 @@
 /** Predictions about one engine. Times are milliseconds, on one monotonic clock. */
 export interface EngineEstimate {
   /** Applies the engine's latest load report, if it is new. */
-  readonly refresh: (engine: EngineReplica, capacity: EngineCapacity, now: number) => void;
+  readonly refresh: (engine: EngineReplica, capacity: ConfiguredCapacity, now: number) => void;
   readonly millisecondsPerToken: () => number;
   /** @returns Milliseconds since the engine's current incarnation and weights were first seen. */
   readonly identityAge: (now: number) => number;
@@ -114,7 +114,7 @@
     slotLimit = clamp(slotLimit, 1, maximum);
   };
 
-  const refresh = (engine: EngineReplica, capacity: EngineCapacity, now: number): void => {
+  const refresh = (engine: EngineReplica, capacity: ConfiguredCapacity, now: number): void => {
     const configured = 1_000 / capacity.prefillTokensPerSecond;
     if (configured !== configuredTokenCost) {
       configuredTokenCost = configured;
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -2,7 +2,7 @@
 import { setImmediate as settled } from "node:timers/promises";
 import { expect } from "earl";
 import * as fc from "fast-check";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { pause } from "../clock.ts";
 import { createManualClock } from "../manualClock.ts";
 import type { Peer } from "../forwarding/peerTable.ts";
@@ -71,7 +71,7 @@
       readers,
       readAge: () => clock.monotonic() - state.readAt,
       operator: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
         lastChangePosition: () => new StorePosition(state.epoch, state.offset),
         age: () => clock.monotonic() - state.provenAt,
         confirm: (moment) => {
@@ -79,7 +79,7 @@
         },
       },
       replicas: {
-        feed: { position: () => new StorePosition(state.epoch, state.offset), check, hurry },
+        feed: { position: () => new StorePosition(state.epoch, state.offset), check, readNow: hurry },
         lastChangePosition: () => new StorePosition(state.epoch, 0),
         age: () => clock.monotonic() - state.registryProvenAt,
         confirm: (moment) => {
@@ -259,7 +259,7 @@
             else if (each.kind === "messageDelay") network.delay = each.delay;
             else if (each.kind === "storeDelay") store.delay = each.delay;
             else if (each.kind === "down") store.isDown = each.isDown;
-            else if (each.kind === "loss") network.lostOfEach = each.every;
+            else if (each.kind === "loss") network.loseEveryNth = each.every;
             else if (each.kind === "run") await run(each.milliseconds, observe);
             else {
               const router = routers[each.router];
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -126,7 +126,7 @@
     const since = question.askedAt;
     question = undefined;
     if (!applyProof(operator, answer.operator, since)) void check();
-    if (!applyProof(replicas, answer.replicas, since)) replicas.feed.hurry();
+    if (!applyProof(replicas, answer.replicas, since)) replicas.feed.readNow();
   };
 
   const progressOf = ({ lastChangePosition: changedAt, age }: FollowedRecords): ReadProgress | undefined => {
@@ -165,7 +165,7 @@
     const interval = failures > 0 ? ownReadRetryDelays.longest : ownRegistryReadInterval;
     if (clock.monotonic() - hurriedAt < interval) return;
     hurriedAt = clock.monotonic();
-    replicas.feed.hurry();
+    replicas.feed.readNow();
   };
 
   const checkFreshness = (): void => {
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -89,7 +89,7 @@
     account.spent = 0;
     account.returned = 0;
     const query = { kind: "question", number: 0, organisation, amount, spent, returned } as const;
-    const answer = await coordination.ask(organisation, query);
+    const answer = await coordination.query(organisation, query);
     if (answer !== undefined) return answer;
     account.spent += spent;
     account.returned += returned;
@@ -99,7 +99,7 @@
   /** Writes one log line when the coordinator becomes unreachable, and one when it answers again. */
   const noteAnswer = (organisation: string, answer: LimitAnswer | undefined): void => {
     const account = accountOf(organisation);
-    if (answer !== undefined) noteRemaining(account, answer.room, clock);
+    if (answer !== undefined) noteRemaining(account, answer.remainingPercent, clock);
     const isWithoutCoordinator = answer === undefined;
     if (isWithoutCoordinator !== account.isWithoutCoordinator)
       writeLog(isWithoutCoordinator ? "unasked" : "asked", { organisation });
--- a/src/daemons/completionQuarantine.ts
+++ b/src/daemons/completionQuarantine.ts
@@ -43,7 +43,7 @@
 }: CompletionQuarantineParts): CompletionQuarantine => {
   const resources = createResourceStack();
   const link = resources.use(
-    new LogUpdatesLink({ log, stream: logStreams.crashNews, clock, longPoll, retryInterval }),
+    new LogUpdatesLink({ log, stream: logStreams.crashUpdates, clock, longPoll, retryInterval }),
   );
   const quarantine = resources.use(
     createQuarantineFor<CompletionJob>(
--- a/src/daemons/forwardingDaemon.ts
+++ b/src/daemons/forwardingDaemon.ts
@@ -1,7 +1,7 @@
 /** A router that passes requests on, as a process: settings, signals, and the end. */
 import { statSync } from "node:fs";
 import { createBoundedLogSink } from "../state/boundedLogSink.ts";
-import { createLogger, directLogs } from "../state/log.ts";
+import { createLogger, setLogSink } from "../state/log.ts";
 import { FileError } from "../protocol/errors.ts";
 import type { ConnectPlatform } from "../protocol/forwarding/ForwardingPlatform.ts";
 import { startForwardingRouter } from "./forwardingRouter.ts";
@@ -80,16 +80,18 @@
 export const runForwardingDaemon = async (file: string, connect: ConnectPlatform): Promise<number> => {
   const now = (): number => performance.now();
   const output = process.stdout;
-  directLogs(createBoundedLogSink({ output, fields: {}, now, linesPerSecond, mostBytesWaiting }));
+  setLogSink(
+    createBoundedLogSink({ output, fields: {}, now, linesPerSecond, maxBufferedBytes: mostBytesWaiting }),
+  );
   const settings = readSettings(file);
   if (settings === undefined) return exitCodes.badSettings;
-  directLogs(
+  setLogSink(
     createBoundedLogSink({
       output,
       fields: { router: settings.name },
       now,
       linesPerSecond,
-      mostBytesWaiting,
+      maxBufferedBytes: mostBytesWaiting,
     }),
   );
   reportFaults();
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -19,8 +19,8 @@
 import { startForwardingServer } from "../transport/forwarding/forwardingServer.ts";
 import { startStatusServer } from "../transport/forwarding/statusServer.ts";
 import { openUdpLink } from "../transport/forwarding/udpLink.ts";
-import type { ForwardingBeliefs } from "./forwardingBeliefs.ts";
-import { startForwardingBeliefs } from "./forwardingBeliefs.ts";
+import type { ForwardingBeliefs } from "./forwardingView.ts";
+import { startForwardingBeliefs } from "./forwardingView.ts";
 import type { ForwardingSettings } from "./forwardingSettings.ts";
 
 const writeLog = createLogger("router");
--- a/src/daemons/forwardingBeliefs.ts
+++ b/src/daemons/forwardingView.ts
@@ -162,7 +162,7 @@
     coordination: keeping,
     replicas,
     clock,
-    announce: peers.tellLimit,
+    announce: peers.announceLimit,
     random: Math.random,
   });
 
--- a/src/daemons/routerPeers.ts
+++ b/src/daemons/peerExchanges.ts
@@ -35,7 +35,7 @@
 }
 
 /** A router among its peers. */
-export interface RouterPeers extends AsyncDisposable {
+export interface PeerExchanges extends AsyncDisposable {
   readonly membership: Membership;
   readonly configuration: ConfigurationExchange;
   /**
@@ -62,7 +62,7 @@
 }
 
 /** Puts everything together; nothing is sent or received before `listen`. */
-export const createRouterPeers = (parts: RouterPeersParts): RouterPeers => {
+export const createPeerExchanges = (parts: RouterPeersParts): PeerExchanges => {
   const resources = createResourceStack();
   const { settings, history, engines, clock, metrics } = parts;
   const { name, dataCentre, peers } = settings;
--- a/src/daemons/router.ts
+++ b/src/daemons/router.ts
@@ -24,7 +24,7 @@
 import { createHttpVmList } from "../transport/httpVmList.ts";
 import { StatsdMetrics } from "../transport/StatsdMetrics.ts";
 import { createCompletionQuarantine } from "./completionQuarantine.ts";
-import { createRouterBeliefs } from "./routerBeliefs.ts";
+import { createRouterBeliefs } from "./routerView.ts";
 import { startRouterDuties } from "./routerDuties.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
--- a/src/daemons/routerDuties.ts
+++ b/src/daemons/routerDuties.ts
@@ -11,7 +11,7 @@
 import { createResourceStack } from "../protocol/resourceStack.ts";
 import type { EngineReplica } from "../state/engineDirectory.ts";
 import type { Metrics } from "../state/Metrics.ts";
-import type { RouterBeliefs } from "./routerBeliefs.ts";
+import type { RouterBeliefs } from "./routerView.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
 const orderInterval = 250;
--- a/src/daemons/routerBeliefs.ts
+++ b/src/daemons/routerView.ts
@@ -16,8 +16,8 @@
 import type { Metrics } from "../state/Metrics.ts";
 import type { ServiceDirectory } from "../state/serviceDirectory.ts";
 import { createServiceDirectory } from "../state/serviceDirectory.ts";
-import type { RouterPeers } from "./routerPeers.ts";
-import { createRouterPeers } from "./routerPeers.ts";
+import type { PeerExchanges } from "./peerExchanges.ts";
+import { createPeerExchanges } from "./peerExchanges.ts";
 import type { RouterSettings } from "./routerSettings.ts";
 
 const retryInterval = 200;
@@ -38,7 +38,7 @@
   readonly follower: ConfigurationFollower;
   readonly directory: EngineDirectory;
   readonly serviceDirectory: ServiceDirectory;
-  readonly peers: RouterPeers;
+  readonly peers: PeerExchanges;
   /** Whether the last VM list said that a VM leaves. */
   readonly isListedLeaving: (id: string) => boolean;
   /**
@@ -62,8 +62,8 @@
   const directory = createEngineDirectory();
   const serviceDirectory = createServiceDirectory();
 
-  const peers: RouterPeers = resources.use(
-    createRouterPeers({
+  const peers: PeerExchanges = resources.use(
+    createPeerExchanges({
       settings,
       history,
       engines: directory,
--- a/src/daemons/storeFollowing.test.ts
+++ b/src/daemons/storeFollowing.test.ts
@@ -78,9 +78,9 @@
       peers: {
         countServing: () => 10,
         isLarge: () => true,
-        isReader: () => true,
+        isStoreReader: () => true,
         live: () => [],
-        readers: () => [],
+        otherStoreReaders: () => [],
       },
       onConfiguration: () => undefined,
     });
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -78,7 +78,7 @@
     return reading.reachesStore() ? largeFleetMaxReadAge : 0;
   };
 
-  const isReadFor = (): boolean => peers.isLarge() && !peers.isReader();
+  const isReadFor = (): boolean => peers.isLarge() && !peers.isStoreReader();
 
   const registryPace = (): number => {
     if (isReadFor()) return delegatedRegistryInterval;
@@ -154,8 +154,8 @@
       clock,
       bounds,
       isEnabled: peers.isLarge,
-      isReader: peers.isReader,
-      readers: peers.readers,
+      isReader: peers.isStoreReader,
+      readers: peers.otherStoreReaders,
       readAge: configuration.readAge,
       operator: {
         feed: operatorFeed,
@@ -199,7 +199,7 @@
     readOn: () => {
       recovery.readCopies();
       if (peers.isLarge()) reading.requestRead();
-      else operatorFeed.hurry();
+      else operatorFeed.readNow();
     },
     readEpoch,
     [Symbol.asyncDispose]: () => resources[Symbol.asyncDispose](),
--- a/src/protocol/constants.ts
+++ b/src/protocol/constants.ts
@@ -61,7 +61,7 @@
   /** Claims are partitioned over `claims-0` … `claims-N`. */
   claimsPrefix: "claims-",
   /** Updates that routers announce to one another about requests that crash engines. */
-  crashNews: "crash-news",
+  crashUpdates: "crash-news",
   /** Quarantined requests. */
   quarantine: "quarantine",
 } as const;
--- a/src/state/boundedLogSink.test.ts
+++ b/src/state/boundedLogSink.test.ts
@@ -26,7 +26,7 @@
       fields: { router: "r" },
       now: () => now,
       linesPerSecond: 10,
-      mostBytesWaiting: 1_000_000,
+      maxBufferedBytes: 1_000_000,
     });
     for (let count = 0; count < 25; count += 1) write("part", "event", { count });
     expect(lines.length).toEqual(10);
@@ -46,7 +46,7 @@
       fields: {},
       now: () => 0,
       linesPerSecond: 1_000_000,
-      mostBytesWaiting: 10_000,
+      maxBufferedBytes: 10_000,
     });
     for (let count = 0; count < 10_000; count += 1) write("part", "event", { text: "x".repeat(100) });
     expect(lines.length).toEqual(1);
--- a/src/state/boundedLogSink.ts
+++ b/src/state/boundedLogSink.ts
@@ -14,7 +14,7 @@
   /** Sustained rate; also the largest burst that is written at once. */
   readonly linesPerSecond: number;
   /** Lines are dropped while more bytes than this are buffered for the reader. */
-  readonly mostBytesWaiting: number;
+  readonly maxBufferedBytes: number;
 }
 
 /** Creates a sink for `directLogs` with a limited rate and a limited buffer. */
@@ -42,7 +42,7 @@
 
   return (part, event, fields) => {
     refill();
-    if (allowance < 1 || output.writableLength > dependencies.mostBytesWaiting) {
+    if (allowance < 1 || output.writableLength > dependencies.maxBufferedBytes) {
       droppedLines += 1;
       return;
     }
--- a/src/state/recentMap.ts
+++ b/src/state/boundedMap.ts
@@ -1,5 +1,5 @@
 /** A map that keeps the entries set most recently. */
-export interface RecentMap<T> {
+export interface BoundedMap<T> {
   readonly has: (key: string) => boolean;
   readonly get: (key: string) => T | undefined;
   readonly set: (key: string, value: T) => void;
@@ -11,7 +11,7 @@
  *
  * @param capacity - Maximum number of entries; beyond it the entry that was set least recently is removed.
  */
-export const createRecentMap = <T>(capacity: number): RecentMap<T> => {
+export const createBoundedMap = <T>(capacity: number): BoundedMap<T> => {
   const entries = new Map<string, T>();
   return {
     has: (key) => entries.has(key),
--- a/src/state/forwarding/replicaState.ts
+++ b/src/state/forwarding/replicaState.ts
@@ -101,7 +101,7 @@
   tokens.slice(0, tokens.findLastIndex((count) => count > 0) + 1).map(Math.round);
 
 /** @returns The work of all routers at a replica, except what one router reported. */
-export const workWithout = (
+export const workExcluding = (
   { requests, promptTokens, peers, peerTotals }: ReplicaState,
   reporter: string,
 ): ReplicaWork => {
--- a/src/state/forwarding/replicaTable.ts
+++ b/src/state/forwarding/replicaTable.ts
@@ -4,7 +4,7 @@
  */
 import type { ReplicaKey } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import { createRecentMap } from "../recentMap.ts";
+import { createBoundedMap } from "../boundedMap.ts";
 import type { ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import { createPeerWork } from "./peerWork.ts";
 import type { ReplicaBackoff, ReplicaState, ReplicaWork } from "./replicaState.ts";
@@ -74,11 +74,11 @@
   const byService = new Map<string, ReplicaState[]>();
   const drainingByService = new Map<string, ReplicaState[]>();
   /** Ids of incarnations that drain or drained: the registry may remove one temporarily and list it as ready again. */
-  const draining = createRecentMap<true>(maxRememberedIncarnations);
+  const draining = createBoundedMap<true>(maxRememberedIncarnations);
   /** Ids of incarnations that were removed from the table. */
-  const departed = createRecentMap<true>(maxRememberedIncarnations);
+  const departed = createBoundedMap<true>(maxRememberedIncarnations);
   /** By id: the backoff of an incarnation that was removed, kept because the registry may list it again. */
-  const backoffs = createRecentMap<ReplicaBackoff>(maxRememberedIncarnations);
+  const backoffs = createBoundedMap<ReplicaBackoff>(maxRememberedIncarnations);
   const listeners: ((entry: ReplicaEntry, departure: Departure | undefined) => void)[] = [];
 
   const reindex = (): void => {
--- a/src/state/heatSketch.test.ts
+++ b/src/state/heatSketch.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { createHeatSketch } from "./heatSketch.ts";
 
-const limits = { maximumKeys: 16, memory: 1_000, shortestWindow: 100 };
+const limits = { maximumKeys: 16, decayTime: 1_000, shortestWindow: 100 };
 
 describe("createHeatSketch", () => {
   it("keeps a frequent key among many that occur once, and never exceeds its limit", () => {
--- a/src/state/heatSketch.ts
+++ b/src/state/heatSketch.ts
@@ -28,7 +28,7 @@
 export interface HeatSketchLimits {
   readonly maximumKeys: number;
   /** Time constant of the exponential decay, milliseconds. */
-  readonly memory: number;
+  readonly decayTime: number;
   /** Shortest window over which a rate is computed, milliseconds, so that a new key gets no excessive rate. */
   readonly shortestWindow: number;
 }
@@ -42,7 +42,11 @@
 /** Least recently seen keys that are compared when one is evicted. */
 const evictionCandidates = 8;
 
-export const createHeatSketch = ({ maximumKeys, memory, shortestWindow }: HeatSketchLimits): HeatSketch => {
+export const createHeatSketch = ({
+  maximumKeys,
+  decayTime: memory,
+  shortestWindow,
+}: HeatSketchLimits): HeatSketch => {
   /** The least recently seen keys come first. */
   const counters = new Map<string, Counter>();
 
--- a/src/state/log.ts
+++ b/src/state/log.ts
@@ -16,7 +16,7 @@
 let sink: LogSink | undefined;
 
 /** Sends the lines of all loggers, including those created earlier, to one sink. */
-export const directLogs = (target: LogSink): void => {
+export const setLogSink = (target: LogSink): void => {
   sink = target;
 };
 
--- a/src/state/peerDirectory.ts
+++ b/src/state/peerDirectory.ts
@@ -33,9 +33,9 @@
   readonly state: PeerState;
   readonly listed: boolean;
   /** When its last message arrived, milliseconds on the monotonic clock. */
-  readonly heardAt: number;
+  readonly lastMessageAt: number;
   /** When it last was known to be alive, by its own message or by another router's sighting. */
-  readonly seenAt: number;
+  readonly lastAliveAt: number;
   /** Milliseconds within which it promised to send its next message. */
   readonly nextWithin: number;
   /** When it became suspect or dead. */
@@ -66,7 +66,7 @@
   /** Milliseconds added to both timeouts. */
   readonly slack: number;
   /** Milliseconds for which a dead or leaving peer is kept that is not in the VM list. */
-  readonly memory: number;
+  readonly retention: number;
 }
 
 /** The peers that one router knows. */
@@ -111,8 +111,8 @@
   incarnation: 0,
   state: "listed",
   listed: false,
-  heardAt: 0,
-  seenAt: now,
+  lastMessageAt: 0,
+  lastAliveAt: now,
   nextWithin: initialInterval,
   changedAt: now,
   configuration: undefined,
@@ -150,8 +150,9 @@
   const isExpired = (peer: Peer, now: number): boolean => {
     if (peer.listed) return false;
     if (peer.state === "listed") return true;
-    const gone = peer.state === "dead" || (peer.state === "leaving" && now - peer.seenAt > timeouts.memory);
-    return gone && now - peer.changedAt > timeouts.memory;
+    const gone =
+      peer.state === "dead" || (peer.state === "leaving" && now - peer.lastAliveAt > timeouts.retention);
+    return gone && now - peer.changedAt > timeouts.retention;
   };
 
   const removeExpired = (now: number): void => {
@@ -181,7 +182,7 @@
     peer.incarnation = identity.incarnation;
     peer.dataCentre = identity.dataCentre;
     peer.url = identity.url;
-    peer.seenAt = now;
+    peer.lastAliveAt = now;
     if (isNew || peer.state !== "leaving") setState(peer, "live", now);
     return undefined;
   };
@@ -190,8 +191,8 @@
     const peer = peers.get(name);
     if (peer === undefined || isOutOfDate(peer, incarnation)) return false;
     peer.incarnation = incarnation;
-    peer.heardAt = now;
-    peer.seenAt = now;
+    peer.lastMessageAt = now;
+    peer.lastAliveAt = now;
     peer.nextWithin = nextWithin;
     if (leaving) setState(peer, "leaving", now);
     else if (peer.state !== "leaving") setState(peer, "live", now);
@@ -203,9 +204,9 @@
   const noteSighting: PeerDirectory["noteSighting"] = (name, incarnation, at, now) => {
     const peer = peers.get(name);
     if (peer === undefined || peer.state === "dead" || isOutOfDate(peer, incarnation)) return;
-    if (at <= peer.seenAt) return;
+    if (at <= peer.lastAliveAt) return;
     peer.incarnation = incarnation;
-    peer.seenAt = at;
+    peer.lastAliveAt = at;
     if (peer.state === "suspect" && now - at <= timeoutOf(peer)) setState(peer, "live", now);
   };
 
@@ -215,7 +216,7 @@
   };
 
   const updateState = (peer: Entry, now: number): void => {
-    if (peer.state === "live" && now - peer.seenAt > timeoutOf(peer)) setState(peer, "suspect", now);
+    if (peer.state === "live" && now - peer.lastAliveAt > timeoutOf(peer)) setState(peer, "suspect", now);
     if (peer.state !== "suspect") return;
     const waited = peer.nextWithin * timeouts.suspectIntervals + timeouts.slack;
     if (now - peer.changedAt > waited) setState(peer, "dead", now);
@@ -239,7 +240,7 @@
     },
     resetTimeouts: (now) => {
       for (const peer of peers.values()) {
-        peer.seenAt = now;
+        peer.lastAliveAt = now;
         if (peer.state === "suspect") peer.changedAt = now;
       }
     },
--- a/tests/platform/rules.test.ts
+++ b/tests/platform/rules.test.ts
@@ -3,7 +3,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import { directLogs } from "../../src/state/log.ts";
+import { setLogSink } from "../../src/state/log.ts";
 import type { ReplicaStandIn } from "../../standIns/platform/replica.ts";
 import { startStoreStandIn } from "../../standIns/platform/store.ts";
 import {
@@ -303,7 +303,7 @@
     await sleep(1_200);
     expect((await sendRequest(system.router, ask)).status).toEqual(503);
     const heard = new Set<unknown>();
-    directLogs((_part, event, { peer }) => {
+    setLogSink((_part, event, { peer }) => {
       if (event === "heard") heard.add(peer);
     });
     const later = await system.startRouter();
--- a/tests/support/returningStore.ts
+++ b/tests/support/restoredStore.ts
@@ -15,12 +15,12 @@
 } from "../../standIns/platform/platformSystem.ts";
 
 /** How long the store is away before it returns, milliseconds. */
-export const awayTime = 400;
+export const storeOutage = 400;
 
-export const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
+export const readCall: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
 /** Served by configurations that have the added route. */
-export const added: RequestOptions = { host: hosts.desk, path: "/added/2f", body: "look up" };
+export const addedRouteCall: RequestOptions = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
 /** Keys of an organisation whose key may be revoked. */
 export const revocableKey = "key-three";
@@ -33,7 +33,7 @@
   createConfiguration(version, { routes: [...usual.routes, addedRoute] });
 
 /** A configuration with a third organisation, whose key is there or revoked. */
-export const withRevocable = (version: number, isRevoked: boolean) =>
+export const withRevocableKey = (version: number, isRevoked: boolean) =>
   createConfiguration(version, {
     tenants: [
       ...usual.tenants,
@@ -42,13 +42,13 @@
   });
 
 /** Starts a system whose routers are all ready. */
-export const startReturningSystem = async (
+export const startRestorableSystem = async (
   settings: PlatformSystemSettings = {},
   routers = 6,
 ): Promise<PlatformSystem> => {
   const system = await startPlatformSystem({ desks: 4, engines: 5, ...settings });
   while (system.routers.length < routers) await system.startRouter();
-  await awaitThat(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   return system;
 };
 
@@ -88,15 +88,15 @@
 const longestSetUp = 10_000;
 
 /** Waits until something holds; throws if it takes too long. */
-export const awaitThat = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
+export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
   const time = await timeUntil(longestSetUp, condition);
   if (!Number.isFinite(time))
     throw new Error(`A condition of the test did not hold within ${longestSetUp} ms.`);
 };
 
 /** Waits until all routers answer a request with a status. */
-export const awaitStatus = (
+export const waitForStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
   asked: RequestOptions,
-): Promise<void> => awaitThat(async () => (await countStatus(routers, status, asked)) === routers.length);
+): Promise<void> => waitUntil(async () => (await countStatus(routers, status, asked)) === routers.length);
