--- a/soak/load.ts
+++ b/soak/load.ts
@@ -1,85 +1,91 @@
-/** Callers that ask, retry at other routers and write down what they were told. */
+/** Callers that send requests, retry at other routers and record the answers. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { outcomes } from "../src/protocol/constants.ts";
 import type { Caller, CallerRequest, CallerResult } from "../tests/processes/caller.ts";
 import { newKey, signOff, streamedQuestion } from "../tests/processes/caller.ts";
 import type { SoakRecord } from "./types.ts";
 
-const questions = 6;
+const questionCount = 6;
 const answerTokens = 60;
 const maximumTries = 10;
-const retryPause = 100;
-const thinkingTime = 20;
+/** Milliseconds. */
+const retryDelay = 100;
+/** Milliseconds. */
+const delayBetweenRequests = 20;
 
-/** The questions of the run; each has one right answer. */
-export const soakQuestions: readonly CallerRequest[] = Array.from({ length: questions }, (_, index) =>
+/** The streamed questions of a run; each has exactly one right answer. */
+export const soakQuestions: readonly CallerRequest[] = Array.from({ length: questionCount }, (_, index) =>
   streamedQuestion(`Is attendant ${index} current?`, answerTokens),
 );
 
-/** Whether a caller may send a request again as it is: what may have run is only repeated with its key. */
-const mayRepeat = ({ outcome }: CallerResult): boolean => outcome !== "answered";
+/** Whether a caller may retry a request: any that was not answered. Non-idempotent requests carry an idempotency key. */
+const mayRetry = ({ outcome }: CallerResult): boolean => outcome !== "answered";
 
-/** Callers at work. */
+/** Running callers and their records. */
 export interface Load {
   readonly records: readonly SoakRecord[];
-  /** Resolves when every request has ended. */
+  /** Stops the callers; resolves when every request has ended. */
   readonly stop: () => Promise<void>;
 }
 
 /**
  * Starts callers.
  *
- * @param pickRouter - A router to send the next try to.
- * @param undisturbed - The right text of each question.
+ * @param pickRouter - Returns the URL of the router for the next try.
+ * @param expectedTexts - The right answer to each of {@link soakQuestions}, as given without faults.
  */
-export const startLoad = (caller: Caller, pickRouter: () => string, undisturbed: readonly string[]): Load => {
+export const startLoad = (
+  caller: Caller,
+  pickRouter: () => string,
+  expectedTexts: readonly string[],
+): Load => {
   const records: SoakRecord[] = [];
   let isRunning = true;
-  let turn = 0;
+  let requestCount = 0;
 
   const ask = async (asked: CallerRequest, expected: string): Promise<void> => {
     const tries: CallerResult[] = [];
     while (tries.length < maximumTries) {
       const result = await caller.send(pickRouter(), asked);
       tries.push(result);
-      if (!mayRepeat(result)) break;
+      if (!mayRetry(result)) break;
       if (result.outcome !== outcomes.notRun && tries.length > maximumTries / 2) break;
-      await sleep(retryPause);
+      await sleep(retryDelay);
     }
     records.push({ request: asked, expected, tries });
-    await sleep(thinkingTime);
+    await sleep(delayBetweenRequests);
   };
 
   const askQuestions = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      const index = turn % questions;
+      requestCount += 1;
+      const index = requestCount % questionCount;
       const question = soakQuestions[index];
-      if (question !== undefined) await ask(question, undisturbed[index] ?? "");
+      if (question !== undefined) await ask(question, expectedTexts[index] ?? "");
     }
   };
 
-  const askOnce = async (): Promise<void> => {
+  const askWithKeys = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      const index = turn % questions;
+      requestCount += 1;
+      const index = requestCount % questionCount;
       const question = soakQuestions[index];
       if (question === undefined) continue;
-      await ask({ ...question, requestClass: "sign-off", key: newKey() }, undisturbed[index] ?? "");
+      await ask({ ...question, requestClass: "sign-off", key: newKey() }, expectedTexts[index] ?? "");
     }
   };
 
-  const signOffs = async (): Promise<void> => {
+  const sendSignOffs = async (): Promise<void> => {
     while (isRunning) {
-      turn += 1;
-      await ask(signOff(newKey(), turn), `{\\"attendant\\":${turn}}`);
+      requestCount += 1;
+      await ask(signOff(newKey(), requestCount), `{\\"attendant\\":${requestCount}}`);
     }
   };
 
   const running = Promise.all([
     ...Array.from({ length: 6 }, askQuestions),
-    ...Array.from({ length: 3 }, askOnce),
-    ...Array.from({ length: 6 }, signOffs),
+    ...Array.from({ length: 3 }, askWithKeys),
+    ...Array.from({ length: 6 }, sendSignOffs),
   ]);
   return {
     records,
--- a/soak/platform/runSoak.ts
+++ b/soak/platform/runSoak.ts
@@ -1,4 +1,4 @@
-/** One seeded run: a system, callers, the steps of the plan, and what the checks find. */
+/** One run of the soak: starts a system and callers, carries out a plan and checks the records. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { createRandom } from "../../bench/model/random.ts";
 import { numberOf, readLogLines } from "../../src/commandLine/logLines.ts";
@@ -11,26 +11,26 @@
 import { bounds, compiledProgram, startSoakSystem, suspendableProgram } from "./soakSystem.ts";
 import type { SoakHistory } from "./types.ts";
 
-/** What one run is made of. */
+/** Options of a run. */
 export interface SoakRun {
   readonly seed: number;
   readonly plan: readonly Step[];
   readonly size: SystemSize;
-  /** Whether routers that freeze are suspended, with clocks that stand still. */
+  /** True simulates suspended VMs instead of frozen processes: the routers' monotonic clocks stop meanwhile. */
   readonly isSuspending?: boolean;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SoakOutcome {
   readonly violations: readonly Violation[];
   readonly history: SoakHistory;
-  /** What the routers wrote, for whoever traces a violation. */
+  /** The routers' log lines, for tracing a violation. */
   readonly log: readonly string[];
 }
 
-/** After the last step: until all should be well again, and for how long that is looked at, milliseconds. */
+/** After the last step: time to recover, and time for which the recovered system is observed, milliseconds. */
 const settleTime = 3_000;
-const lookTime = 2_500;
+const observationTime = 2_500;
 
 const spareKeyCount = 12;
 const warmUp = 800;
@@ -40,10 +40,10 @@
     .lines.map((line) => numberOf(line, "configurationAge"))
     .filter((age) => age !== undefined);
 
-/** Carries out a run. */
+/** Carries out a run and checks it. */
 export const runSoak = async ({ seed, plan, size, isSuspending = false }: SoakRun): Promise<SoakOutcome> => {
   const spareKeys = Array.from({ length: spareKeyCount }, (_, index) => `key-spare-${index}`);
-  // The process's id keeps runs beside one another apart; the seed decides what happens.
+  // The process id gives concurrent runs different addresses; the seed alone decides the faults and requests.
   await using system = await startSoakSystem(
     size,
     process.pid + seed,
@@ -51,34 +51,34 @@
   );
   system.publish(2, { tenants: createTenants(spareKeys) });
   await sleep(warmUp);
-  const disturber = createFaultInjector(system, spareKeys);
+  const faultInjector = createFaultInjector(system, spareKeys);
   const callers = startSoakCallers(system.routers, createRandom(seed, "callers"), spareKeys);
   const startedAt = performance.now();
   await Promise.all(
     plan.map(async (step) => {
       await sleep(Math.max(0, startedAt + step.at - performance.now()));
-      await disturber.carryOut(step);
+      await faultInjector.carryOut(step);
     }),
   );
-  const quietAt = performance.now();
-  await sleep(settleTime + lookTime);
+  const lastStepEndedAt = performance.now();
+  await sleep(settleTime + observationTime);
   await callers.stop();
   const history: SoakHistory = {
     callers: callers.records,
-    replicas: system.replicas.map(({ replica, service, drainingSince: leftAt }) => ({
+    replicas: system.replicas.map(({ replica, service, drainingSince }) => ({
       id: replica.id,
       service,
       runs: replica.runs,
       arrivals: replica.arrivals,
       orders: replica.orders,
-      leftAt,
+      drainingSince,
     })),
-    steps: disturber.steps,
-    shutdowns: disturber.shutdowns,
-    operator: disturber.operator,
+    steps: faultInjector.steps,
+    shutdowns: faultInjector.shutdowns,
+    operator: faultInjector.operator,
     proofAges: readProofAges(system.log),
     bounds,
-    lastStepEndedAt: quietAt,
+    lastStepEndedAt,
   };
   return { violations: findPlatformViolations(history), history, log: [...system.log] };
 };
--- a/soak/platform/shrink.ts
+++ b/soak/platform/shrink.ts
@@ -1,23 +1,23 @@
-/** Cuts a failing plan down: leaves out parts as long as what is left still fails. */
+/** Shrinks a failing plan by removing steps while the rest still fails. */
 import type { Step } from "./plan.ts";
 
 /**
- * Halves, then quarters and so on down to single steps are left out where the rest fails without them.
+ * Tries to remove halves of the plan, then quarters, down to single steps, and keeps each removal that still fails.
  *
- * @param fails - Runs a plan; a failure that comes by chance may have to be run more than once.
- * @returns A plan that failed, of which no part tried could be left out.
+ * @param fails - Runs a plan; for an intermittent failure it may have to run the plan several times.
+ * @returns A failing plan from which none of the parts tried could be removed.
  */
 export const shrinkPlan = async (
   plan: readonly Step[],
   fails: (plan: readonly Step[]) => Promise<boolean>,
 ): Promise<readonly Step[]> => {
-  let left = plan;
+  let remaining = plan;
   for (let size = Math.ceil(plan.length / 2); size >= 1; size = size === 1 ? 0 : Math.ceil(size / 2)) {
-    for (let start = 0; start < left.length;) {
-      const without = [...left.slice(0, start), ...left.slice(start + size)];
-      if (without.length > 0 && (await fails(without))) left = without;
+    for (let start = 0; start < remaining.length;) {
+      const candidate = [...remaining.slice(0, start), ...remaining.slice(start + size)];
+      if (candidate.length > 0 && (await fails(candidate))) remaining = candidate;
       else start += size;
     }
   }
-  return left;
+  return remaining;
 };
--- a/soak/platform/soakSystem.ts
+++ b/soak/platform/soakSystem.ts
@@ -1,4 +1,4 @@
-/** Routers as processes of their own before the platform's stand-in, with proxies between all of them. */
+/** A system with routers as processes and the platform's stand-in, with a proxy before each store and replica. */
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -23,14 +23,14 @@
 import type { LoopbackProxy } from "./loopbackProxy.ts";
 import { startLoopbackProxy } from "./loopbackProxy.ts";
 
-/** How many of each there are. */
+/** Number of routers, engines and replicas of the plain service. */
 export interface SystemSize {
   readonly routers: number;
   readonly engines: number;
   readonly desks: number;
 }
 
-/** The time limits of the run, short so that they are reached often. Milliseconds unless named otherwise. */
+/** The routers' limits, short so that they are reached often. Milliseconds unless the name says otherwise. */
 export const bounds = {
   keyRevocation: 2_000,
   drain: 800,
@@ -42,27 +42,27 @@
   retryReserve: 50,
 } as const;
 
-/** One router: its place stays, processes come and go. */
+/** The slot of a router: its name, addresses and store stay the same while its process is replaced. */
 export interface RouterSlot {
   readonly name: string;
   readonly url: string;
   readonly readinessUrl: string;
-  /** A way of its own to the store, with faults of its own, behind a proxy of its own. */
+  /** The router's own server for the shared store, with faults and a proxy of its own. */
   readonly store: StoreStandIn;
   readonly storeProxy: LoopbackProxy;
   readonly settingsFile: string;
   process: StartedProcess | undefined;
-  /** It is being ended or replaced: nothing else strikes it meanwhile. */
+  /** True while the process is stopped, frozen or replaced: no other step affects it meanwhile. */
   isBusy: boolean;
 }
 
-/** One replica behind a proxy. */
+/** A replica behind a proxy. */
 export interface ReplicaSlot {
   readonly replica: ReplicaStandIn;
   readonly service: string;
   readonly proxy: LoopbackProxy;
   drainingSince: number | undefined;
-  /** Its answers report draining or ask for backoff. */
+  /** True while its answers report draining or ask for backoff. */
   isReporting: boolean;
 }
 
@@ -71,37 +71,37 @@
   readonly store: StoreStandIn;
   readonly routers: readonly RouterSlot[];
   readonly replicas: readonly ReplicaSlot[];
-  /** Starts a process in a router's place; resolves once it listens. */
-  readonly startRouter: (place: RouterSlot) => Promise<void>;
-  readonly register: (place: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
+  /** Starts a router's process; resolves once it listens. */
+  readonly startRouter: (slot: RouterSlot) => Promise<void>;
+  readonly register: (slot: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
   readonly publish: (version: number, fields?: Readonly<Record<string, unknown>>) => void;
   readonly publishWeightsVersion: (version: number) => void;
   /**
-   * The store is away for a time and returns from a copy; replicas then register again.
+   * Makes the store unavailable for a time and restores it from a backup; the replicas then register again.
    *
-   * @param age - How old the copy is at least, milliseconds.
-   * @param away - Milliseconds.
+   * @param age - Minimum age of the backup, milliseconds; the oldest one is used if none is old enough.
+   * @param outage - Duration of the outage, milliseconds.
    */
-  readonly restoreStore: (age: number, away: number) => Promise<void>;
-  readonly writeSettings: (place: RouterSlot, retryReserve: number) => Promise<void>;
-  /** Lines that the routers have printed, the last ones. */
+  readonly restoreStore: (age: number, outage: number) => Promise<void>;
+  readonly writeSettings: (slot: RouterSlot, retryReserve: number) => Promise<void>;
+  /** The most recent lines printed by the routers. */
   readonly log: readonly string[];
 }
 
-/** What is started in a router's place. */
+/** The program that routers run. */
 export interface RouterProgram {
   readonly module: URL;
-  /** Options of the runtime. */
+  /** Options of Node.js. */
   readonly runtimeOptions: readonly string[];
 }
 
-/** The routers as they are run. */
+/** The routers' program as it is deployed. */
 export const compiledProgram: RouterProgram = {
   module: new URL("../../platform/main.js", import.meta.url),
   runtimeOptions: ["--enable-source-maps"],
 };
 
-/** The same on VMs that are suspended where others would freeze: their steady clocks don't count it. */
+/** The same program on simulated suspendable VMs: its monotonic clock does not count the time while it is stopped. */
 export const suspendableProgram: RouterProgram = {
   ...compiledProgram,
   runtimeOptions: [
@@ -113,20 +113,20 @@
 
 const ports = { callers: 8_080, readiness: 8_081, peers: 7_000 } as const;
 
-/** Milliseconds. */
+/** How often replicas register again, milliseconds. */
 const heartbeatInterval = 500;
 
-/** Copies of the store that are kept, and milliseconds between two. */
-const mostCopies = 10;
-const copyInterval = 400;
+/** Number of backups of the store that are kept, and milliseconds between two. */
+const maxBackups = 10;
+const backupInterval = 400;
 
-const mostLogLines = 200_000;
+const maxLogLines = 200_000;
 
-/** Each run has addresses of its own, so that several can run at once. */
-const addressOf = (network: number, index: number): string =>
+/** Creates a router's loopback address; concurrent runs use different networks. */
+const createRouterAddress = (network: number, index: number): string =>
   `127.${100 + (network % 100)}.${Math.floor(network / 100) % 250}.${10 + index}`;
 
-const settingsOf = (name: string, address: string, store: string, retryReserve: number): string =>
+const createSettings = (name: string, address: string, store: string, retryReserve: number): string =>
   JSON.stringify({
     name,
     dataCentre: "here",
@@ -139,11 +139,11 @@
   });
 
 const startReplicas = async (size: SystemSize, resources: ResourceStack): Promise<readonly ReplicaSlot[]> => {
-  const places: ReplicaSlot[] = [];
+  const slots: ReplicaSlot[] = [];
   const add = async (service: string, replica: ReplicaStandIn): Promise<void> => {
     resources.use(replica);
     const proxy = resources.use(await startLoopbackProxy(replica.address));
-    places.push({ replica, service, proxy, drainingSince: undefined, isReporting: false });
+    slots.push({ replica, service, proxy, drainingSince: undefined, isReporting: false });
   };
   const events = { count: eventsPerStream, pause: 20 };
   for (let index = 0; index < size.engines; index += 1) {
@@ -153,14 +153,14 @@
   for (let index = 0; index < size.desks; index += 1) {
     await add("desk", await startReplicaStandIn({ id: `desk-${index}` }));
   }
-  return places;
+  return slots;
 };
 
 /**
- * Starts everything.
+ * Starts the store, the replicas, their proxies and the routers.
  *
- * @param network - Picks the loopback addresses of the routers.
- * @param program - The routers' program.
+ * @param network - Selects the loopback addresses of the routers.
+ * @param program - The program of the routers.
  */
 export const startSoakSystem = async (
   size: SystemSize,
@@ -175,9 +175,9 @@
   const log: string[] = [];
 
   const registered = new Map<ReplicaSlot, "ready" | "draining" | undefined>();
-  const register: SoakSystem["register"] = (place, state) => {
-    registered.set(place, state);
-    const { replica, service, proxy } = place;
+  const register: SoakSystem["register"] = (slot, state) => {
+    registered.set(slot, state);
+    const { replica, service, proxy } = slot;
     const address = proxy.address;
     const entry = {
       ...createRegistryEntry(service, replica, replica.version()),
@@ -187,30 +187,30 @@
     writers.register(replica.id, state === undefined ? undefined : entry);
   };
   writers.publish(createConfiguration());
-  for (const place of replicas) register(place, "ready");
+  for (const slot of replicas) register(slot, "ready");
 
-  /** Replicas register again and again, with the weights that they run by then. */
-  const beat = setInterval(() => {
-    for (const place of replicas) if (place.drainingSince === undefined) register(place, "ready");
+  /** Registers the replicas periodically with their current weights. */
+  const heartbeat = setInterval(() => {
+    for (const slot of replicas) if (slot.drainingSince === undefined) register(slot, "ready");
   }, heartbeatInterval);
   resources.defer(() => {
-    clearInterval(beat);
+    clearInterval(heartbeat);
     return undefined;
   });
 
   const routers: RouterSlot[] = [];
   for (let index = 0; index < size.routers; index += 1) {
     const name = `router-${index}`;
-    const address = addressOf(network, index);
-    const own = resources.use(await startStoreStandIn(store.topics));
-    const storeProxy = resources.use(await startLoopbackProxy(own.address));
+    const address = createRouterAddress(network, index);
+    const routerStore = resources.use(await startStoreStandIn(store.topics));
+    const storeProxy = resources.use(await startLoopbackProxy(routerStore.address));
     const settingsFile = join(directory, `${name}.json`);
-    await writeFile(settingsFile, settingsOf(name, address, storeProxy.address, bounds.retryReserve));
+    await writeFile(settingsFile, createSettings(name, address, storeProxy.address, bounds.retryReserve));
     routers.push({
       name,
       url: `http://${address}:${ports.callers}`,
       readinessUrl: `http://${address}:${ports.readiness}${readinessPath}`,
-      store: own,
+      store: routerStore,
       storeProxy,
       settingsFile,
       process: undefined,
@@ -218,40 +218,41 @@
     });
   }
 
-  const copies: { readonly at: number; readonly copy: StoreBackup }[] = [];
-  const copying = setInterval(() => {
-    copies.push({ at: performance.now(), copy: store.topics.backUp() });
-    copies.splice(0, copies.length - mostCopies);
-  }, copyInterval);
+  const backups: { readonly at: number; readonly backup: StoreBackup }[] = [];
+  const backupTimer = setInterval(() => {
+    backups.push({ at: performance.now(), backup: store.topics.backUp() });
+    backups.splice(0, backups.length - maxBackups);
+  }, backupInterval);
   resources.defer(() => {
-    clearInterval(copying);
+    clearInterval(backupTimer);
     return undefined;
   });
 
-  const returnStore: SoakSystem["restoreStore"] = async (age, away) => {
+  const restoreStore: SoakSystem["restoreStore"] = async (age, outage) => {
     const before = performance.now() - age;
-    const [oldest] = copies;
-    const { copy } = copies.findLast(({ at }) => at <= before) ?? oldest ?? { copy: store.topics.backUp() };
-    const ways = [store, ...routers.map((place) => place.store)];
-    for (const way of ways) {
-      way.faults.isDown = true;
-      way.closeConnections();
+    const [oldest] = backups;
+    const { backup } = backups.findLast(({ at }) => at <= before) ??
+      oldest ?? { backup: store.topics.backUp() };
+    const stores = [store, ...routers.map((slot) => slot.store)];
+    for (const each of stores) {
+      each.faults.isDown = true;
+      each.closeConnections();
     }
-    await sleep(away);
-    store.topics.restore(copy);
-    for (const way of ways) way.faults.isDown = false;
-    for (const [place, state] of registered) register(place, state);
+    await sleep(outage);
+    store.topics.restore(backup);
+    for (const each of stores) each.faults.isDown = false;
+    for (const [slot, state] of registered) register(slot, state);
   };
 
-  const keep = (line: string): void => {
+  const appendLogLine = (line: string): void => {
     log.push(line);
-    if (log.length > mostLogLines) log.splice(0, mostLogLines / 2);
+    if (log.length > maxLogLines) log.splice(0, maxLogLines / 2);
   };
 
-  const startRouter = async (place: RouterSlot): Promise<void> => {
-    const environment = { [settingsVariable]: place.settingsFile };
+  const startRouter = async (slot: RouterSlot): Promise<void> => {
+    const environment = { [settingsVariable]: slot.settingsFile };
     const { module, runtimeOptions } = program;
-    place.process = await startProcess(module, [], { environment, onLine: keep, runtimeOptions });
+    slot.process = await startProcess(module, [], { environment, onLine: appendLogLine, runtimeOptions });
   };
   const stopRouter = async ({ process }: RouterSlot): Promise<void> => {
     await process?.[Symbol.asyncDispose]();
@@ -267,16 +268,16 @@
     register,
     publish: (version, fields) => writers.publish(createConfiguration(version, fields)),
     publishWeightsVersion: writers.publishWeightsVersion,
-    restoreStore: returnStore,
-    writeSettings: (place, retryReserve) => {
-      const address = new URL(place.url).hostname;
+    restoreStore,
+    writeSettings: (slot, retryReserve) => {
+      const address = new URL(slot.url).hostname;
       return writeFile(
-        place.settingsFile,
-        settingsOf(place.name, address, place.storeProxy.address, retryReserve),
+        slot.settingsFile,
+        createSettings(slot.name, address, slot.storeProxy.address, retryReserve),
       );
     },
     [Symbol.asyncDispose]: async () => {
-      await Promise.all(routers.map((place) => stopRouter(place)));
+      await Promise.all(routers.map((slot) => stopRouter(slot)));
       await resources[Symbol.asyncDispose]();
       await rm(directory, { recursive: true, force: true });
     },
--- a/standIns/engine/engine.ts
+++ b/standIns/engine/engine.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine: continuous batching, a prompt cache, deterministic text, and faults. */
+/** A stand-in for a model engine with continuous batching, a prompt cache, deterministic text and fault injection. */
 import type { CacheEventPage } from "../../src/protocol/types.ts";
 import { jsonAnswer, parseBody, startServer, type Answer, type Exchange } from "../httpServer.ts";
 import { streamAnswer, wholeAnswer, type AnswerContext } from "./answers.ts";
@@ -7,9 +7,13 @@
 import { readChatRequest, readTextRequest, type ParsedRequest } from "./requests.ts";
 import { faultsSchema, settingsSchema, type EngineStandIn, type EngineStandInSettings } from "./types.ts";
 
-const readFrom = (query: URLSearchParams): number => Math.max(0, Number(query.get("from") ?? 0) || 0);
+const parseFrom = (query: URLSearchParams): number => Math.max(0, Number(query.get("from") ?? 0) || 0);
 
-/** Starts a stand-in of a model engine. */
+/**
+ * Starts a stand-in of a model engine.
+ *
+ * @param input - Settings; those left out take their defaults.
+ */
 export const createEngineStandIn = async (input: EngineStandInSettings = {}): Promise<EngineStandIn> => {
   const settings = settingsSchema.parse(input);
   const counts = { crashes: 0, resumes: 0 };
@@ -24,7 +28,7 @@
   const resume = ({ parameters, query, response }: Exchange): Answer => {
     const generation = core.findAttempt(parameters.id ?? "");
     counts.resumes += 1;
-    return streamAnswer(generation, readFrom(query), context, response);
+    return streamAnswer(generation, parseFrom(query), context, response);
   };
 
   const cancel = ({ parameters }: Exchange): Answer => {
@@ -33,8 +37,8 @@
   };
 
   const readEvents = ({ query }: Exchange): Answer => {
-    const [events, nextSequence] = core.cache().events(readFrom(query));
-    const page: CacheEventPage = { incarnation: core.condition.incarnation, events, nextSequence };
+    const [events, nextSequence] = core.cache().events(parseFrom(query));
+    const page: CacheEventPage = { incarnation: core.state.incarnation, events, nextSequence };
     return jsonAnswer(page);
   };
 
@@ -47,7 +51,7 @@
     server.cutConnections(except?.request);
     core.reset();
     counts.crashes += 1;
-    return jsonAnswer({ incarnation: core.condition.incarnation });
+    return jsonAnswer({ incarnation: core.state.incarnation });
   };
 
   const state = (): Record<string, unknown> => ({
--- a/standIns/engine/engineCore.ts
+++ b/standIns/engine/engineCore.ts
@@ -1,4 +1,4 @@
-/** The engine stand-in without its HTTP form: what it runs, holds and believes. */
+/** The engine stand-in without its HTTP interface: its generations, its cache and its state. */
 import { randomUUID } from "node:crypto";
 import type { EngineLoad } from "../../src/protocol/types.ts";
 import { refusal } from "../errors.ts";
@@ -10,26 +10,26 @@
 import { blockTokens } from "./text.ts";
 import type { EngineSettings, EngineStandInFaults, Execution } from "./types.ts";
 
-/** What the engine's calls work on. */
+/** The operations behind the engine's HTTP routes. */
 export interface EngineCore {
-  readonly condition: EngineState;
+  readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly load: () => EngineLoad;
-  /** The load as it was told so long ago. */
+  /** The load as it was reported `lagMilliseconds` ago. */
   readonly laggedLoad: (lagMilliseconds: number) => EngineLoad;
-  /** Records a change that the load shows. */
-  readonly changed: () => void;
-  /** Accepts a request and starts it; throws a `RefusalError` that says why not. */
+  /** Adds the current load to the history that {@link EngineCore.laggedLoad} reads. */
+  readonly recordChange: () => void;
+  /** Accepts a request and starts its generation; throws a `RefusalError` with the reason if it cannot. */
   readonly start: (request: GenerationRequest) => Generation;
-  /** Throws a `RefusalError` for an attempt that is not, or no longer, known. */
+  /** Throws a `RefusalError` for an attempt that is unknown or no longer kept. */
   readonly findAttempt: (attempt: string) => Generation;
   readonly abortAnswers: () => void;
-  /** Forgets everything but the weights, the faults and the ledger of executions. */
+  /** Resets the engine as a crash does: only the weights, the faults and the list of executions remain. */
   readonly reset: () => void;
   readonly executions: () => readonly Execution[];
 }
 
-const startCondition = (settings: EngineSettings): EngineState => ({
+const createInitialState = (settings: EngineSettings): EngineState => ({
   incarnation: randomUUID(),
   model: settings.model,
   weightsVersion: settings.weightsVersion,
@@ -40,28 +40,32 @@
   highestFencingNumber: -1,
 });
 
-const serves = ({ model, adapters }: EngineState, wanted: string): boolean => {
+const servesModel = ({ model, adapters }: EngineState, wanted: string): boolean => {
   const names = adapters.map((adapter) => adapter.split("@")[0] ?? "");
   return wanted === model || names.some((name) => wanted === name || wanted === `${model}:${name}`);
 };
 
-/** Creates an idle engine. */
+/**
+ * Creates an idle engine.
+ *
+ * @param faults - Returns the fault switches as they are now.
+ */
 export const createEngineCore = (
   settings: EngineSettings,
   faults: () => Pick<EngineStandInFaults, "leaving" | "eventDelayMilliseconds" | "eventLossRatio">,
 ): EngineCore => {
-  const condition = startCondition(settings);
+  const state = createInitialState(settings);
   const generations: Generation[] = [];
   const attempts = new Map<string, Generation>();
   const active = new Set<Generation>();
-  const createParts = () => ({
+  const createRuntime = () => ({
     cache: createBlockCache(settings, faults),
     running: createPrioritySemaphore(settings.maximumRunning),
     prefill: createPrioritySemaphore(1),
   });
-  let parts = createParts();
+  let runtime = createRuntime();
 
-  const leaving = (): boolean => condition.drained || faults().leaving;
+  const leaving = (): boolean => state.drained || faults().leaving;
 
   const countPending = (): number => {
     let tokens = 0;
@@ -70,32 +74,32 @@
   };
 
   const load = (): EngineLoad => ({
-    incarnation: condition.incarnation,
-    model: condition.model,
-    weightsVersion: condition.weightsVersion,
-    adapters: condition.adapters,
-    role: condition.role,
-    running: parts.running.taken(),
-    waiting: parts.running.waiting(),
+    incarnation: state.incarnation,
+    model: state.model,
+    weightsVersion: state.weightsVersion,
+    adapters: state.adapters,
+    role: state.role,
+    running: runtime.running.acquired(),
+    waiting: runtime.running.waiting(),
     pendingPromptTokens: countPending(),
-    cachedTokens: parts.cache.size() * blockTokens,
+    cachedTokens: runtime.cache.size() * blockTokens,
     leaving: leaving(),
   });
   const history = createHistory(load());
-  const changed = (): void => history.record(load());
+  const recordChange = (): void => history.record(load());
 
-  const admit = ({ model, organisation }: GenerationRequest): void => {
+  const checkAdmission = ({ model, organisation }: GenerationRequest): void => {
     if (settings.identity === "checked" && organisation === undefined) {
       throw refusal(401, "identity_required", true);
     }
-    if (!serves(condition, model)) throw refusal(404, "unknown_model", true);
-    if (condition.loading) throw refusal(503, "loading", true);
+    if (!servesModel(state, model)) throw refusal(404, "unknown_model", true);
+    if (state.loading) throw refusal(503, "loading", true);
     if (leaving()) throw refusal(503, "leaving", true);
-    const full = parts.running.taken() >= settings.maximumRunning;
-    if (full && parts.running.waiting() >= settings.maximumWaiting) throw refusal(503, "overloaded", true);
+    const full = runtime.running.acquired() >= settings.maximumRunning;
+    if (full && runtime.running.waiting() >= settings.maximumWaiting) throw refusal(503, "overloaded", true);
   };
 
-  const forgetLater = (generation: Generation): void => {
+  const scheduleForget = (generation: Generation): void => {
     const { attempt } = generation.request;
     active.delete(generation);
     const forget = (): void => {
@@ -105,20 +109,20 @@
   };
 
   const start = (request: GenerationRequest): Generation => {
-    admit(request);
-    const { incarnation, weightsVersion } = condition;
+    checkAdmission(request);
+    const { incarnation, weightsVersion } = state;
     const generation = createGeneration(request, {
       settings,
       incarnation,
       weightsVersion,
-      ...parts,
-      changed,
+      ...runtime,
+      recordChange,
     });
     generations.push(generation);
     attempts.set(request.attempt, generation);
     active.add(generation);
-    void generation.run().then(() => forgetLater(generation));
-    changed();
+    void generation.run().then(() => scheduleForget(generation));
+    recordChange();
     return generation;
   };
 
@@ -135,24 +139,24 @@
 
   const reset = (): void => {
     abortAnswers();
-    parts = createParts();
-    const { model, weightsVersion } = condition;
-    Object.assign(condition, startCondition(settings), { model, weightsVersion });
-    changed();
+    runtime = createRuntime();
+    const { model, weightsVersion } = state;
+    Object.assign(state, createInitialState(settings), { model, weightsVersion });
+    recordChange();
   };
 
   const laggedLoad = (lagMilliseconds: number): EngineLoad => {
-    // Switches and time change the load unannounced.
-    changed();
+    // Fault switches and cache evictions change the load without a call of `recordChange`.
+    recordChange();
     return lagMilliseconds === 0 ? load() : history.read(lagMilliseconds);
   };
 
   return {
-    condition,
-    cache: () => parts.cache,
+    state,
+    cache: () => runtime.cache,
     load,
     laggedLoad,
-    changed,
+    recordChange,
     start,
     findAttempt,
     abortAnswers,
--- a/standIns/engine/generation.ts
+++ b/standIns/engine/generation.ts
@@ -1,12 +1,12 @@
-/** One answer that the engine stand-in generates, whether or not a caller still listens. */
+/** One answer that the engine stand-in generates; it continues after its caller has disconnected. */
 import { setMaxListeners } from "node:events";
 import { createNotifier, pause, type Notifier } from "../waiting.ts";
 import type { BlockCache } from "./blockCache.ts";
 import type { PrioritySemaphore } from "./prioritySemaphore.ts";
-import { afterToken, blockTokens, countTokens, hashBlocks, nextToken, readText } from "./text.ts";
+import { appendToken, blockTokens, countTokens, hashBlocks, nextToken, createTextState } from "./text.ts";
 import type { EngineSettings, Execution, ExecutionState } from "./types.ts";
 
-/** What a request asks for, once its body has been read. */
+/** The parsed request behind a generation. */
 export interface GenerationRequest {
   readonly attempt: string;
   readonly idempotencyKey: string | undefined;
@@ -17,11 +17,11 @@
   readonly cacheSalt: string;
   readonly rendered: string;
   readonly maximumTokens: number;
-  /** Stop at `maximumTokens` only. */
+  /** Ends only at `maximumTokens`, never with an end token. */
   readonly ignoreEnd: boolean;
 }
 
-/** The engine as a generation meets it; a crash or load of weights makes a new one. */
+/** What a generation uses of its engine, as of the time at which it starts. */
 export interface GenerationDependencies {
   readonly settings: EngineSettings;
   readonly incarnation: string;
@@ -29,34 +29,37 @@
   readonly cache: BlockCache;
   readonly running: PrioritySemaphore;
   readonly prefill: PrioritySemaphore;
-  /** Called after each change of state. */
-  readonly changed: () => void;
+  /** Called after each change of the generation's state. */
+  readonly recordChange: () => void;
 }
 
-/** A generation, seen by the streams that follow it. */
+/** A generation, as the streams that send its tokens use it. */
 export interface Generation {
   readonly request: GenerationRequest;
   readonly tokens: readonly string[];
-  /** Undefined until the answer is whole. */
+  /** `undefined` until the answer is complete. */
   readonly finishReason: () => string | undefined;
   readonly execution: () => Execution;
-  /** Prompt tokens not yet computed. */
+  /** Number of prompt tokens that have not been computed yet. */
   readonly pendingPromptTokens: () => number;
-  /** True once nothing more will come. */
+  /** True once no more tokens will be generated. */
   readonly ended: () => boolean;
-  readonly changed: Notifier["changed"];
+  readonly nextChange: Notifier["nextChange"];
   readonly stop: (state: "cancelled" | "aborted") => void;
-  /** Runs to the end; never rejects. */
+  /** Generates the whole answer; never rejects. */
   readonly run: () => Promise<void>;
 }
 
-/** Seeds the hashes of all blocks that may be shared with one another. */
-export const blockSeed = (cacheSalt: string, model: string, weightsVersion: string): string =>
+/** Creates the seed of block hashes: prompts share cached blocks only if they have the same seed. */
+export const createBlockSeed = (cacheSalt: string, model: string, weightsVersion: string): string =>
   JSON.stringify([cacheSalt, model, weightsVersion]);
 
-/** Creates a generation that has not started. */
-export const createGeneration = (request: GenerationRequest, host: GenerationDependencies): Generation => {
-  const { settings, cache, weightsVersion } = host;
+/** Creates a generation; {@link Generation.run} starts it. */
+export const createGeneration = (
+  request: GenerationRequest,
+  dependencies: GenerationDependencies,
+): Generation => {
+  const { settings, cache, weightsVersion } = dependencies;
   const { rendered, priority } = request;
   const promptTokens = countTokens(rendered);
   const tokens: string[] = [];
@@ -68,43 +71,43 @@
   let cachedTokens = 0;
   let computedTokens = 0;
 
-  const enter = (next: ExecutionState): void => {
+  const setState = (next: ExecutionState): void => {
     state = next;
-    host.changed();
+    dependencies.recordChange();
     notifier.notify();
   };
 
   const compute = async (): Promise<void> => {
-    const blocks = hashBlocks(blockSeed(request.cacheSalt, request.model, weightsVersion), rendered);
-    // An engine computes at least the last token of a prompt.
+    const blocks = hashBlocks(createBlockSeed(request.cacheSalt, request.model, weightsVersion), rendered);
+    // Like a real engine, always computes at least the last token of the prompt.
     const usable = blocks.slice(0, Math.floor((promptTokens - 1) / blockTokens));
     cachedTokens = cache.match(usable) * blockTokens;
     const uncached = promptTokens - cachedTokens;
     await pause((uncached * settings.prefillMicrosecondsPerToken) / 1000, stopping.signal);
     computedTokens = uncached;
     cache.store(blocks);
-    host.changed();
+    dependencies.recordChange();
   };
 
   const prefill = async (): Promise<void> => {
-    await host.prefill.acquire(priority, stopping.signal);
+    await dependencies.prefill.acquire(priority, stopping.signal);
     try {
       await compute();
     } finally {
-      host.prefill.release();
+      dependencies.prefill.release();
     }
   };
 
-  /** Paced by the clock, so that a late timer costs no token. */
+  /** Computes each token's due time from the start, so that a late timer doesn't slow down the rate of tokens. */
   const decode = async (): Promise<void> => {
     const average = request.ignoreEnd ? 0 : settings.averageTokens;
     const startedAt = performance.now();
-    let text = readText(JSON.stringify([request.model, weightsVersion]), rendered);
+    let text = createTextState(JSON.stringify([request.model, weightsVersion]), rendered);
     while (tokens.length < request.maximumTokens && (request.ignoreEnd || !text.ended)) {
       const dueAt = startedAt + (tokens.length + 1) * settings.tokenMilliseconds;
       await pause(dueAt - performance.now(), stopping.signal);
       const token = nextToken(text, average);
-      text = afterToken(text, token);
+      text = appendToken(text, token);
       tokens.push(token);
       notifier.notify();
     }
@@ -113,20 +116,20 @@
 
   const run = async (): Promise<void> => {
     try {
-      await host.running.acquire(priority, stopping.signal);
+      await dependencies.running.acquire(priority, stopping.signal);
     } catch {
       return;
     }
     try {
-      enter("running");
+      setState("running");
       await prefill();
       await decode();
       state = "finished";
     } catch {
-      // Stopped: `stop` has set the state.
+      // Aborted by `stop`, which has already set the state.
     } finally {
-      host.running.release();
-      enter(state);
+      dependencies.running.release();
+      setState(state);
     }
   };
 
@@ -134,7 +137,7 @@
 
   const stop = (next: "cancelled" | "aborted"): void => {
     if (ended()) return;
-    enter(next);
+    setState(next);
     stopping.abort();
   };
 
@@ -144,7 +147,7 @@
     organisation: request.organisation,
     cacheSalt: request.cacheSalt,
     weightsVersion,
-    incarnation: host.incarnation,
+    incarnation: dependencies.incarnation,
     state,
     promptTokens,
     cachedTokens,
@@ -159,7 +162,7 @@
     execution,
     pendingPromptTokens: () => (ended() || computedTokens > 0 ? 0 : promptTokens - cachedTokens),
     ended,
-    changed: notifier.changed,
+    nextChange: notifier.nextChange,
     stop,
     run,
   };
--- a/standIns/engine/orders.ts
+++ b/standIns/engine/orders.ts
@@ -1,11 +1,11 @@
-/** Carries out orders at the engine stand-in, one after the other. */
+/** Executes orders at the engine stand-in, one at a time. */
 import { request } from "undici";
 import { z } from "zod";
 import type { EngineOrder, EngineOrderAction } from "../../src/protocol/types.ts";
 import { refusal, RefusalError } from "../errors.ts";
 import { pause } from "../waiting.ts";
 import type { BlockCache } from "./blockCache.ts";
-import { blockSeed } from "./generation.ts";
+import { createBlockSeed } from "./generation.ts";
 import { hashBlocks } from "./text.ts";
 import type { EngineSettings, OrderRecord } from "./types.ts";
 
@@ -25,7 +25,7 @@
   z.strictObject({ kind: z.literal("import_cache"), storeUrl: z.string(), cacheKey: z.string() }),
 ]);
 
-/** The wire form of an order. */
+/** The body of `POST /orders`. */
 export const orderSchema = z.strictObject({
   id: z.string(),
   fencingNumber: z.number().int(),
@@ -40,7 +40,7 @@
   blocks: z.array(z.string()),
 });
 
-/** What orders change of an engine. */
+/** The part of an engine's state that orders change. */
 export interface EngineState {
   incarnation: string;
   model: string;
@@ -52,16 +52,16 @@
   highestFencingNumber: number;
 }
 
-/** The engine as orders meet it. */
+/** What executing orders uses of the engine. */
 export interface OrderDependencies {
   readonly settings: EngineSettings;
-  readonly condition: EngineState;
+  readonly state: EngineState;
   readonly cache: () => BlockCache;
   readonly closed: AbortSignal;
-  /** Breaks off all answers, as loading weights does. */
+  /** Aborts all running answers; called before weights are loaded. */
   readonly abortAnswers: () => void;
-  /** Called after each change of {@link OrderDependencies.condition}. */
-  readonly changed: () => void;
+  /** Called after each change of {@link OrderDependencies.state}. */
+  readonly recordChange: () => void;
 }
 
 const callStore = async (url: string, method: "GET" | "PUT", body?: string): Promise<string> => {
@@ -70,7 +70,7 @@
     const text = await answer.body.text();
     if (answer.statusCode === 200) return text;
   } catch {
-    // Treated like a store that answers with an error.
+    // A connection failure is reported like an error answer of the store.
   }
   throw refusal(503, "store_unavailable");
 };
@@ -80,73 +80,73 @@
 
 type ActionOf<Kind extends EngineOrderAction["kind"]> = Extract<EngineOrderAction, { kind: Kind }>;
 
-/** Takes the orders of one engine. */
+/** Executes the orders of one engine. */
 export interface OrderExecutor {
-  /** Carries out one order, or throws a {@link RefusalError}. */
+  /** Executes an order after those before it; rejects with a {@link RefusalError} if the order fails. */
   readonly execute: (order: EngineOrder) => Promise<void>;
-  /** Every order taken, with what came of it. */
+  /** Every order received, with its outcome. */
   readonly records: readonly OrderRecord[];
 }
 
-/** Creates an {@link OrderExecutor}. */
-export const createOrderExecutor = (host: OrderDependencies): OrderExecutor => {
-  const { settings, condition } = host;
+/** Creates the {@link OrderExecutor} of an engine. */
+export const createOrderExecutor = (dependencies: OrderDependencies): OrderExecutor => {
+  const { settings, state } = dependencies;
   const records: OrderRecord[] = [];
   let previous = Promise.resolve();
 
-  /** Throws if the engine crashed since: what an order began is lost with the rest. */
-  const checkAlive = (incarnation: string): void => {
-    if (condition.incarnation !== incarnation) throw refusal(503, "crashed");
+  /** Throws if the engine has crashed since the order started: a crash discards the work of its orders. */
+  const checkNotCrashed = (incarnation: string): void => {
+    if (state.incarnation !== incarnation) throw refusal(503, "crashed");
   };
 
   const loadWeights = async ({ model, weightsVersion }: ActionOf<"load_weights">): Promise<void> => {
-    const { incarnation } = condition;
-    condition.loading = true;
-    host.abortAnswers();
-    host.changed();
+    const { incarnation } = state;
+    state.loading = true;
+    dependencies.abortAnswers();
+    dependencies.recordChange();
     try {
       const path = `/weights/${encodeURIComponent(model)}/${encodeURIComponent(weightsVersion)}`;
       if (settings.weightStoreUrl !== undefined) await callStore(settings.weightStoreUrl + path, "GET");
-      await pause(settings.loadMilliseconds, host.closed);
-      checkAlive(incarnation);
-      host.cache().clear();
-      if (model !== condition.model) condition.adapters = [];
-      Object.assign(condition, { model, weightsVersion });
+      await pause(settings.loadMilliseconds, dependencies.closed);
+      checkNotCrashed(incarnation);
+      dependencies.cache().clear();
+      if (model !== state.model) state.adapters = [];
+      Object.assign(state, { model, weightsVersion });
     } finally {
-      if (condition.incarnation === incarnation) condition.loading = false;
+      if (state.incarnation === incarnation) state.loading = false;
     }
   };
 
   const loadAdapter = ({ adapter, version }: ActionOf<"load_adapter">): void => {
-    const others = condition.adapters.filter((loaded) => !loaded.startsWith(`${adapter}@`));
-    condition.adapters = [...others, `${adapter}@${version}`];
+    const others = state.adapters.filter((loaded) => !loaded.startsWith(`${adapter}@`));
+    state.adapters = [...others, `${adapter}@${version}`];
   };
 
   const transfer = (blocks: number): Promise<void> =>
-    pause((blocks * settings.transferMicrosecondsPerBlock) / 1000, host.closed);
+    pause((blocks * settings.transferMicrosecondsPerBlock) / 1000, dependencies.closed);
 
   const exportCache = async (action: ActionOf<"export_cache">): Promise<void> => {
-    const { model, weightsVersion } = condition;
-    const all = hashBlocks(blockSeed(action.cacheSalt, model, weightsVersion), action.promptText);
-    const blocks = all.slice(0, host.cache().match(all));
+    const { model, weightsVersion } = state;
+    const all = hashBlocks(createBlockSeed(action.cacheSalt, model, weightsVersion), action.promptText);
+    const blocks = all.slice(0, dependencies.cache().match(all));
     await transfer(blocks.length);
     const body = JSON.stringify({ model, weightsVersion, blocks });
     await callStore(cacheUrl(action.storeUrl, action.cacheKey), "PUT", body);
   };
 
   const importCache = async (action: ActionOf<"import_cache">): Promise<void> => {
-    const { incarnation } = condition;
+    const { incarnation } = state;
     const text = await callStore(cacheUrl(action.storeUrl, action.cacheKey), "GET");
     const { model, weightsVersion, blocks } = cacheSchema.parse(JSON.parse(text));
     await transfer(blocks.length);
-    checkAlive(incarnation);
-    if (model !== condition.model || weightsVersion !== condition.weightsVersion) {
+    checkNotCrashed(incarnation);
+    if (model !== state.model || weightsVersion !== state.weightsVersion) {
       throw refusal(409, "condition_failed");
     }
-    host.cache().store(blocks);
+    dependencies.cache().store(blocks);
   };
 
-  const carryOut = async (action: EngineOrderAction): Promise<void> => {
+  const executeAction = async (action: EngineOrderAction): Promise<void> => {
     switch (action.kind) {
       case "load_weights":
         return loadWeights(action);
@@ -154,13 +154,13 @@
         loadAdapter(action);
         return;
       case "set_role":
-        condition.role = action.role;
+        state.role = action.role;
         return;
       case "drain":
-        condition.drained = true;
+        state.drained = true;
         return;
       case "admit":
-        condition.drained = false;
+        state.drained = false;
         return;
       case "export_cache":
         return exportCache(action);
@@ -169,36 +169,36 @@
     }
   };
 
-  const check = ({ fencingNumber, ifIncarnation, ifWeightsVersion }: EngineOrder): void => {
-    if (settings.fencing === "checked" && fencingNumber < condition.highestFencingNumber) {
+  const checkPreconditions = ({ fencingNumber, ifIncarnation, ifWeightsVersion }: EngineOrder): void => {
+    if (settings.fencing === "checked" && fencingNumber < state.highestFencingNumber) {
       throw refusal(409, "stale_fencing", true);
     }
-    condition.highestFencingNumber = Math.max(condition.highestFencingNumber, fencingNumber);
-    if (ifIncarnation !== condition.incarnation || ifWeightsVersion !== condition.weightsVersion) {
+    state.highestFencingNumber = Math.max(state.highestFencingNumber, fencingNumber);
+    if (ifIncarnation !== state.incarnation || ifWeightsVersion !== state.weightsVersion) {
       throw refusal(409, "condition_failed", true);
     }
   };
 
-  const takeNext = async (order: EngineOrder): Promise<void> => {
+  const executeNext = async (order: EngineOrder): Promise<void> => {
     const { id, fencingNumber, action } = order;
     let outcome = "failed";
     try {
-      check(order);
-      await carryOut(action);
+      checkPreconditions(order);
+      await executeAction(action);
       outcome = "done";
     } catch (error) {
       if (error instanceof RefusalError) outcome = error.code;
       throw error;
     } finally {
       records.push({ id, kind: action.kind, fencingNumber, outcome });
-      host.changed();
+      dependencies.recordChange();
     }
   };
 
-  const take = (order: EngineOrder): Promise<void> => {
-    const taken = previous.then(() => takeNext(order));
-    previous = taken.catch(() => undefined);
-    return taken;
+  const execute = (order: EngineOrder): Promise<void> => {
+    const execution = previous.then(() => executeNext(order));
+    previous = execution.catch(() => undefined);
+    return execution;
   };
-  return { execute: take, records };
+  return { execute, records };
 };
--- a/standIns/engine/prioritySemaphore.ts
+++ b/standIns/engine/prioritySemaphore.ts
@@ -1,21 +1,25 @@
-/** A semaphore that lets in the smallest priority number first, and equals in order of arrival. */
+/** A semaphore that serves the smallest priority number first, and equal priorities in order of arrival. */
 export interface PrioritySemaphore {
-  /** Resolves with a place taken; rejects, with none, if the signal is aborted first. */
+  /** Resolves once a permit is acquired; rejects without one if the signal is aborted first. */
   readonly acquire: (priority: number, signal: AbortSignal) => Promise<void>;
   readonly release: () => void;
   readonly waiting: () => number;
-  readonly taken: () => number;
+  readonly acquired: () => number;
 }
 
 interface Waiter {
   readonly priority: number;
-  readonly enter: () => void;
+  readonly grant: () => void;
 }
 
-/** Creates a {@link PrioritySemaphore} with so many places. */
-export const createPrioritySemaphore = (places: number): PrioritySemaphore => {
+/**
+ * Creates a {@link PrioritySemaphore}.
+ *
+ * @param permits - How many holders it admits at a time.
+ */
+export const createPrioritySemaphore = (permits: number): PrioritySemaphore => {
   const queue: Waiter[] = [];
-  let taken = 0;
+  let acquired = 0;
 
   const enqueue = (waiter: Waiter): void => {
     const position = queue.findIndex(({ priority }) => priority > waiter.priority);
@@ -24,30 +28,30 @@
 
   const acquire = (priority: number, signal: AbortSignal): Promise<void> => {
     signal.throwIfAborted();
-    if (taken < places) {
-      taken += 1;
+    if (acquired < permits) {
+      acquired += 1;
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
-      const leave = (): void => {
+      const cancel = (): void => {
         queue.splice(queue.indexOf(waiter), 1);
         reject(signal.reason as Error);
       };
-      const enter = (): void => {
-        signal.removeEventListener("abort", leave);
+      const grant = (): void => {
+        signal.removeEventListener("abort", cancel);
         resolve();
       };
-      const waiter = { priority, enter };
-      signal.addEventListener("abort", leave, { once: true });
+      const waiter = { priority, grant };
+      signal.addEventListener("abort", cancel, { once: true });
       enqueue(waiter);
     });
   };
 
   const release = (): void => {
     const next = queue.shift();
-    if (next === undefined) taken -= 1;
-    else next.enter();
+    if (next === undefined) acquired -= 1;
+    else next.grant();
   };
 
-  return { acquire, release, waiting: () => queue.length, taken: () => taken };
+  return { acquire, release, waiting: () => queue.length, acquired: () => acquired };
 };
--- a/standIns/suspendedClock.ts
+++ b/standIns/suspendedClock.ts
@@ -1,20 +1,20 @@
 /**
- * Loaded into a process before its program: its steady clock doesn't count the time for which the process was stopped,
- * as that of a VM doesn't that was suspended. The time of day goes on. Stopping and resuming is the test's.
+ * Preloaded into a process to simulate a suspended VM: the monotonic clock does not count the time for which the
+ * process was stopped, while the time of day continues. The test stops and resumes the process.
  */
 
-/** Between two looks at the clock, and the shortest gap between looks that is a stop, milliseconds. */
-const looks = { interval: 50, gap: 700 } as const;
+/** Interval between readings of the clock, and the shortest gap between them that counts as a stop, milliseconds. */
+const polling = { interval: 50, gap: 700 } as const;
 
-const steady = performance.now.bind(performance);
-let hidden = 0;
-let last = steady();
+const readClock = performance.now.bind(performance);
+let suspendedTime = 0;
+let last = readClock();
 
 performance.now = (): number => {
-  const now = steady();
-  if (now - last > looks.gap) hidden += now - last;
+  const now = readClock();
+  if (now - last > polling.gap) suspendedTime += now - last;
   last = now;
-  return now - hidden;
+  return now - suspendedTime;
 };
 
-setInterval(() => performance.now(), looks.interval).unref();
+setInterval(() => performance.now(), polling.interval).unref();
