--- a/bench/placement/placement.ts
+++ b/bench/placement/placement.ts
@@ -11,7 +11,7 @@
 import type { MixRuns } from "./page.ts";
 import { runPolicyTasks } from "./threads.ts";
 import { expectationRows, fairnessRows, scenarioRows } from "./tables.ts";
-import { policies, policyNames } from "../policies/all.ts";
+import { policies, policyNames } from "../policies/policies.ts";
 import { formatTable } from "../report/table.ts";
 import type { Bench, BenchOptions } from "../types.ts";
 
--- a/bench/policies/omniscient.ts
+++ b/bench/policies/omniscient.ts
@@ -9,15 +9,15 @@
 import { latencies } from "../model/constants.ts";
 import type { EngineModel } from "../model/engineModel.ts";
 import type { QueueView } from "../model/engineQueue.ts";
-import { PickingScheduler } from "./PickingScheduler.ts";
-import type { Policy, RouterSeat } from "./Policy.ts";
+import { ImmediateScheduler } from "./ImmediateScheduler.ts";
+import type { Policy, SchedulerDependencies } from "./Policy.ts";
 
-class OmniscientScheduler extends PickingScheduler {
-  private readonly seat: RouterSeat;
+class OmniscientScheduler extends ImmediateScheduler {
+  private readonly seat: SchedulerDependencies;
   /** Levels that more than one prompt may have: all but each prompt's last. */
   private readonly shared = new Set<string>();
 
-  constructor(seat: RouterSeat) {
+  constructor(seat: SchedulerDependencies) {
     super(seat.directory);
     this.seat = seat;
   }
