--- a/bench/admission/admission.ts
+++ b/bench/admission/admission.ts
@@ -1,4 +1,7 @@
-/** `npm run bench -- admission`: what is refused, when, and at whose cost, when more comes than can be done. */
+/**
+ * `npm run bench -- admission`: which requests are refused under overload, how late the refusals come, and how
+ * each request class and organisation is affected.
+ */
 import { warmUp } from "../model/constants.ts";
 import { createMixes } from "../model/mixes.ts";
 import type { Mix } from "../model/mixes.ts";
@@ -15,10 +18,10 @@
 import { admissionScenarios } from "./scenarios.ts";
 import type { AdmissionScenario } from "./scenarios.ts";
 
-/** Simulated milliseconds that are measured in one run. */
+/** Simulated milliseconds measured in one run, after the warm-up. */
 const measuredTime = { usual: 15_000, quick: 8000 } as const;
 
-/** One policy in one scenario of one mix. */
+/** Results of one policy in one scenario of one mix, over all seeds. */
 interface AdmissionRun {
   readonly mix: string;
   readonly scenario: string;
@@ -134,9 +137,9 @@
   const all: AdmissionRun[] = [];
   if (!json)
     console.log(`seeds ${usedSeeds.join(", ")}; ${(duration - warmUp) / 1000} s measured in each run`);
-  for (const usual of createMixes()) {
+  for (const baseMix of createMixes()) {
     for (const scenario of admissionScenarios) {
-      const mix = scenario.changeMix(usual);
+      const mix = scenario.changeMix(baseMix);
       if (mix === undefined) continue;
       const runs: AdmissionRun[] = [];
       for (const policy of comparedPolicies(only)) {
@@ -149,7 +152,7 @@
   if (json) console.log(JSON.stringify({ bench: "admission", seeds: usedSeeds, duration, runs: all }));
 };
 
-/** Admission under overload and floods. */
+/** Compares admission by policy under overload, floods and batch surges. */
 export const admissionBench: Bench = {
   name: "admission",
   summary: "refusals, limits and fairness under overload, floods and batch surges (simulated time)",
--- a/bench/admission/measures.test.ts
+++ b/bench/admission/measures.test.ts
@@ -7,7 +7,7 @@
 
 const mix = createLevantMix();
 
-/** A check of 5,000 tokens, of which engines held 4,000: 129 ms of an idle engine. */
+/** A request with 5,000 prompt tokens, 4,000 of them cached by an engine: an idle engine prefills it in 129 ms. */
 const createRecord = (at: number, changes: Partial<RequestRecord>): RequestRecord => ({
   arrival: {
     at: warmUp + at,
@@ -39,8 +39,8 @@
   return { checks, organisation };
 };
 
-describe("the admission bench's measures", () => {
-  it("tell in time, late, refused and unanswered apart", () => {
+describe("outcome figures of the admission bench", () => {
+  it("distinguish in time, late, refused and unanswered", () => {
     const { checks } = outcomesOf([
       createRecord(0, {}),
       createRecord(1, { firstTokenAfter: 601 }),
@@ -51,13 +51,13 @@
     expect([inTime, late, parts, unanswered]).toEqual([0.25, 0.25, 0.25, 0.25]);
   });
 
-  it("count how long a refused request had been hopeless", () => {
+  it("measure how long a refused request could no longer meet its deadline", () => {
     // The deadline is 600 ms and the best engine needs 129 ms.
     expect(outcomesOf([createRecord(0, { ...refused, endedAfter: 571 })]).checks?.hopelessFor).toEqual(100);
     expect(outcomesOf([createRecord(0, { ...refused, endedAfter: 400 })]).checks?.hopelessFor).toEqual(0);
   });
 
-  it("count what an organisation has under way at once and is admitted in one second", () => {
+  it("count the most concurrent requests of an organisation and the most admitted within one second", () => {
     const records = [0, 100, 250, 1105].map((at) => createRecord(at, {}));
     const { organisation } = outcomesOf([...records, createRecord(160, refused)]);
     expect([organisation?.mostConcurrent, organisation?.mostAdmittedPerSecond]).toEqual([2, 3]);
--- a/bench/admission/measures.ts
+++ b/bench/admission/measures.ts
@@ -1,47 +1,48 @@
-/** What admission did to each class and each organisation, from the records of runs. */
+/** Computes the outcome of admission for each request class and organisation from the records of runs. */
 import { warmUp } from "../model/constants.ts";
 import { percentilesOf } from "../model/figures.ts";
 import type { Mix } from "../model/mixes.ts";
 import type { SimulationResult } from "../model/simulation.ts";
 import type { RequestRecord } from "../model/types.ts";
 
-/** How one class fared. Parts are of its requests. */
+/** Outcome of one request class. Shares are fractions of its requests. */
 export interface ClassOutcome {
   readonly className: string;
+  /** Requests offered per second. */
   readonly perSecond: number;
   readonly inTime: number;
-  /** First token after the deadline: admitted although it could not be in time. */
+  /** First token after the deadline: admitted although the deadline could not be met. */
   readonly late: number;
   readonly refused: number;
   readonly unanswered: number;
-  /** Milliseconds, of those answered. */
+  /** Time to first token of the answered requests, milliseconds. */
   readonly p99: number;
-  /** Milliseconds from the moment at which no engine could have made the deadline to the refusal, p99. */
+  /** Milliseconds between the point at which no engine could meet the deadline any more and the refusal, p99. */
   readonly hopelessFor: number;
 }
 
-/** How one organisation fared. */
+/** Outcome of one organisation. */
 export interface OrganisationOutcome {
   readonly organisation: string;
   readonly standing: number;
   readonly offeredPerSecond: number;
-  /** The most admitted within one second, over all routers. */
+  /** Most requests admitted within any one second, summed over all routers. */
   readonly mostAdmittedPerSecond: number;
   readonly limitPerSecond: number;
-  /** The most under way at once, over all routers. */
+  /** Most concurrent requests, summed over all routers. */
   readonly mostConcurrent: number;
   readonly limitConcurrent: number;
   readonly refused: number;
-  /** Part of its requests whose first token came in time. */
+  /** Share of its requests whose first token met the deadline. */
   readonly inTime: number;
 }
 
-const share = (records: readonly RequestRecord[], counts: (record: RequestRecord) => boolean): number =>
-  records.length === 0 ? 0 : records.filter(counts).length / records.length;
+const share = (records: readonly RequestRecord[], matches: (record: RequestRecord) => boolean): number =>
+  records.length === 0 ? 0 : records.filter(matches).length / records.length;
 
 const isRefused = ({ outcome }: RequestRecord): boolean => outcome === "refused";
 
-const measured = (result: SimulationResult): readonly RequestRecord[] =>
+const recordsAfterWarmUp = (result: SimulationResult): readonly RequestRecord[] =>
   result.records.filter(({ arrival }) => arrival.at >= warmUp);
 
 const deadlineOf = (mix: Mix, className: string): number =>
@@ -50,26 +51,35 @@
 const isInTime = (mix: Mix, { arrival, firstTokenAfter }: RequestRecord): boolean =>
   firstTokenAfter !== undefined && firstTokenAfter <= deadlineOf(mix, arrival.className);
 
-/** How long a refused request had been hopeless, by what the best engine held when it came. */
-const hopelessTime = (mix: Mix, { arrival, heldTokens, endedAfter }: RequestRecord): number => {
+/**
+ * Milliseconds for which a refused request could no longer meet its deadline when it was refused, based on the most
+ * tokens that an engine had cached when it arrived.
+ */
+const infeasibleTime = (mix: Mix, { arrival, heldTokens, endedAfter }: RequestRecord): number => {
   const { prefillOverhead, prefillTokensPerSecond } = mix.engine;
   const prefill = prefillOverhead + ((arrival.promptTokens - heldTokens) * 1000) / prefillTokensPerSecond;
-  const hopelessAfter = Math.max(0, deadlineOf(mix, arrival.className) - prefill);
-  return Math.max(0, (endedAfter ?? 0) - hopelessAfter);
+  const infeasibleAfter = Math.max(0, deadlineOf(mix, arrival.className) - prefill);
+  return Math.max(0, (endedAfter ?? 0) - infeasibleAfter);
 };
 
-const percentile = (values: readonly number[], part: number): number => {
+const percentile = (values: readonly number[], share: number): number => {
   const sorted = [...values].sort((left, right) => left - right);
-  return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0;
 };
 
-/** One line for each class. */
+/**
+ * Computes the outcome of each class.
+ *
+ * @param results - Runs with different seeds.
+ * @param duration - Simulated milliseconds of each run, warm-up included.
+ * @returns One outcome per class, in the order of the mix.
+ */
 export const classOutcomes = (
   results: readonly SimulationResult[],
   mix: Mix,
   duration: number,
 ): readonly ClassOutcome[] => {
-  const all = results.flatMap(measured);
+  const all = results.flatMap(recordsAfterWarmUp);
   const seconds = (results.length * (duration - warmUp)) / 1000;
   return mix.classes.map(({ className }) => {
     const records = all.filter(({ arrival }) => arrival.className === className);
@@ -85,15 +95,15 @@
       unanswered: share(records, (record) => !isRefused(record) && record.firstTokenAfter === undefined),
       p99: percentilesOf(records).p99,
       hopelessFor: percentile(
-        records.filter(isRefused).map((record) => hopelessTime(mix, record)),
+        records.filter(isRefused).map((record) => infeasibleTime(mix, record)),
         0.99,
       ),
     };
   });
 };
 
-/** The most intervals that overlap at one moment. */
-const mostAtOnce = (intervals: readonly (readonly [number, number])[]): number => {
+/** @returns The most intervals that overlap at any time. */
+const maxOverlap = (intervals: readonly (readonly [number, number])[]): number => {
   const steps = intervals.flatMap(([from, until]) => [
     { at: from, change: 1 },
     { at: until, change: -1 },
@@ -108,37 +118,43 @@
     assignedAfter === undefined ? [] : [[at + assignedAfter, at + (endedAfter ?? Infinity)] as const],
   );
 
-const second = 1000;
+const oneSecond = 1000;
 
-const mostOf = (
+const maxOverRuns = (
   results: readonly SimulationResult[],
   organisation: string,
   of: (intervals: readonly (readonly [number, number])[]) => number,
 ): number =>
   results.reduce((most, result) => {
-    const records = measured(result).filter(({ arrival }) => arrival.organisation === organisation);
+    const records = recordsAfterWarmUp(result).filter(({ arrival }) => arrival.organisation === organisation);
     return Math.max(most, of(admittedTimes(records)));
   }, 0);
 
-/** One line for each organisation; the most over all runs where a limit is at stake. */
+/**
+ * Computes the outcome of each organisation. Figures that are compared with a limit are the maximum over all runs.
+ *
+ * @param results - Runs with different seeds.
+ * @param duration - Simulated milliseconds of each run, warm-up included.
+ * @returns One outcome per organisation, in the order of the configuration.
+ */
 export const organisationOutcomes = (
   results: readonly SimulationResult[],
   mix: Mix,
   duration: number,
 ): readonly OrganisationOutcome[] => {
-  const all = results.flatMap(measured);
+  const all = results.flatMap(recordsAfterWarmUp);
   const seconds = (results.length * (duration - warmUp)) / 1000;
   return mix.configuration.organisations.map(({ name, standing, limits }) => {
     const records = all.filter(({ arrival }) => arrival.organisation === name);
     const withinSecond = (intervals: readonly (readonly [number, number])[]): number =>
-      mostAtOnce(intervals.map(([from]) => [from, from + second]));
+      maxOverlap(intervals.map(([from]) => [from, from + oneSecond]));
     return {
       organisation: name,
       standing,
       offeredPerSecond: records.length / seconds,
-      mostAdmittedPerSecond: mostOf(results, name, withinSecond),
+      mostAdmittedPerSecond: maxOverRuns(results, name, withinSecond),
       limitPerSecond: limits.requestsPerSecond,
-      mostConcurrent: mostOf(results, name, mostAtOnce),
+      mostConcurrent: maxOverRuns(results, name, maxOverlap),
       limitConcurrent: limits.concurrentRequests,
       refused: share(records, isRefused),
       inTime: share(records, (record) => isInTime(mix, record)),
--- a/bench/admission/scenarios.ts
+++ b/bench/admission/scenarios.ts
@@ -1,4 +1,4 @@
-/** What the admission bench puts routers through. */
+/** Scenarios of the admission bench. */
 import { warmUp } from "../model/constants.ts";
 import { withSurge } from "../model/mixes.ts";
 import type { Mix } from "../model/mixes.ts";
@@ -6,33 +6,34 @@
 import type { TimedFault } from "../model/simulation.ts";
 import type { Flood } from "../model/arrivals.ts";
 
-/** One scenario of the admission bench. */
+/** A change of load or a fault under which admission is compared. */
 export interface AdmissionScenario {
   readonly name: string;
   readonly summary: string;
-  /** The mix as it comes in this scenario; nothing where the scenario makes no sense for it. */
+  /** @returns The mix with this scenario's load; `undefined` where the scenario does not apply to it. */
   readonly changeMix: (mix: Mix) => Mix | undefined;
   readonly flood?: (mix: Mix) => Flood;
   readonly faults?: readonly TimedFault[];
 }
 
-/** Of all prompt computing time at perfect caching. */
-const overload = 1.5;
+/** Offered load as a multiple of the prefill capacity at perfect caching. */
+const overloadFactor = 1.5;
 
 const batchFactor = 6;
 
 const unchanged = (mix: Mix): Mix => mix;
 
-const cutOffWhole: TimedFault = {
+const dataCentreCutOff: TimedFault = {
   at: warmUp,
   strike: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
 };
 
+/** In the order in which they are run and printed. */
 export const admissionScenarios: readonly AdmissionScenario[] = [
   {
     name: "overload",
-    summary: `${overload} times what all engines can compute at perfect caching`,
-    changeMix: (mix) => ({ ...mix, utilisation: overload }),
+    summary: `${overloadFactor} times what all engines can compute at perfect caching`,
+    changeMix: (mix) => ({ ...mix, utilisation: overloadFactor }),
   },
   {
     name: "flooding rival",
@@ -45,7 +46,7 @@
     summary: "the same while one data centre reaches no other",
     changeMix: unchanged,
     flood: placementScenarios.flood.flood,
-    faults: [cutOffWhole],
+    faults: [dataCentreCutOff],
   },
   {
     name: "batch surge",
--- a/bench/placement/expectations.ts
+++ b/bench/placement/expectations.ts
@@ -1,7 +1,7 @@
-/** The figures that issue 4 expects of our policy, checked against what a bench run gave. */
+/** Checks the results of a bench run against the figures expected of the router's own policy. */
 import type { Figures } from "../model/figures.ts";
 
-/** One expected figure with what came out. */
+/** One expected figure with the measured value. */
 export interface Expectation {
   readonly text: string;
   readonly expected: string;
@@ -9,25 +9,25 @@
   readonly met: boolean;
 }
 
-/** What the expectations of one mix are checked against. */
+/** Measured figures of one mix that the expectations are checked against. */
 export interface MixFigures {
   readonly mix: string;
   readonly watchedClass: string;
-  /** Classes whose time to first token the deployment watches. */
+  /** Classes whose time to first token the deployment monitors. */
   readonly interactiveClasses: readonly string[];
   readonly ours: Figures;
   readonly leastLoaded: Figures;
   readonly omniscient: Figures;
-  /** At a load that least-loaded placement can carry. */
+  /** At a load that least-loaded placement can sustain. */
   readonly quiet: { readonly ours: Figures; readonly leastLoaded: Figures };
-  /** Ours after the hot shift over ours at the same times without it, p99 of the watched class. */
+  /** Our p99 of the watched class after the hot shift, divided by that of the same period without the shift. */
   readonly shiftRecovery: number;
-  /** The same rivals' requests of ours without and with the flood. */
+  /** Under our policy, the requests of the organisations that do not flood, without and with the flood. */
   readonly rivalsBefore: Figures;
   readonly rivalsDuring: Figures;
 }
 
-/** A ratio of two endless times is no number, and so never met. */
+/** The ratio of two infinite times is `NaN` and therefore never meets its limit. */
 const atMost = (text: string, measured: number, limit: number, digits = 2): Expectation => ({
   text,
   expected: `≤ ${limit.toFixed(digits)}`,
@@ -37,9 +37,9 @@
 
 const p99Of = ({ classes }: Figures, className: string): number => classes[className]?.p99OfAll ?? NaN;
 
-const points = (before: number, after: number): number => (before - after) * 100;
+const percentagePoints = (before: number, after: number): number => (before - after) * 100;
 
-/** Levant weighs the tail, Trinacria recomputation. */
+/** Trinacria is judged by wasted recomputation, every other deployment by tail latency. */
 const againstLeastLoaded = (
   { mix, interactiveClasses }: MixFigures,
   load: string,
@@ -53,7 +53,7 @@
   );
 };
 
-/** Checks every expectation for one mix. */
+/** @returns Every expectation for one mix, with whether it is met. */
 export const checkExpectations = (figures: MixFigures): readonly Expectation[] => {
   const { ours, omniscient, watchedClass, rivalsBefore, rivalsDuring } = figures;
   const ratio = (over: Figures, under: Figures): number =>
@@ -61,10 +61,15 @@
   return [
     ...againstLeastLoaded(figures, "quiet", figures.quiet),
     ...againstLeastLoaded(figures, "steady", figures),
-    atMost("hit rate below omniscient, points", points(omniscient.hitRate, ours.hitRate), 5, 1),
+    atMost("hit rate below omniscient, points", percentagePoints(omniscient.hitRate, ours.hitRate), 5, 1),
     atMost(`p99 of ${watchedClass} / omniscient`, ratio(ours, omniscient), 1.3),
     atMost(`p99 of ${watchedClass} from 3 s after the hot shift / steady`, figures.shiftRecovery, 1.5),
     atMost(`flood: rivals' p99 of ${watchedClass} / without`, ratio(rivalsDuring, rivalsBefore), 1.1),
-    atMost("flood: rivals' hit rate lost, points", points(rivalsBefore.hitRate, rivalsDuring.hitRate), 2, 1),
+    atMost(
+      "flood: rivals' hit rate lost, points",
+      percentagePoints(rivalsBefore.hitRate, rivalsDuring.hitRate),
+      2,
+      1,
+    ),
   ];
 };
--- a/bench/placement/page.ts
+++ b/bench/placement/page.ts
@@ -1,4 +1,4 @@
-/** Writes the placement bench's tables and plots into the project's pages. */
+/** Writes the tables and plots of the placement bench into the documentation. */
 import type { Mix } from "../model/mixes.ts";
 import { scenarios } from "../model/scenarios.ts";
 import type { Scenario } from "../model/scenarios.ts";
@@ -10,7 +10,7 @@
 import type { PolicyRuns } from "./runs.ts";
 import { expectationRows, fairnessRows, scenarioRows } from "./tables.ts";
 
-/** Everything measured for one mix. */
+/** All results of one mix. */
 export interface MixRuns {
   readonly mix: Mix;
   readonly policies: readonly PolicyRuns[];
@@ -49,7 +49,7 @@
   }),
 });
 
-const mixText = (runs: MixRuns): string => {
+const formatMix = (runs: MixRuns): string => {
   const { mix, policies, expectations } = runs;
   const sections = (Object.values(scenarios) as readonly Scenario[]).map(
     ({ name, summary }) =>
@@ -69,15 +69,15 @@
 };
 
 /**
- * Writes page and plots.
+ * Writes the placement section of the measurements page and its plots.
  *
- * @param how - Seeds and durations, for the page.
+ * @param runDescription - Seeds and durations, shown on the page.
  */
-export const writePlacementPage = (measured: readonly MixRuns[], how: string): void => {
+export const writePlacementPage = (measured: readonly MixRuns[], runDescription: string): void => {
   for (const runs of measured) {
     writeFile(`${plots}/placement-${runs.mix.name}-ttft.svg`, drawBarChart(firstTokenChart(runs)));
     writeFile(`${plots}/placement-${runs.mix.name}-hits.svg`, drawBarChart(hitRateChart(runs)));
   }
-  const heading = `## Placement\n\n\`npm run bench -- placement --write\` with src as of ${commitName()}, ${how}. Simulated time.`;
-  writeSection(page, "Measurements", "placement", [heading, ...measured.map(mixText)].join("\n\n"));
+  const heading = `## Placement\n\n\`npm run bench -- placement --write\` with src as of ${commitName()}, ${runDescription}. Simulated time.`;
+  writeSection(page, "Measurements", "placement", [heading, ...measured.map(formatMix)].join("\n\n"));
 };
--- a/bench/placement/placement.ts
+++ b/bench/placement/placement.ts
@@ -1,4 +1,7 @@
-/** `npm run bench -- placement`: policies compared on both deployments' mixes, under load and faults. */
+/**
+ * `npm run bench -- placement`: compares placement policies on the mixes of both deployments, under load and
+ * faults.
+ */
 import { warmUp } from "../model/constants.ts";
 import { createMixes } from "../model/mixes.ts";
 import type { Mix } from "../model/mixes.ts";
@@ -15,7 +18,7 @@
 import { formatTable } from "../report/table.ts";
 import type { Bench, BenchOptions } from "../types.ts";
 
-/** Simulated milliseconds that are measured in one run. */
+/** Simulated milliseconds measured in one run, after the warm-up. */
 const measuredTime = { usual: 24_000, quick: 17_000 } as const;
 
 const createPlan = ({ quick, seeds }: BenchOptions): RunPlan => ({
@@ -51,7 +54,7 @@
   });
 };
 
-/** @param only - Policies to run, by name; all if there are none. */
+/** @param only - Names of the policies to run; all if empty. */
 const measureMixes = async (plan: RunPlan, only: readonly string[]): Promise<readonly MixRuns[]> => {
   const mixes = createMixes();
   const chosen = policies.filter(({ name }) => only.length === 0 || only.includes(name));
@@ -91,17 +94,17 @@
 const run = async (options: BenchOptions): Promise<void> => {
   const plan = createPlan(options);
   const measured = await measureMixes(plan, options.only);
-  const how = `seeds ${plan.seeds.join(", ")}, ${(plan.duration - warmUp) / 1000} s measured in each run`;
-  if (options.write) writePlacementPage(measured, how);
+  const runDescription = `seeds ${plan.seeds.join(", ")}, ${(plan.duration - warmUp) / 1000} s measured in each run`;
+  if (options.write) writePlacementPage(measured, runDescription);
   if (options.json) {
     console.log(JSON.stringify({ bench: "placement", ...plan, mixes: measured.map(describeRun) }));
     return;
   }
-  console.log(how);
+  console.log(runDescription);
   measured.forEach(printMix);
 };
 
-/** Placement policies against each other. */
+/** Compares placement policies. */
 export const placementBench: Bench = {
   name: "placement",
   summary: "hit rate, TTFT, wasted recomputation by policy, mix and fault (simulated time)",
--- a/bench/placement/runs.ts
+++ b/bench/placement/runs.ts
@@ -1,4 +1,4 @@
-/** Runs every policy through the scenarios of a mix, with several seeds. */
+/** Runs a policy through all scenarios of a mix with several seeds. */
 import { figuresOf, measuredRecords, percentilesOf } from "../model/figures.ts";
 import type { Figures, RecordFilter } from "../model/figures.ts";
 import type { Mix } from "../model/mixes.ts";
@@ -8,30 +8,33 @@
 import type { SimulationResult } from "../model/simulation.ts";
 import type { Policy } from "../policies/Policy.ts";
 
-/** One policy in one scenario. */
+/** Results of one policy in one scenario. */
 export interface ScenarioRun {
   readonly figures: Figures;
-  /** From 3 s to 10 s after the strike: p99 of the watched class over that of the steady run. */
+  /**
+   * The watched class's p99 from 3 s to 10 s after the disturbance, divided by that of the steady run;
+   * `undefined` for scenarios without a disturbance.
+   */
   readonly recovery: number | undefined;
 }
 
-/** One policy in all scenarios. */
+/** Results of one policy in all scenarios. */
 export interface PolicyRuns {
   readonly policy: string;
   readonly runs: ReadonlyMap<string, ScenarioRun>;
-  /** The requests of all but the flooding organisation, without and with the flood. */
+  /** Requests of all organisations but the flooding one, without and with the flood. */
   readonly rivalsBefore: Figures;
   readonly rivalsDuring: Figures;
 }
 
-/** How long and how often. */
+/** Seeds and duration of the runs. */
 export interface RunPlan {
   readonly seeds: readonly number[];
   /** Simulated milliseconds of a run, warm-up included. */
   readonly duration: number;
 }
 
-/** After a strike: when the system should have recovered, and until when it is looked at. */
+/** The period after a disturbance in which the system should have recovered, simulated milliseconds. */
 const recoveryWindow = { from: 3000, until: 10_000 } as const;
 
 const runScenario = async (
@@ -78,7 +81,7 @@
     ? undefined
     : p99Within(results, mix, strikesAt) / p99Within(steady, mix, strikesAt);
 
-/** Runs one policy. */
+/** Runs one policy through all scenarios of a mix. */
 export const runPolicy = async (mix: Mix, policy: Policy, plan: RunPlan): Promise<PolicyRuns> => {
   const flooding = scenarios.flood.flood(mix).organisation;
   const isRival: RecordFilter = ({ arrival }) => arrival.organisation !== flooding;
--- a/bench/placement/tables.ts
+++ b/bench/placement/tables.ts
@@ -1,4 +1,4 @@
-/** The tables of the placement bench. */
+/** Table rows of the placement bench. */
 import type { Figures } from "../model/figures.ts";
 import type { Mix } from "../model/mixes.ts";
 import type { Row } from "../report/table.ts";
@@ -13,7 +13,7 @@
     return [found.p50, found.p99, found.p999].map(formatMilliseconds).join(" / ");
   });
 
-/** One line for each policy of one scenario. */
+/** @returns A heading and one row per policy for one scenario. */
 export const scenarioRows = (mix: Mix, policies: readonly PolicyRuns[], scenario: string): readonly Row[] => {
   const heading = [
     "policy",
@@ -46,7 +46,7 @@
   return [heading, ...rows];
 };
 
-/** What a flooding organisation costs the others, by policy. */
+/** @returns A heading and one row per policy with the effect of a flooding organisation on the others. */
 export const fairnessRows = (mix: Mix, policies: readonly PolicyRuns[]): readonly Row[] => {
   const cells = ({ hitRate, refused, unanswered, classes }: Figures): readonly string[] => [
     formatShare(hitRate),
@@ -64,9 +64,9 @@
   ];
 };
 
-/** Expected figures beside the measured ones. */
+/** @returns A heading and one row per expectation with its limit and the measured figure. */
 export const expectationRows = (expectations: readonly Expectation[]): readonly Row[] => [
-  ["expected of ours (issue 4)", "limit", "measured", "verdict"],
+  ["expected of ours", "limit", "measured", "verdict"],
   ...expectations.map(({ text, expected, measured, met }) => [
     text,
     expected,
--- a/bench/placement/threads.ts
+++ b/bench/placement/threads.ts
@@ -1,14 +1,14 @@
-/** Spreads the policies of all mixes over a few threads; each result is the same whatever thread it comes from. */
+/** Runs policy tasks on a few worker threads. The result of a task does not depend on the thread that runs it. */
 import { once } from "node:events";
 import { Worker } from "node:worker_threads";
 import type { PolicyRuns } from "./runs.ts";
 import type { PolicyTask, PolicyTaskResult } from "./worker.ts";
 
-/** More would take the machine from others who use it. */
+/** More threads would slow down other processes on a shared machine. */
 const threadCount = 2;
 
 /**
- * Runs tasks.
+ * Runs tasks on worker threads.
  *
  * @returns The results in the order of the tasks.
  */
--- a/bench/placement/worker.ts
+++ b/bench/placement/worker.ts
@@ -1,18 +1,18 @@
-/** A thread that runs one policy after another, as it is told. */
+/** Worker thread that runs the policy tasks it receives. */
 import { parentPort } from "node:worker_threads";
 import { createMixes } from "../model/mixes.ts";
 import { policies } from "../policies/policies.ts";
 import { runPolicy } from "./runs.ts";
 import type { PolicyRuns, RunPlan } from "./runs.ts";
 
-/** One policy on one mix. */
+/** A policy to run on a mix. */
 export interface PolicyTask {
   readonly mix: string;
   readonly policy: string;
   readonly plan: RunPlan;
 }
 
-/** What came of a task. */
+/** Result of a task; `runs` is `undefined` if the mix or policy is unknown. */
 export interface PolicyTaskResult {
   readonly runs: PolicyRuns | undefined;
 }
@@ -29,6 +29,6 @@
 };
 
 parentPort?.on("message", (task: PolicyTask) => {
-  // A failure ends the thread, and the main thread is told.
+  // An error terminates the worker and reaches the main thread as its `error` event.
   void runTask(task);
 });
--- a/bench/policies/ImmediateScheduler.ts
+++ b/bench/policies/ImmediateScheduler.ts
@@ -5,7 +5,7 @@
 
 const retryAfterSeconds = 1;
 
-/** A baseline that chooses at once, admits everything and never waits. */
+/** Base class of policies that choose an engine immediately, admit every request and never queue. */
 export abstract class ImmediateScheduler extends Scheduler {
   protected readonly directory: EngineDirectory;
 
@@ -25,7 +25,7 @@
     return { policy: this.constructor.name };
   }
 
-  /** @param candidates - Live engines that serve the work; at least one. */
+  /** @param candidates - Live engines that can serve the request; at least one. */
   protected abstract pick(work: Work, candidates: readonly EngineReplica[]): EngineReplica | undefined;
 
   private listCandidates(work: Work): readonly EngineReplica[] {
@@ -53,9 +53,12 @@
   }
 }
 
-/** The deepest level that other prompts share: the whole prompt's own level is left out. */
+/**
+ * @returns Key of the deepest prefix level that other prompts can share, i.e. excluding the level of the whole
+ * prompt.
+ */
 export const sharedPrefixOf = ({ levels }: Work): string => levels.at(-2)?.key ?? levels.at(-1)?.key ?? "";
 
-/** The requests that a router believes to be at an engine. */
+/** @returns Requests at an engine as known to this router. */
 export const requestsAt = ({ inFlight, load }: EngineReplica): number =>
   Math.max(inFlight, (load?.running ?? 0) + (load?.waiting ?? 0));
--- a/bench/policies/consistentHash.ts
+++ b/bench/policies/consistentHash.ts
@@ -1,4 +1,4 @@
-/** Baseline: the engine that a rendezvous hash of the shared prefix names, whatever its load. */
+/** Baseline: rendezvous hashing of the shared prefix, regardless of load. */
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
@@ -13,6 +13,7 @@
   }
 }
 
+/** Always places a shared prefix on the same engine. */
 export const consistentHashPolicy: Policy = {
   name: "consistent hash",
   createScheduler: ({ directory }) => new ConsistentHashScheduler(directory),
--- a/bench/policies/leastLoaded.ts
+++ b/bench/policies/leastLoaded.ts
@@ -1,11 +1,14 @@
-/** Baseline: the engine with the fewest requests, by lagged reports and this router's own work under way. */
+/**
+ * Baseline: the engine with the fewest requests, based on delayed load reports and this router's in-flight
+ * requests.
+ */
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
 import { ImmediateScheduler, requestsAt, sharedPrefixOf } from "./ImmediateScheduler.ts";
 import type { Policy } from "./Policy.ts";
 
-/** Takes the least loaded live engine; ties go to the prompt's preferred one. */
+/** Picks the least loaded live engine; ties are broken by a hash of the shared prefix and the engine. */
 class LeastLoadedScheduler extends ImmediateScheduler {
   protected override pick(work: Work, candidates: readonly EngineReplica[]): EngineReplica | undefined {
     const prefix = sharedPrefixOf(work);
@@ -19,6 +22,7 @@
   }
 }
 
+/** Places requests by load alone. */
 export const leastLoadedPolicy: Policy = {
   name: "least loaded",
   createScheduler: ({ directory }) => new LeastLoadedScheduler(directory),
--- a/bench/policies/omniscient.ts
+++ b/bench/policies/omniscient.ts
@@ -1,6 +1,6 @@
 /**
- * The bound: sees every cache and queue truly and at once, in every router, and takes the engine with the least
- * time to first token, with recomputation weighed as the class's objective asks.
+ * Upper bound: every router knows the actual state of every cache and queue without delay and picks the engine
+ * with the lowest time to first token, with recomputation weighted by the class's objective.
  */
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
@@ -13,13 +13,13 @@
 import type { Policy, SchedulerDependencies } from "./Policy.ts";
 
 class OmniscientScheduler extends ImmediateScheduler {
-  private readonly seat: SchedulerDependencies;
-  /** Levels that more than one prompt may have: all but each prompt's last. */
+  private readonly dependencies: SchedulerDependencies;
+  /** Keys of levels that several prompts may share: all but the last level of each prompt. */
   private readonly shared = new Set<string>();
 
-  constructor(seat: SchedulerDependencies) {
-    super(seat.directory);
-    this.seat = seat;
+  constructor(dependencies: SchedulerDependencies) {
+    super(dependencies.directory);
+    this.dependencies = dependencies;
   }
 
   protected override pick(work: Work, candidates: readonly EngineReplica[]): EngineReplica | undefined {
@@ -36,24 +36,27 @@
   }
 
   private costAt(work: Work, { id, pool }: EngineReplica): number {
-    const engine = this.seat.fleet.get(id);
-    if (engine?.isUp() !== true || !this.seat.fleet.reaches(this.seat.dataCentre, engine.dataCentre)) {
+    const engine = this.dependencies.fleet.get(id);
+    if (
+      engine?.isUp() !== true ||
+      !this.dependencies.fleet.reaches(this.dependencies.dataCentre, engine.dataCentre)
+    ) {
       return Infinity;
     }
-    const index = this.seat.configuration();
+    const index = this.dependencies.configuration();
     const queue = engine.queueView(work.context.requestClass.priority);
     const tokenTime = 1000 / (index.pools.get(pool)?.prefillTokensPerSecond ?? 1);
     const uncached = work.promptTokens - expectedTokens(engine, queue, work.levels);
     const prefill = uncached * tokenTime;
-    const loss = this.soleTokensLost(engine, uncached) * tokenTime;
-    const latency = engine.dataCentre === this.seat.dataCentre ? latencies.within : latencies.between;
+    const loss = this.lastCopyTokensLost(engine, uncached) * tokenTime;
+    const latency = engine.dataCentre === this.dependencies.dataCentre ? latencies.within : latencies.between;
     const firstToken = queue.seatWait + queue.pendingTokens * tokenTime + prefill + 2 * latency;
     return firstToken + loss + recomputationWeight(index, work) * (prefill + loss);
   }
 
-  /** Tokens of shared levels that no engine would hold any longer. */
-  private soleTokensLost(engine: EngineModel, tokens: number): number {
-    const others = this.seat.fleet.engines.filter((other) => other !== engine);
+  /** Tokens of shared levels that no engine would have cached any more after this engine's evictions. */
+  private lastCopyTokensLost(engine: EngineModel, tokens: number): number {
+    const others = this.dependencies.fleet.engines.filter((other) => other !== engine);
     return engine
       .wouldEvict(tokens)
       .filter(({ key }) => this.shared.has(key) && !others.some((other) => other.holds(key)))
@@ -61,7 +64,9 @@
   }
 }
 
-/** How much a millisecond of prefill weighs beside one of waiting, over what it delays its own request. */
+/**
+ * Weight of a millisecond of prefill relative to one of waiting, in addition to the delay of the request itself.
+ */
 const recomputationWeight = (index: ConfigurationIndex, { context }: Work): number => {
   const { requestClass } = context;
   const deployment = index.configuration.deployments.find(({ name }) => name === requestClass.deployment);
@@ -70,6 +75,7 @@
   return objective.recomputation / Math.max(objective.timeToFirstToken, Number.EPSILON);
 };
 
+/** Prompt tokens that the engine has cached or will have cached once its queued requests have run. */
 const expectedTokens = (
   engine: EngineModel,
   { expectedKeys }: QueueView,
@@ -80,7 +86,8 @@
   return first < 0 ? cached : Math.max(cached, levels[first - 1]?.tokens ?? 0);
 };
 
+/** Not implementable in production; bounds what a policy can achieve. */
 export const omniscientPolicy: Policy = {
   name: "omniscient",
-  createScheduler: (seat) => new OmniscientScheduler(seat),
+  createScheduler: (dependencies) => new OmniscientScheduler(dependencies),
 };
--- a/bench/policies/policies.ts
+++ b/bench/policies/policies.ts
@@ -7,14 +7,14 @@
 import { prefixTreePolicy } from "./prefixTree.ts";
 import { randomPolicy } from "./random.ts";
 
-/** Names of the policies that expected figures compare. */
+/** Names of the policies that the expected figures refer to. */
 export const policyNames = {
   ours: oursPolicy.name,
   leastLoaded: leastLoadedPolicy.name,
   omniscient: omniscientPolicy.name,
 } as const;
 
-/** In the order of the tables: baselines, ours, the bound. */
+/** In the order of the tables: baselines, the router's own policy, the upper bound. */
 export const policies: readonly Policy[] = [
   randomPolicy,
   leastLoadedPolicy,
--- a/bench/policies/random.ts
+++ b/bench/policies/random.ts
@@ -1,4 +1,4 @@
-/** Baseline: any live engine. */
+/** Baseline: a random live engine. */
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { createRandom } from "../model/random.ts";
@@ -19,6 +19,7 @@
   }
 }
 
+/** Ignores both load and caches. */
 export const randomPolicy: Policy = {
   name: "random",
   createScheduler: (seat) => new RandomScheduler(seat),
