--- a/bench/claims/claims.ts
+++ b/bench/claims/claims.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run bench -- claims`: what requests that may run at most once cost, in appends, bytes and latency, for
- * each way to see to it. Simulated time; the log service refuses appends over its rate.
+ * `npm run bench -- claims`: compares ways to run a request at most once by their appends, bytes read and added
+ * latency. Runs in simulated time; the log service refuses appends over its rate limit.
  */
-import { setImmediate as nextTurn } from "node:timers/promises";
+import { setImmediate as macrotask } from "node:timers/promises";
 import type { ClaimLedger } from "../../src/coordination/claims/ClaimLedger.ts";
 import { createLogClaimLedger } from "../../src/coordination/claims/logClaimLedger.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
@@ -18,13 +18,13 @@
 
 const logSettings = { appendLatency: 2, readLatency: 1, appendsPerSecond: 400 } as const;
 const retention = 3_600_000;
-const startOfTime = 1_800_000_000_000;
-/** Time that each request runs between its claim and its outcome, milliseconds. */
-const workTime = 20;
+const startTime = 1_800_000_000_000;
+/** Milliseconds between a request's claim and its outcome. */
+const executionTime = 20;
 const answer = { status: 200, contentType: "application/json", body: Buffer.alloc(150, "x") };
 const rates = [20, 100, 400, 1_600] as const;
 
-interface Way {
+interface Strategy {
   readonly name: string;
   readonly routers: number;
   readonly createLedger: ((log: SimulatedLog, clock: ManualClock) => ClaimLedger) | undefined;
@@ -33,7 +33,7 @@
 const createBatched = (log: SimulatedLog, clock: ManualClock): ClaimLedger =>
   createLogClaimLedger({ log, clock, metrics: new MemoryMetrics(), retention: () => retention });
 
-const ways: readonly Way[] = [
+const strategies: readonly Strategy[] = [
   { name: "append a record", routers: 8, createLedger: (log) => new SingleClaimLedger(log) },
   { name: "batched, 8 routers", routers: 8, createLedger: createBatched },
   { name: "batched, 1 owner", routers: 1, createLedger: createBatched },
@@ -54,22 +54,22 @@
 const percentile = (sorted: readonly number[], share: number): number =>
   sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 
-/** Lets time pass until nothing is left to happen. */
-const advance = async (clock: ManualClock, isDone: () => boolean): Promise<void> => {
+/** Advances the clock from timer to timer until no timer is left and the run is done. */
+const runUntilIdle = async (clock: ManualClock, isDone: () => boolean): Promise<void> => {
   for (;;) {
-    await nextTurn();
+    await macrotask();
     const next = clock.nextTimer();
     if (next !== undefined) clock.advanceTo(next);
     else if (isDone()) return;
   }
 };
 
-const measure = async (way: Way, rate: number, seconds: number, seed: number): Promise<Result> => {
-  const clock = createManualClock(startOfTime);
+const measure = async (strategy: Strategy, rate: number, seconds: number, seed: number): Promise<Result> => {
+  const clock = createManualClock(startTime);
   const log = new SimulatedLog(clock, logSettings);
-  const random = createRandom(seed, way.name);
-  const ledgers = Array.from({ length: way.routers }, () => way.createLedger?.(log, clock));
-  const wanted = rate * seconds;
+  const random = createRandom(seed, strategy.name);
+  const ledgers = Array.from({ length: strategy.routers }, () => strategy.createLedger?.(log, clock));
+  const requestCount = rate * seconds;
   const latencies: number[] = [];
   let refused = 0;
   let ended = 0;
@@ -91,27 +91,27 @@
     if (ledger === undefined || result !== undefined) latencies.push(clock.monotonic() - startedAt);
     ended += 1;
     if (result?.kind === "claimed")
-      clock.after(workTime, () => void result.claim.complete("status 200", answer));
+      clock.after(executionTime, () => void result.claim.complete("status 200", answer));
   };
 
-  let arrival = startOfTime;
-  for (let index = 0; index < wanted; index += 1) {
+  let arrival = startTime;
+  for (let index = 0; index < requestCount; index += 1) {
     arrival += random.exponential(1_000 / rate);
-    clock.after(arrival - startOfTime, () => void request(index));
+    clock.after(arrival - startTime, () => void request(index));
   }
   const before = process.cpuUsage();
-  await advance(clock, () => ended === wanted);
+  await runUntilIdle(clock, () => ended === requestCount);
   const used = process.cpuUsage(before);
   latencies.sort((left, right) => left - right);
   return {
-    way: way.name,
+    way: strategy.name,
     rate,
     claims: latencies.length,
-    refusedShare: refused / wanted,
+    refusedShare: refused / requestCount,
     appendsPerSecond: (log.appends + log.refused) / seconds,
     latencies: [percentile(latencies, 0.5), percentile(latencies, 0.99)],
-    bytesReadPerClaimAndRouter: log.bytesRead / latencies.length / way.routers,
-    processorMicroseconds: (used.user + used.system) / wanted,
+    bytesReadPerClaimAndRouter: log.bytesRead / latencies.length / strategy.routers,
+    processorMicroseconds: (used.user + used.system) / requestCount,
   };
 };
 
@@ -139,16 +139,16 @@
 const run = async ({ json, quick, seeds }: BenchOptions): Promise<void> => {
   const seconds = quick ? 2 : 10;
   const results: Result[] = [];
-  for (const way of ways) {
-    for (const rate of rates) results.push(await measure(way, rate, seconds, seeds[0] ?? 1));
+  for (const strategy of strategies) {
+    for (const rate of rates) results.push(await measure(strategy, rate, seconds, seeds[0] ?? 1));
   }
   if (json) console.log(JSON.stringify(results));
   else console.log(formatTable([heading, ...results.map(toRow)]));
 };
 
-/** Claims: ways against rates. */
+/** Compares ways to claim requests at several request rates. */
 export const claimsBench: Bench = {
   name: "claims",
-  summary: "At-most-once claims: appends, bytes and latency of each way, at several rates",
+  summary: "At-most-once claims: appends, bytes and latency by way and request rate",
   run,
 };
--- a/bench/claims/simulatedLog.ts
+++ b/bench/claims/simulatedLog.ts
@@ -1,4 +1,4 @@
-/** The platform's log service in simulated time: it takes its time, and refuses appends over its rate. */
+/** The platform's log service in simulated time, with latency and a limit on the append rate. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import { platformError } from "../../src/protocol/errors.ts";
@@ -6,18 +6,18 @@
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 import type { AppendedRecords, LogPage, LogRecord } from "../../src/protocol/types.ts";
 
-/** Bytes that a record has on the wire beside its data, roughly. */
+/** Approximate bytes of a record on the wire in addition to its data. */
 const recordOverhead = 45;
 
-/** How the simulated service behaves; times are milliseconds. */
+/** Behaviour of the simulated service; latencies in milliseconds. */
 export interface SimulatedLogSettings {
   readonly appendLatency: number;
   readonly readLatency: number;
-  /** Append requests over all streams and callers. */
+  /** Limit on append requests over all streams and callers. */
   readonly appendsPerSecond: number;
 }
 
-/** A log service that counts. */
+/** An in-memory log service that counts requests and bytes. */
 export class SimulatedLog extends LogService {
   appends = 0;
   refused = 0;
@@ -60,10 +60,10 @@
   override async read(stream: string, from: number, limit: number): Promise<LogPage> {
     await pause(this.clock, this.settings.readLatency);
     this.reads += 1;
-    const kept = this.streams.get(stream) ?? [];
-    const records = kept.slice(from, from + limit);
+    const stored = this.streams.get(stream) ?? [];
+    const records = stored.slice(from, from + limit);
     for (const { data } of records) this.bytesRead += data.length + recordOverhead;
-    return { records, earliestOffset: 0, nextOffset: kept.length, epoch: defaultEpoch };
+    return { records, earliestOffset: 0, nextOffset: stored.length, epoch: defaultEpoch };
   }
 
   private takeToken(): boolean {
--- a/bench/claims/singleClaimLedger.ts
+++ b/bench/claims/singleClaimLedger.ts
@@ -1,4 +1,7 @@
-/** The rival way: one append for each claim and one for each outcome, with a read back of what is new. */
+/**
+ * Baseline without batching: one append per claim and one per outcome, each claim followed by a read of new
+ * records.
+ */
 import { randomUUID } from "node:crypto";
 import type { ClaimResult } from "../../src/coordination/claims/ClaimLedger.ts";
 import { ClaimLedger } from "../../src/coordination/claims/ClaimLedger.ts";
@@ -12,7 +15,7 @@
 
 const ignore = (): void => undefined;
 
-/** Reads as the router's own ledger does, so that only the appends differ. */
+/** Reads the log in the same way as the router's own ledger, so that only the appends differ. */
 export class SingleClaimLedger extends ClaimLedger {
   private readonly log: LogService;
   private readonly readers = new Map<string, PartitionReader>();
@@ -36,7 +39,7 @@
       const record = encodeClaimRecord(createOutcomeRecord(key.digest, holder, summary, undefined));
       await append(record).catch(ignore);
     };
-    const nothing = (): Promise<void> => Promise.resolve();
-    return { kind: "claimed", claim: { complete, release: nothing, abandon: nothing } };
+    const doNothing = (): Promise<void> => Promise.resolve();
+    return { kind: "claimed", claim: { complete, release: doNothing, abandon: doNothing } };
   }
 }
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- membership`: what routers of one data centre cost each other, in one process over real
- * sockets: messages, bytes and CPU for each node and second, and for each change of a large configuration.
+ * `npm run bench -- membership`: cost of the exchanges between the routers of one data centre: messages, bytes
+ * and CPU per node and second, and per change of a large configuration. All nodes run in one process over real
+ * sockets.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { systemClock } from "../src/coordination/clock.ts";
@@ -26,12 +27,13 @@
 const enginesPerNode = 26;
 const loadInterval = 500;
 const organisations = 570;
-/** Between the starts of nodes, milliseconds. */
+/** Milliseconds between the starts of two nodes. */
 const startInterval = 250;
 const dataCentre = "amman-north";
 
+/** Durations in milliseconds. */
 interface Durations {
-  /** Until all know each other. */
+  /** Until all nodes know each other. */
   readonly settling: number;
   readonly measured: number;
   readonly changes: number;
@@ -48,16 +50,17 @@
   readonly metrics: MemoryMetrics;
 }
 
-interface Reading {
+/** Totals of all nodes at one time. */
+interface Sample {
   readonly at: number;
-  /** Milliseconds of this process. */
+  /** CPU time of this process, milliseconds. */
   readonly cpu: number;
   readonly messages: number;
   readonly received: number;
   readonly sent: number;
 }
 
-/** Costs of one node, both as sender and as receiver. */
+/** Costs of one node as sender and receiver. */
 interface Costs {
   readonly nodes: number;
   readonly live: number;
@@ -100,7 +103,7 @@
     metrics,
     lastVms: () => [],
     restoreVms: () => undefined,
-    // Whoever follows the log here has always just read it.
+    // A node that follows the log always counts as having just read it.
     logReadAt: () => systemClock.monotonic(),
   });
   return { peers, engines, history, metrics };
@@ -125,7 +128,7 @@
   state: "live",
 });
 
-const anyLoad = (id: string): EngineLoad => ({
+const createRandomLoad = (id: string): EngineLoad => ({
   incarnation: `incarnation-of-${id}`,
   model: "records-assistant",
   weightsVersion: "2026-11",
@@ -138,7 +141,7 @@
   leaving: false,
 });
 
-const read = (nodes: readonly Node[]): Reading => {
+const takeSample = (nodes: readonly Node[]): Sample => {
   const { user, system } = process.cpuUsage();
   const traffic = nodes.map(({ peers }) => peers.traffic());
   const counted = nodes.map(({ metrics }) => metrics.snapshot()[metricNames.peerMessages] ?? 0);
@@ -151,13 +154,13 @@
   };
 };
 
-/** Every node asks the engines that it is home of, as its monitor would. */
+/** Updates the loads of the engines that each node is home of, as the node's load monitor would. */
 const reportLoads = async (nodes: readonly Node[], signal: AbortSignal): Promise<void> => {
   while (!signal.aborted) {
     for (const { peers, engines } of nodes) {
       for (const engine of engines.all()) {
         if (!peers.isHome(engine)) continue;
-        engines.applyLoad(engine.id, anyLoad(engine.id), systemClock.monotonic());
+        engines.applyLoad(engine.id, createRandomLoad(engine.id), systemClock.monotonic());
       }
     }
     await sleep(loadInterval, undefined, { signal }).catch(() => undefined);
@@ -169,7 +172,7 @@
   return configurationOf(...standings);
 };
 
-/** Publishes on a log that the data centre's readers follow. */
+/** Publishes configurations on a log that the nodes in `follow` mode read. */
 const createPublisher = (nodes: readonly Node[]) => {
   const log = createFakeLog();
 
@@ -181,7 +184,7 @@
     }
   };
 
-  /** @returns Milliseconds until the version is in force at every node. */
+  /** @returns Milliseconds until every node applies the version. */
   return async (version: number): Promise<number> => {
     const publishedAt = performance.now();
     const base = nodes.find(({ history }) => history.current() !== undefined)?.history.current();
@@ -203,7 +206,7 @@
     ...Array.from({ length: count * enginesPerNode }, (_, index) => engineVm(index)),
   ];
   for (const { engines } of nodes) engines.applyVms(vms);
-  // One event loop carries every node here: all joining at once would take it longer than joins may take.
+  // All nodes share one event loop: if they all joined at once, joins would exceed their time limit.
   for (let started = 1; started <= count; started += 1) {
     const listed = vms.filter((vm) => vm.role === "router").slice(0, started);
     for (const { peers } of nodes.slice(0, started)) peers.applyVms(listed);
@@ -213,29 +216,29 @@
   const loads = reportLoads(nodes, stop.signal);
   await sleep(times.settling);
 
-  // The whole configuration goes first: routers that have none ask their peers again and again.
+  // The whole configuration is published first, since routers without one keep polling their peers for it.
   const publish = createPublisher(nodes);
   await publish(0);
   await sleep(times.changeInterval);
-  const before = read(nodes);
+  const before = takeSample(nodes);
   await sleep(times.measured);
-  const after = read(nodes);
+  const after = takeSample(nodes);
   const seconds = (after.at - before.at) / 1_000;
-  const perNode = (value: (reading: Reading) => number): number =>
+  const perNode = (value: (sample: Sample) => number): number =>
     (value(after) - value(before)) / seconds / count;
   const bytesPerSecond = perNode(({ received, sent }) => received + sent);
   const cpuPerSecond = perNode(({ cpu }) => cpu);
 
-  const changed = read(nodes);
+  const beforeChanges = takeSample(nodes);
   let longest = 0;
   for (let version = 1; version <= times.changes; version += 1) {
     const took = await publish(version);
     longest = Math.max(longest, took);
     await sleep(Math.max(0, times.changeInterval - took));
   }
-  const settled = read(nodes);
-  const changedSeconds = (settled.at - changed.at) / 1_000;
-  const extra = (used: number, usual: number): number =>
+  const afterChanges = takeSample(nodes);
+  const changedSeconds = (afterChanges.at - beforeChanges.at) / 1_000;
+  const extraPerChange = (used: number, usual: number): number =>
     (used / count - usual * changedSeconds) / times.changes;
   const live = Math.min(...nodes.map(({ peers }) => peers.membership.liveMembers().length));
   const whole = nodes[0]?.history.snapshot();
@@ -248,8 +251,11 @@
     bytesPerSecond,
     bytesPerMessage: (after.received - before.received) / (after.messages - before.messages),
     cpuMillisecondsPerSecond: cpuPerSecond,
-    bytesPerChange: extra(settled.received + settled.sent - changed.received - changed.sent, bytesPerSecond),
-    cpuMillisecondsPerChange: extra(settled.cpu - changed.cpu, cpuPerSecond),
+    bytesPerChange: extraPerChange(
+      afterChanges.received + afterChanges.sent - beforeChanges.received - beforeChanges.sent,
+      bytesPerSecond,
+    ),
+    cpuMillisecondsPerChange: extraPerChange(afterChanges.cpu - beforeChanges.cpu, cpuPerSecond),
     longestSpreadMilliseconds: longest,
     wholeConfigurationBytes: JSON.stringify(whole ?? null).length,
   };
@@ -289,9 +295,9 @@
   else console.log(formatTable([heading, ...results.map(rowOf)]));
 };
 
-/** See the module. */
+/** Cost of membership and configuration exchanges per node. */
 export const membershipBench: Bench = {
   name: "membership",
-  summary: "messages, bytes and CPU between routers of a data centre, for each node",
+  summary: "messages, bytes and CPU of the exchanges between routers of a data centre, per node",
   run,
 };
--- a/bench/restart.ts
+++ b/bench/restart.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- restart`: how long router processes take from their start to their first answer, with the log
- * up and down, alone and together, against a cold start with no peer.
+ * `npm run bench -- restart`: time from the start of router processes to their first answer, with the log
+ * service up and down, for one router, for several at once, and for a cold start without live peers.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { demoKey, operatorKey, startSystem } from "../demo/processes.ts";
@@ -13,18 +13,18 @@
 const dataCentre = "amman-north";
 const routerCount = 4;
 const pollInterval = 5;
-const mostPolls = 600;
+const maxPolls = 600;
 
-/** One restart of one or more routers. */
+/** Result of restarting one or more routers. */
 interface Restart {
   readonly name: string;
-  /** From the processes' start to each one's first answer, milliseconds; empty if none came. */
+  /** Milliseconds from the start of the processes to the first answer of each router that answered. */
   readonly firstAnswers: readonly number[];
-  /** What each one's first request got. */
+  /** Outcome of the first request to each router: `200`, or the status and outcome of a refusal. */
   readonly firstStatuses: readonly string[];
 }
 
-const ask = async ({ process }: SystemProcess): Promise<string> => {
+const sendRequest = async ({ process }: SystemProcess): Promise<string> => {
   const answer = await fetch(`${process.url}/v1/chat/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${demoKey("petra-wings")}`, "content-type": "application/json" },
@@ -43,17 +43,17 @@
   readonly answeredAfter: number | undefined;
 }
 
-/** Asks until there is an answer. */
-const untilAnswered = async (
+/** Sends requests until one succeeds or the number of polls is exhausted. */
+const waitForAnswer = async (
   router: SystemProcess,
   startedAt: number,
   polls: number,
 ): Promise<FirstAnswer> => {
-  const status = await ask(router);
+  const status = await sendRequest(router);
   let last = status;
   for (let poll = 0; last !== "200" && poll < polls; poll += 1) {
     await sleep(pollInterval);
-    last = await ask(router);
+    last = await sendRequest(router);
   }
   return { status, answeredAfter: last === "200" ? performance.now() - startedAt : undefined };
 };
@@ -73,33 +73,33 @@
   return dump.membership.livePeers.length === count;
 };
 
-const untilSettled = async (system: System): Promise<void> => {
+const waitForPeers = async (system: System): Promise<void> => {
   for (const router of system.routers()) {
     while (!(await knowsPeers(router, routerCount))) await sleep(pollInterval);
   }
 };
 
-/** Kills routers and starts them again, all together. */
-const restart = async (system: System, name: string, names: readonly string[], polls = mostPolls) => {
+/** Kills routers and starts them again, all at once. */
+const restart = async (system: System, name: string, names: readonly string[], polls = maxPolls) => {
   const killed = system.routers().filter((router) => names.includes(router.name));
   for (const { process } of killed) process.kill("SIGKILL");
   await Promise.all(killed.map(({ process }) => process.ended));
   const startedAt = performance.now();
   const answers = await Promise.all(
     names.map(async (router) =>
-      untilAnswered(await system.startRouter(router, dataCentre), startedAt, polls),
+      waitForAnswer(await system.startRouter(router, dataCentre), startedAt, polls),
     ),
   );
   const firstAnswers = answers.flatMap(({ answeredAfter }) => answeredAfter ?? []);
   return { name, firstAnswers, firstStatuses: answers.map(({ status }) => status) } satisfies Restart;
 };
 
-/** Milliseconds until every router answers after the log has come back. */
-const recover = async (system: System): Promise<Restart> => {
+/** Measures the time until every router answers after the log service has recovered. */
+const measureRecovery = async (system: System): Promise<Restart> => {
   const startedAt = performance.now();
   await setOutage(system, false);
   const answers = await Promise.all(
-    system.routers().map((router) => untilAnswered(router, startedAt, mostPolls)),
+    system.routers().map((router) => waitForAnswer(router, startedAt, maxPolls)),
   );
   return {
     name: "… from the log's return to an answer",
@@ -116,21 +116,21 @@
   });
   const names = system.routers().map((router) => router.name);
   const [first = "", ...others] = names;
-  const settle = (): Promise<void> => untilSettled(system);
-  await settle();
+  const waitUntilSettled = (): Promise<void> => waitForPeers(system);
+  await waitUntilSettled();
   results.push(await restart(system, "one of four, log up", [first]));
-  await settle();
+  await waitUntilSettled();
   await setOutage(system, true);
   results.push(await restart(system, "one of four, log down", [first]));
-  await settle();
+  await waitUntilSettled();
   results.push(await restart(system, "three of four, log down", others));
   await setOutage(system, false);
-  await settle();
+  await waitUntilSettled();
   results.push(await restart(system, "all four (cold start), log up", names));
-  await settle();
+  await waitUntilSettled();
   await setOutage(system, true);
   results.push(await restart(system, "all four (cold start), log down", names, 0));
-  results.push(await recover(system));
+  results.push(await measureRecovery(system));
   return results;
 };
 
@@ -175,7 +175,7 @@
   );
 };
 
-/** See the module. */
+/** Time from process start to the first answer. */
 export const restartBench: Bench = {
   name: "restart",
   summary: "process start to first answer: log up and down, alone and all at once",
--- a/bench/retries/SimulatedEngine.ts
+++ b/bench/retries/SimulatedEngine.ts
@@ -1,34 +1,38 @@
-/** A model engine in simulated time: some slots, a queue, and ways to fail. */
+/** A model engine in simulated time with slots, a queue and failure modes. */
 import type { Clock } from "../../src/coordination/clock.ts";
 import { upstreamError } from "../../src/protocol/errors.ts";
 import { ModelEngine } from "../../src/protocol/ModelEngine.ts";
 import type { AnswerFrame, EngineAnswer, EngineCall, EngineLoad } from "../../src/protocol/types.ts";
 import type { Random } from "../model/random.ts";
-import { world } from "./constants.ts";
+import { simulationParameters } from "./constants.ts";
 
 /**
- * - `crashed`: takes no connection; what ran breaks off.
- * - `frozen`: takes requests and answers none, load reports neither.
- * - `breaking`: breaks off each answer after its prefill, and reports as if it were well.
+ * State of an engine.
+ *
+ * - `well`: works normally.
+ * - `crashed`: accepts no connections; running requests fail.
+ * - `frozen`: accepts requests but never answers them, and sends no load reports.
+ * - `breaking`: aborts each answer after its prefill, but reports a normal load.
  */
 export type EngineCondition = "well" | "crashed" | "frozen" | "breaking";
 
-const piece = (text: string): AnswerFrame => ({
+const createFrame = (text: string): AnswerFrame => ({
   text,
   extra: undefined,
   finishReason: undefined,
   usage: undefined,
 });
 
-const unused = (): Promise<never> => Promise.reject(upstreamError("not simulated", "failed", "refused"));
-const brokenOff = () => upstreamError("broken off", "closed_early", "streaming");
+const rejectUnsimulated = (): Promise<never> =>
+  Promise.reject(upstreamError("not simulated", "failed", "refused"));
+const createStreamError = () => upstreamError("broken off", "closed_early", "streaming");
 
-/** One engine. */
+/** One simulated engine. */
 export class SimulatedEngine extends ModelEngine {
   condition: EngineCondition = "well";
   /** Requests that reached the engine. */
   calls = 0;
-  /** Tokens generated and prompts computed, as milliseconds of a slot. */
+  /** Milliseconds of slot time spent on prefill and decoding. */
   work = 0;
   private readonly clock: Clock;
   private readonly random: Random;
@@ -59,7 +63,7 @@
   override complete(call: EngineCall, signal: AbortSignal): Promise<EngineAnswer> {
     if (this.condition === "crashed") return Promise.reject(upstreamError("", "unreachable", "not_sent"));
     this.calls += 1;
-    if (this.queue.length >= world.waiting) {
+    if (this.queue.length >= simulationParameters.waiting) {
       return Promise.reject(upstreamError("", "overloaded", "refused", undefined, 503));
     }
     return Promise.resolve({
@@ -71,10 +75,10 @@
   }
 
   override cancel = (): Promise<void> => Promise.resolve();
-  override resume = unused;
-  override readLoad = unused;
-  override readCacheEvents = unused;
-  override order = unused;
+  override resume = rejectUnsimulated;
+  override readLoad = rejectUnsimulated;
+  override readCacheEvents = rejectUnsimulated;
+  override order = rejectUnsimulated;
 
   private async *generate(
     delivered: number,
@@ -82,13 +86,20 @@
   ): AsyncGenerator<readonly AnswerFrame[], void, void> {
     await this.takeSlot(signal);
     try {
-      const straggles = this.random.uniform() < world.stragglers;
-      await this.spend(this.random.within(world.prefill) + (straggles ? world.stragglerTime : 0), signal);
-      if (this.condition === "breaking") throw brokenOff();
-      yield [piece("first")];
-      const rest = Math.max(0, world.tokens - delivered - 1);
-      await this.spend(rest * world.tokenTime, signal);
-      yield [...Array.from({ length: rest }, () => piece("more")), { ...piece(""), finishReason: "stop" }];
+      const isStraggler = this.random.uniform() < simulationParameters.stragglers;
+      await this.occupySlot(
+        this.random.within(simulationParameters.prefill) +
+          (isStraggler ? simulationParameters.stragglerTime : 0),
+        signal,
+      );
+      if (this.condition === "breaking") throw createStreamError();
+      yield [createFrame("first")];
+      const rest = Math.max(0, simulationParameters.tokens - delivered - 1);
+      await this.occupySlot(rest * simulationParameters.tokenTime, signal);
+      yield [
+        ...Array.from({ length: rest }, () => createFrame("more")),
+        { ...createFrame(""), finishReason: "stop" },
+      ];
     } finally {
       this.running -= 1;
       this.queue.shift()?.();
@@ -96,7 +107,7 @@
   }
 
   private async takeSlot(signal: AbortSignal): Promise<void> {
-    if (this.running >= world.slots) {
+    if (this.running >= simulationParameters.slots) {
       await new Promise<void>((resolve) => {
         this.queue.push(resolve);
         signal.addEventListener("abort", () => {
@@ -111,7 +122,7 @@
     if (signal.aborted) throw upstreamError("", "cancelled", "sent");
   }
 
-  private async spend(time: number, signal: AbortSignal): Promise<void> {
+  private async occupySlot(time: number, signal: AbortSignal): Promise<void> {
     const startedAt = this.clock.monotonic();
     try {
       await this.wait(time, signal);
@@ -120,17 +131,20 @@
     }
   }
 
-  /** A crash is noticed at once, a freeze never. */
+  /**
+   * Waits for the end of the work: fails if the engine has crashed by then, and settles only on abort if it is
+   * frozen.
+   */
   private wait(time: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       const end = (): void => {
         if (this.condition === "frozen") return;
-        if (this.condition === "crashed") reject(brokenOff());
+        if (this.condition === "crashed") reject(createStreamError());
         else resolve();
       };
-      const callOff = this.clock.after(time, end);
+      const cancelTimer = this.clock.after(time, end);
       signal.addEventListener("abort", () => {
-        callOff();
+        cancelTimer();
         reject(upstreamError("", "cancelled", "streaming"));
       });
     });
--- a/bench/retries/constants.ts
+++ b/bench/retries/constants.ts
@@ -1,9 +1,9 @@
-/** The small world of the bench of retries. Durations are milliseconds. */
-export const world = {
+/** Parameters of the simulated system. Durations are in milliseconds. */
+export const simulationParameters = {
   engines: 9,
-  /** Requests that an engine computes at once. */
+  /** Requests that an engine runs concurrently. */
   slots: 4,
-  /** Further requests that an engine accepts. */
+  /** Requests that an engine queues beyond its slots. */
   waiting: 64,
   prefill: { least: 20, most: 80 },
   tokens: 8,
@@ -18,5 +18,5 @@
   stragglerTime: 700,
 } as const;
 
-/** Requests a second that engines can take: about 61 % and 89 % of what they can compute. */
+/** Requests per second: about 61 % and 89 % of the engines' capacity. */
 export const rates = { usual: 110, high: 160 } as const;
--- a/bench/retries/policies.ts
+++ b/bench/retries/policies.ts
@@ -1,8 +1,8 @@
-/** The ways to retry that are compared. */
+/** The retry policies that are compared. */
 import { RatioRetryBudget, RetryBudget } from "../../src/coordination/requests/retryBudget.ts";
 import type { RetryPolicy } from "./simulation.ts";
 
-/** Always or never allows another attempt. */
+/** A budget that always or never allows another attempt. */
 class FixedBudget extends RetryBudget {
   private readonly allows: boolean;
 
@@ -32,7 +32,7 @@
   hedges: false,
 };
 
-/** What the router does, but for hedges. */
+/** The router's own policy without hedging. */
 export const budgeted: RetryPolicy = {
   name: "ours (budget, back-off)",
   createBudget: (clock) => new RatioRetryBudget(clock),
@@ -40,10 +40,12 @@
   hedges: false,
 };
 
-/** What the router does. */
+/** The router's own policy. */
 export const hedged: RetryPolicy = { ...budgeted, name: "ours with hedges", hedges: true };
 
 const alwaysHedged: RetryPolicy = { ...naive, name: "naive with hedges", hedges: true };
 
+/** Compared while engines fail. */
 export const retryPolicies: readonly RetryPolicy[] = [never, naive, budgeted, hedged];
+/** Compared without failures. */
 export const hedgePolicies: readonly RetryPolicy[] = [budgeted, alwaysHedged, hedged];
--- a/bench/retries/retries.ts
+++ b/bench/retries/retries.ts
@@ -1,25 +1,25 @@
-/** What retries cost and bring while a third of the engines fail, and what hedging costs and brings. */
+/** `npm run bench -- retries`: cost and benefit of retries while engines fail, and of hedging without failures. */
 import { readFile } from "node:fs/promises";
 import { parseConfiguration } from "../../src/protocol/configuration/check.ts";
 import type { Configuration } from "../../src/protocol/configuration/schema.ts";
 import { formatMilliseconds, formatShare, formatTable } from "../report/table.ts";
 import type { Bench, BenchOptions } from "../types.ts";
-import { rates, world } from "./constants.ts";
+import { rates, simulationParameters } from "./constants.ts";
 import { hedgePolicies, retryPolicies } from "./policies.ts";
 import { runRetries } from "./simulation.ts";
 import type { RequestRecord, RetryPolicy, RetryResult, RetryScenario } from "./simulation.ts";
 
-/** What is measured of one policy under one failure. */
+/** Figures of one policy under one failure. */
 interface RetryFigures {
   readonly scenario: string;
   readonly policy: string;
-  /** Attempts that reached engines for each request, while engines failed. */
+  /** Attempts that reached engines per request while engines failed. */
   readonly amplification: number;
-  /** The same in the worst second. */
+  /** Amplification in the worst second. */
   readonly worstAmplification: number;
-  /** Whole answers in time, of the requests that came while engines failed. */
+  /** Share of the requests that arrived while engines failed and got a complete answer in time. */
   readonly goodput: number;
-  /** Milliseconds from the engines' return until a second has 95 % of good answers. */
+  /** Milliseconds from the recovery of the engines to the first second with 95 % of good answers. */
   readonly recovery: number;
 }
 
@@ -32,16 +32,21 @@
   readonly work: number;
 }
 
-const recovered = 0.95;
-const third = { failing: 3, requestsPerSecond: rates.usual } as const;
+const recoveredShare = 0.95;
+const thirdFailing = { failing: 3, requestsPerSecond: rates.usual } as const;
 const scenarios: readonly RetryScenario[] = [
-  { name: "a third crashed", failure: "crashed", ...third },
-  { name: "a third frozen", failure: "frozen", ...third },
-  { name: "a third breaking", failure: "breaking", ...third },
+  { name: "a third crashed", failure: "crashed", ...thirdFailing },
+  { name: "a third frozen", failure: "frozen", ...thirdFailing },
+  { name: "a third breaking", failure: "breaking", ...thirdFailing },
   { name: "a third breaking, high load", failure: "breaking", failing: 3, requestsPerSecond: rates.high },
-  { name: "all breaking", failure: "breaking", failing: world.engines, requestsPerSecond: rates.usual },
+  {
+    name: "all breaking",
+    failure: "breaking",
+    failing: simulationParameters.engines,
+    requestsPerSecond: rates.usual,
+  },
 ];
-const noFailure: RetryScenario = { name: "none", failure: "well", ...third };
+const noFailure: RetryScenario = { name: "none", failure: "well", ...thirdFailing };
 
 const within = (from: number, until: number) => (at: number) => at >= from && at < until;
 
@@ -56,15 +61,15 @@
 
 const windowsBetween = (from: number, until: number): readonly number[] =>
   Array.from(
-    { length: Math.floor((until - from) / world.window) },
-    (_, index) => from + index * world.window,
+    { length: Math.floor((until - from) / simulationParameters.window) },
+    (_, index) => from + index * simulationParameters.window,
   );
 
 const recoveryOf = (result: RetryResult, duration: number): number => {
-  const start = windowsBetween(world.failUntil, duration).find(
-    (from) => goodShare(recordsIn(result, from, from + world.window)) >= recovered,
+  const start = windowsBetween(simulationParameters.failUntil, duration).find(
+    (from) => goodShare(recordsIn(result, from, from + simulationParameters.window)) >= recoveredShare,
   );
-  return start === undefined ? Infinity : start - world.failUntil;
+  return start === undefined ? Infinity : start - simulationParameters.failUntil;
 };
 
 const mean = (values: readonly number[]): number =>
@@ -78,7 +83,9 @@
 ): Promise<readonly RetryResult[]> => {
   const results: RetryResult[] = [];
   for (const seed of seeds) {
-    results.push(await runRetries({ policy, scenario, seed, configuration, duration: world.duration }));
+    results.push(
+      await runRetries({ policy, scenario, seed, configuration, duration: simulationParameters.duration }),
+    );
   }
   return results;
 };
@@ -88,7 +95,7 @@
   { name: scenario }: RetryScenario,
   results: readonly RetryResult[],
 ): RetryFigures => {
-  const { failFrom, failUntil, window, duration } = world;
+  const { failFrom, failUntil, window, duration } = simulationParameters;
   const worst = (result: RetryResult): number =>
     Math.max(
       ...windowsBetween(failFrom, failUntil).map((from) => amplificationIn(result, from, from + window)),
@@ -107,7 +114,9 @@
   sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? Infinity;
 
 const measureHedges = (policy: RetryPolicy, results: readonly RetryResult[]): HedgeFigures => {
-  const steady = results.flatMap((result) => recordsIn(result, world.warmUp, world.duration));
+  const steady = results.flatMap((result) =>
+    recordsIn(result, simulationParameters.warmUp, simulationParameters.duration),
+  );
   const times = steady
     .map(({ firstTokenAfter }) => firstTokenAfter ?? Infinity)
     .sort((left, right) => left - right);
@@ -149,10 +158,10 @@
     "recovery ms",
   ];
   const hedgeHeading = ["policy", "TTFT p50", "p99", "p99.9", "extra attempts %", "slot ms/request"];
-  console.log(`Of ${world.engines} engines some fail for 20 s of 60 s\n`);
+  console.log(`Of ${simulationParameters.engines} engines some fail for 20 s of 60 s\n`);
   console.log(formatTable([retryHeading, ...retries.map(retryRow)]));
   console.log(
-    `\nNo failures; ${formatShare(world.stragglers)} % of prompts take ${world.stragglerTime} ms more\n`,
+    `\nNo failures; ${formatShare(simulationParameters.stragglers)} % of prompts take ${simulationParameters.stragglerTime} ms more\n`,
   );
   console.log(formatTable([hedgeHeading, ...hedges.map(hedgeRow)]));
 };
@@ -175,9 +184,9 @@
   else print(retries, hedges);
 };
 
-/** Retries and hedges. */
+/** Compares retry and hedging policies. */
 export const retriesBench: Bench = {
   name: "retries",
-  summary: "what retries cost and bring while a third of the engines fail; what hedging does",
+  summary: "cost and benefit of retries while engines fail, and of hedging without failures",
   run,
 };
--- a/bench/retries/simulation.ts
+++ b/bench/retries/simulation.ts
@@ -1,4 +1,4 @@
-/** Runs the router's own request handling over simulated engines, a third of which fail for a while. */
+/** Runs the router's own request handling against simulated engines, some of which fail for a while. */
 import { ClaimLedger } from "../../src/coordination/claims/ClaimLedger.ts";
 import { createConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
@@ -15,7 +15,7 @@
 import type { EngineDirectory } from "../../src/state/engineDirectory.ts";
 import { createRandom } from "../model/random.ts";
 import type { Random } from "../model/random.ts";
-import { world } from "./constants.ts";
+import { simulationParameters } from "./constants.ts";
 import { SimulatedEngine } from "./SimulatedEngine.ts";
 import type { EngineCondition } from "./SimulatedEngine.ts";
 
@@ -27,21 +27,21 @@
 export interface RetryPolicy {
   readonly name: string;
   readonly createBudget: (clock: ManualClock) => RetryBudget;
-  /** Of the back-off; 0 means none. */
+  /** Creates the source of the back-off jitter; always 0 means no back-off. */
   readonly random: (random: Random) => () => number;
   readonly hedges: boolean;
 }
 
-/** What happens to the engines. */
+/** How engines fail, and the offered load. */
 export interface RetryScenario {
   readonly name: string;
   readonly failure: EngineCondition;
-  /** How many of the engines fail. */
+  /** Number of engines that fail. */
   readonly failing: number;
   readonly requestsPerSecond: number;
 }
 
-/** One run. */
+/** Parameters of one run; the duration is in simulated milliseconds. */
 export interface RetryRun {
   readonly policy: RetryPolicy;
   readonly scenario: RetryScenario;
@@ -50,22 +50,22 @@
   readonly duration: number;
 }
 
-/** How one request ended. */
+/** Outcome of one request. */
 export interface RequestRecord {
   readonly arrivedAt: number;
   readonly endedAt: number;
-  /** Milliseconds, if one came. */
+  /** Milliseconds; `undefined` if no token was received. */
   readonly firstTokenAfter: number | undefined;
-  /** The whole answer came in time. */
+  /** The answer was complete and its first token met the deadline. */
   readonly good: boolean;
 }
 
-/** What a run gives. */
+/** Results of a run. */
 export interface RetryResult {
   readonly records: readonly RequestRecord[];
-  /** Requests that reached engines, with when. */
+  /** Times at which attempts reached engines. */
   readonly attempts: readonly number[];
-  /** Milliseconds of slots that engines spent. */
+  /** Milliseconds of slot time spent by the engines. */
   readonly work: number;
 }
 
@@ -73,7 +73,7 @@
   override acquire = () => Promise.reject(upstreamError("no claims here", "failed", "not_sent"));
 }
 
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const drainPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 const createJob = (index: ConfigurationIndex, clock: ManualClock, hedges: boolean): CompletionJob => {
   const organisation = index.organisations.get(organisationName);
@@ -98,7 +98,7 @@
       adapter: undefined,
       stream: true,
       includeUsage: false,
-      maximumTokens: 2 * world.tokens,
+      maximumTokens: 2 * simulationParameters.tokens,
       body: { messages: [] },
       segments: ["rules", "question"],
     },
@@ -118,23 +118,29 @@
     })),
   );
 
-/** Changes for the bench: one pool of engines whose weights are `1`, and no limit of the organisation. */
-const adapt = (configuration: Configuration): Configuration => ({
+/**
+ * Adapts a configuration: weights version `1` as the simulated engines report, their slots, and practically no
+ * limits.
+ */
+const adaptConfiguration = (configuration: Configuration): Configuration => ({
   ...configuration,
   organisations: configuration.organisations.map((item) => ({
     ...item,
     limits: { concurrentRequests: 10_000, requestsPerSecond: 10_000 },
   })),
   models: configuration.models.map((item) => ({ ...item, weightsVersion: "1" })),
-  enginePools: configuration.enginePools.map((item) => ({ ...item, maximumRunning: world.slots })),
+  enginePools: configuration.enginePools.map((item) => ({
+    ...item,
+    maximumRunning: simulationParameters.slots,
+  })),
 });
 
-/** Runs a policy through a failure. */
+/** Runs a retry policy through a failure scenario. */
 export const runRetries = async (run: RetryRun): Promise<RetryResult> => {
   const clock = createManualClock();
-  const index = createConfigurationIndex(1, adapt(run.configuration));
+  const index = createConfigurationIndex(1, adaptConfiguration(run.configuration));
   const directory = createEngineDirectory();
-  const ids = Array.from({ length: world.engines }, (_, number) => `${model}-${number}`);
+  const ids = Array.from({ length: simulationParameters.engines }, (_, number) => `${model}-${number}`);
   const engines = new Map(
     ids.map((id) => [id, new SimulatedEngine(clock, createRandom(run.seed, `engine ${id}`))] as const),
   );
@@ -165,11 +171,11 @@
 
   const report = (): void => {
     for (const [id, engine] of engines) {
-      const silent = engine.condition === "crashed" || engine.condition === "frozen";
-      if (silent) directory.markFailed(id, clock.monotonic());
+      const isUnreachable = engine.condition === "crashed" || engine.condition === "frozen";
+      if (isUnreachable) directory.markFailed(id, clock.monotonic());
       else directory.applyLoad(id, engine.load(), clock.monotonic());
     }
-    clock.after(world.reportInterval, report);
+    clock.after(simulationParameters.reportInterval, report);
   };
 
   const setFailure = (condition: EngineCondition): void => {
@@ -179,45 +185,45 @@
     }
   };
 
-  const ask = async (): Promise<void> => {
+  const sendRequest = async (): Promise<void> => {
     const job = createJob(index, clock, run.policy.hedges);
     const { arrivedAt, firstTokenDeadline } = job.context;
     let firstTokenAfter: number | undefined;
-    let whole = false;
+    let isComplete = false;
     try {
       const answer = await runner.run(job, new AbortController().signal);
       for await (const { frames } of answer.batches) {
         if (frames.length > 0) firstTokenAfter ??= clock.monotonic() - arrivedAt;
       }
-      whole = true;
+      isComplete = true;
     } catch (error) {
       if (!(error instanceof RequestError)) throw error;
     }
     const inTime = arrivedAt + (firstTokenAfter ?? Infinity) <= firstTokenDeadline;
-    records.push({ arrivedAt, endedAt: clock.monotonic(), firstTokenAfter, good: whole && inTime });
+    records.push({ arrivedAt, endedAt: clock.monotonic(), firstTokenAfter, good: isComplete && inTime });
   };
 
   let calls = 0;
-  /** Notes when calls reached engines. */
-  const noteCalls = (): void => {
+  /** Records the current time for each call that reached an engine since the last check. */
+  const recordCalls = (): void => {
     const now = [...engines.values()].reduce((sum, engine) => sum + engine.calls, 0);
     for (; calls < now; calls += 1) attempts.push(clock.monotonic());
   };
 
   const arrive = (): void => {
     if (clock.monotonic() >= run.duration) return;
-    void ask();
+    void sendRequest();
     clock.after(arrivals.exponential(1_000 / run.scenario.requestsPerSecond), arrive);
   };
 
   report();
-  clock.after(world.failFrom, () => setFailure(run.scenario.failure));
-  clock.after(world.failUntil, () => setFailure("well"));
+  clock.after(simulationParameters.failFrom, () => setFailure(run.scenario.failure));
+  clock.after(simulationParameters.failUntil, () => setFailure("well"));
   arrive();
-  while (clock.monotonic() < run.duration + world.window) {
-    await settle();
-    noteCalls();
-    clock.advanceTo(clock.nextTimer() ?? run.duration + world.window);
+  while (clock.monotonic() < run.duration + simulationParameters.window) {
+    await drainPromises();
+    recordCalls();
+    clock.advanceTo(clock.nextTimer() ?? run.duration + simulationParameters.window);
   }
   const work = [...engines.values()].reduce((sum, engine) => sum + engine.work, 0);
   return { records, attempts, work };
--- a/bench/storeEpochs/storeEpochs.ts
+++ b/bench/storeEpochs/storeEpochs.ts
@@ -1,4 +1,7 @@
-/** What a return of the store from a copy costs it, and how long routers need: real routers in one process. */
+/**
+ * `npm run bench -- storeEpochs`: calls that the store receives after it was restored from a copy, and the time
+ * until the routers have registered again. Real routers run in one process.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { PlatformSystem } from "../../standIns/platform/system.ts";
 import {
@@ -10,13 +13,13 @@
 } from "../../standIns/platform/system.ts";
 import type { Bench } from "../types.ts";
 
-/** Routers that share this process; more would measure the process. */
+/** Numbers of routers in this process. With more, the process itself would become the bottleneck. */
 const sizes = [6, 20, 40] as const;
 const quickSizes = [6] as const;
 
-/** How long the store is away, and for how long calls are counted, milliseconds. */
-const awayTime = 400;
-const countedTime = 5_000;
+/** Duration of the store's outage, and the period over which calls are counted, milliseconds. */
+const outageDuration = 400;
+const countingDuration = 5_000;
 
 const countCalls = ({ store }: PlatformSystem): number =>
   [...store.calls.values()].reduce((sum, count) => sum + count, 0);
@@ -27,28 +30,34 @@
   });
   while (system.routers.length < routers) await system.startRouter();
   await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
-  await sleep(countedTime);
-  const empty = new Map();
-  const calm = countCalls(system);
-  await sleep(countedTime);
-  const before = countCalls(system) - calm;
-  await system.store.returnFrom(empty, awayTime);
+  await sleep(countingDuration);
+  const emptyCopy = new Map();
+  const callsAtStart = countCalls(system);
+  await sleep(countingDuration);
+  const before = countCalls(system) - callsAtStart;
+  await system.store.returnFrom(emptyCopy, outageDuration);
   const returnedAt = performance.now();
-  const calls = countCalls(system);
+  const callsAtReturn = countCalls(system);
   system.publish(configuration(2));
   for (const replica of [...system.desks, ...system.engines]) system.register(replica, { sequence: 2 });
   let registeredAfter = Number.NaN;
-  while (performance.now() - returnedAt < countedTime) {
+  while (performance.now() - returnedAt < countingDuration) {
     if (Number.isNaN(registeredAfter) && registeredRouters(system).length === routers)
       registeredAfter = performance.now() - returnedAt;
     await sleep(20);
   }
-  return { routers, before, after: countCalls(system) - calls, registeredAfter: Math.round(registeredAfter) };
+  return {
+    routers,
+    before,
+    after: countCalls(system) - callsAtReturn,
+    registeredAfter: Math.round(registeredAfter),
+  };
 };
 
+/** Load on the store after a restore from a copy. */
 export const storeEpochsBench: Bench = {
   name: "storeEpochs",
-  summary: "calls of the store in five seconds before and after its return from a copy",
+  summary: "calls to the store in five seconds before and after it is restored from a copy",
   run: async ({ json, quick }) => {
     const results = [];
     for (const size of quick ? quickSizes : sizes) results.push(await measure(size));
