--- a/bench/main.ts
+++ b/bench/main.ts
@@ -13,7 +13,7 @@
 import { storeEpochsBench } from "./storeEpochs/storeEpochs.ts";
 import type { Bench } from "./types.ts";
 
-/** Every bench, in the order in which they are listed; add yours here. */
+/** Every bench, in the order of the printed list. New benches are added here. */
 const benches: readonly Bench[] = [
   placementBench,
   admissionBench,
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -1,14 +1,14 @@
-/** Reads the command line of `npm run bench`. */
+/** Parses the command line of `npm run bench`. */
 import { parseArgs } from "node:util";
 import { fileError } from "../src/protocol/errors.ts";
 import type { BenchOptions } from "./types.ts";
 
-/** Seeds of a run whose command line names none. */
+/** Seeds used when the command line gives none. */
 const defaultSeeds = [1, 2, 3] as const;
 
-/** Which bench to run, and how. */
+/** Which bench to run, with its options. */
 export interface BenchCommand {
-  /** Left out where the command line names none: the benches are listed. */
+  /** `undefined` if the command line names no bench; the benches are then listed. */
   readonly name: string | undefined;
   readonly options: BenchOptions;
 }
@@ -23,14 +23,15 @@
 const readNames = (text: string): readonly string[] => text.split(",").filter((name) => name !== "");
 
 /**
- * Reads the command line.
+ * Parses the command line.
  *
- * @param words - What follows `npm run bench --`.
- * @returns The command; throws `FileError` for seeds that are no numbers, `TypeError` for unknown options.
+ * @param commandArguments - Arguments after `npm run bench --`.
+ * @returns The command.
+ * @throws `FileError` for seeds that are not whole numbers, `TypeError` for unknown options.
  */
-export const parseBenchCommand = (words: readonly string[]): BenchCommand => {
+export const parseBenchCommand = (commandArguments: readonly string[]): BenchCommand => {
   const { values, positionals } = parseArgs({
-    args: [...words],
+    args: [...commandArguments],
     allowPositionals: true,
     options: {
       json: { type: "boolean", default: false },
--- a/bench/owners/owners.ts
+++ b/bench/owners/owners.ts
@@ -1,4 +1,7 @@
-/** `npm run bench -- owners`: what asking the owners of replicas costs a router, by the number of replicas and routers. */
+/**
+ * `npm run bench -- owners`: cost for a router of querying the owners of replicas, by number of replicas and
+ * routers.
+ */
 import {
   bounds,
   configurationOf,
@@ -28,7 +31,8 @@
 
 const microsecondsPerMillisecond = 1_000;
 
-const timed =
+/** Wraps a call so that it runs `count` times and returns the microseconds taken. */
+const timeLoop =
   (run: (index: number) => unknown) =>
   (count: number): number => {
     const begunAt = performance.now();
@@ -36,27 +40,33 @@
     return (performance.now() - begunAt) * microsecondsPerMillisecond;
   };
 
-const key = 0x1234_5678_9abc;
+const replicaKey = 0x1234_5678_9abc;
 
-/** Messages as one request makes them, with two shared parts and a long prompt. */
+/** Messages caused by one request with a long prompt that has two shared parts. */
 const messages: Readonly<Record<string, OwnerMessage>> = {
   "question to one owner": {
     kind: "ask",
     name: "edge-amman-north-17",
     number: 1_000,
-    replicas: [key, key],
+    replicas: [replicaKey, replicaKey],
     parts: [0x9abc_def0, 0x1234_5678],
   },
   "answer of an owner": {
     kind: "answer",
     number: 1_000,
     reports: [
-      { replica: key, requests: 21, promptTokens: [0, 0, 0, 8_000, 12_000], ejectedFor: 0, limit: undefined },
-      { replica: key, requests: 17, promptTokens: [0, 0, 0, 900], ejectedFor: 0, limit: undefined },
+      {
+        replica: replicaKey,
+        requests: 21,
+        promptTokens: [0, 0, 0, 8_000, 12_000],
+        ejectedFor: 0,
+        limit: undefined,
+      },
+      { replica: replicaKey, requests: 17, promptTokens: [0, 0, 0, 900], ejectedFor: 0, limit: undefined },
     ],
     holders: [
-      { part: 0x9abc_def0, replica: key, isReady: true },
-      { part: 0x1234_5678, replica: key, isReady: true },
+      { part: 0x9abc_def0, replica: replicaKey, isReady: true },
+      { part: 0x1234_5678, replica: replicaKey, isReady: true },
     ],
   },
   "report of a request that begins": {
@@ -66,7 +76,7 @@
     sequence: 5_000,
     reports: [
       {
-        replica: key,
+        replica: replicaKey,
         requests: 2,
         promptTokens: [0, 0, 0, 8_000],
         computedTokens: 1_000_000,
@@ -76,8 +86,8 @@
       },
     ],
     holders: [
-      { part: 0x9abc_def0, replica: key, isReady: false },
-      { part: 0x1234_5678, replica: key, isReady: false },
+      { part: 0x9abc_def0, replica: replicaKey, isReady: false },
+      { part: 0x1234_5678, replica: replicaKey, isReady: false },
     ],
   },
 };
@@ -87,7 +97,7 @@
   for (const [name, message] of Object.entries(messages)) {
     const cost = await timeCalls(
       count,
-      timed(() => decodeOwnerMessage(encodeOwnerMessage(message))),
+      timeLoop(() => decodeOwnerMessage(encodeOwnerMessage(message))),
     );
     rows.push([name, String(encodeOwnerMessage(message).length), cost.toFixed(1)]);
   }
@@ -105,7 +115,7 @@
   ],
 });
 
-const createSubject = (replicaCount: number, routerCount: number) => {
+const createDecision = (replicaCount: number, routerCount: number) => {
   const clock = createManualClock(1_000);
   const replicas = createReplicaTable();
   for (let index = 0; index < replicaCount; index += 1) replicas.put(engineEntry(`engine-${index}`));
@@ -153,17 +163,18 @@
     ["replicas known", "routers of their data centre", "µs a decision with its owners found"],
   ];
   for (const { replicas, routers } of sizes) {
-    const decide = createSubject(replicas, routers);
-    const cost = await timeCalls(count, timed(decide));
+    const decide = createDecision(replicas, routers);
+    const cost = await timeCalls(count, timeLoop(decide));
     rows.push([String(replicas), String(routers), cost.toFixed(0)]);
   }
   return rows;
 };
 
-/** See the module. */
+/** Cost of owner messages and of placement decisions that query owners. */
 export const ownersBench: Bench = {
   name: "owners",
-  summary: "messages to the owners of replicas, and a decision with asking, by replicas and routers",
+  summary:
+    "messages to the owners of replicas, and placement decisions with owner lookup, by replicas and routers",
   run: async ({ quick, json }) => {
     const count = quick ? calls.quick : calls.usual;
     const tables = [await measureMessages(count), await measureDecisions(count)];
--- a/bench/relay/localRouter.ts
+++ b/bench/relay/localRouter.ts
@@ -1,4 +1,4 @@
-/** A router before engines that run elsewhere, with platform stand-ins beside it. */
+/** Starts a router and the platform stand-ins in this process, in front of engines that run elsewhere. */
 import { createHash } from "node:crypto";
 import { readFile } from "node:fs/promises";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -17,7 +17,7 @@
 const operatorKey = "bench-operator-key";
 const readyInterval = 20;
 
-/** A router that is ready. */
+/** A router that is ready to serve. */
 export interface LocalRouter extends AsyncDisposable {
   readonly url: string;
 }
@@ -37,7 +37,7 @@
   }
 };
 
-/** Limits far above what the bench asks for, so that nothing is refused. */
+/** Limits far above the load of the bench, so that no request is refused. */
 const openLimits = { concurrentRequests: 100_000, requestsPerSecond: 100_000 };
 
 const readConfiguration = async () => {
@@ -49,7 +49,11 @@
   };
 };
 
-/** Starts a router and waits until it knows its engines. */
+/**
+ * Starts a router and waits until it reports all engines as live.
+ *
+ * @param engineUrls - One URL per engine.
+ */
 export const startLocalRouter = async (engineUrls: readonly string[]): Promise<LocalRouter> => {
   await using resources = createResourceStack();
   const logService = resources.use(await createLogServiceStandIn());
--- a/bench/relay/plainPipe.ts
+++ b/bench/relay/plainPipe.ts
@@ -1,4 +1,7 @@
-/** The least that a relay can be: undici's body handed to h3 unparsed. The yardstick for the router. */
+/**
+ * A minimal relay that passes undici's response body to h3 unparsed. It is the baseline for the router's
+ * overhead.
+ */
 import { createServer } from "node:http";
 import type { IncomingMessage } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -6,7 +9,7 @@
 import { H3, toNodeHandler } from "h3/node";
 import { Agent } from "undici";
 
-/** A pipe that is listening. */
+/** A listening pipe. */
 export interface PlainPipe extends AsyncDisposable {
   readonly url: string;
 }
@@ -17,7 +20,7 @@
   "x-organisation": String(request.headers["x-organisation"]),
 });
 
-/** Starts a pipe before one engine. */
+/** Starts a pipe in front of one engine. */
 export const startPlainPipe = async (engineUrl: string): Promise<PlainPipe> => {
   const pool = new Agent({ pipelining: 1 });
   const app = new H3();
--- a/bench/relay/relay.ts
+++ b/bench/relay/relay.ts
@@ -1,7 +1,7 @@
 /**
- * What the router adds to a stream: callers straight at the engines, through a plain pipe, and through the
- * router, in one run. Engines and callers run on threads of their own, so that this thread's event loop does
- * the relaying and nothing else.
+ * `npm run bench -- relay`: overhead that the router adds to a stream. One run compares callers that connect
+ * directly to the engines, through a plain pipe, and through the router. Engines and callers run on separate
+ * threads, so that this thread's event loop only relays.
  */
 import { once } from "node:events";
 import { performance } from "node:perf_hooks";
@@ -10,7 +10,7 @@
 import { startPlainPipe } from "./plainPipe.ts";
 import { readMainThreadTime } from "./threadTime.ts";
 import type { Bench, BenchOptions } from "../types.ts";
-import type { CallerReport, EngineReady, PathMeasure, RelayWorkerData } from "./types.ts";
+import type { CallerReport, EngineReady, PathMeasurement, RelayWorkerData } from "./types.ts";
 
 const tokenMilliseconds = 20;
 const callerThreads = 2;
@@ -37,7 +37,7 @@
   return report;
 };
 
-/** Highest heap while something runs, above what it was before, bytes. */
+/** @returns The result of `run`, and the median growth of the heap while it ran, bytes. */
 const heapGrowth = async <T>(
   run: () => Promise<T>,
 ): Promise<{ readonly result: T; readonly bytes: number }> => {
@@ -54,29 +54,31 @@
 };
 
 const measure = async (
-  path: PathMeasure["path"],
+  path: PathMeasurement["path"],
   urls: readonly string[],
   load: Load,
-): Promise<PathMeasure> => {
-  const share = { ...load, streams: Math.ceil(load.streams / callerThreads) };
-  const idle = performance.eventLoopUtilization();
+): Promise<PathMeasurement> => {
+  const threadLoad = { ...load, streams: Math.ceil(load.streams / callerThreads) };
+  const utilisationBefore = performance.eventLoopUtilization();
   const threadTimeBefore = readMainThreadTime();
   const reports = await Promise.all(
-    Array.from({ length: callerThreads }, (_, index) => callOnThread(urls[index % urls.length] ?? "", share)),
+    Array.from({ length: callerThreads }, (_, index) =>
+      callOnThread(urls[index % urls.length] ?? "", threadLoad),
+    ),
   );
-  const busy = performance.eventLoopUtilization(idle).active;
+  const busyMilliseconds = performance.eventLoopUtilization(utilisationBefore).active;
   const threadTimeAfter = readMainThreadTime();
   const tokens = reports.reduce((sum, report) => sum + report.tokens, 0);
   return {
     path,
-    streams: share.streams * callerThreads,
+    streams: threadLoad.streams * callerThreads,
     tokens,
     medianTimeToFirstToken: median(reports.flatMap((report) => report.timesToFirstToken)),
     threadMicrosecondsPerToken:
       path === "direct" || threadTimeBefore === undefined || threadTimeAfter === undefined
         ? undefined
         : ((threadTimeAfter - threadTimeBefore) * 1e6) / tokens,
-    busyMicrosecondsPerToken: path === "direct" ? undefined : (busy * 1000) / tokens,
+    busyMicrosecondsPerToken: path === "direct" ? undefined : (busyMilliseconds * 1000) / tokens,
     heapKibibytesPerStream: undefined,
   };
 };
@@ -86,7 +88,7 @@
   return bytes / 1024 / load.streams;
 };
 
-const runAt = async (load: Load, engineUrls: readonly string[]): Promise<readonly PathMeasure[]> => {
+const runAt = async (load: Load, engineUrls: readonly string[]): Promise<readonly PathMeasurement[]> => {
   const direct = await measure("direct", engineUrls, load);
   const pipe = await (async () => {
     await using plain = await startPlainPipe(engineUrls[0] ?? "");
@@ -94,7 +96,7 @@
   })();
   await using router = await startLocalRouter(engineUrls);
   const routed = await measure("router", [router.url], load);
-  // The collections that the heap's measure forces would count as busy time, so it is a run of its own.
+  // The heap is measured in a separate run, since the forced garbage collections would count as busy time.
   const heapKibibytesPerStream =
     globalThis.gc === undefined ? undefined : await measureHeap([router.url], load);
   return [direct, pipe, { ...routed, heapKibibytesPerStream }];
@@ -102,7 +104,7 @@
 
 const digits = (value: number | undefined, count: number): string => value?.toFixed(count) ?? "-";
 
-const printTable = (measures: readonly PathMeasure[]): void => {
+const printTable = (measures: readonly PathMeasurement[]): void => {
   console.log("path    streams   tokens  TTFT ms  CPU µs/token  busy µs/token  heap KiB/stream");
   for (const item of measures) {
     const cells = [
@@ -118,7 +120,7 @@
   }
 };
 
-const ratios = (measures: readonly PathMeasure[]) => {
+const ratios = (measures: readonly PathMeasurement[]) => {
   const [direct, pipe, routed] = measures;
   return {
     streams: routed?.streams,
@@ -152,9 +154,9 @@
   await Promise.all(engines.map((engine) => engine.terminate()));
 };
 
-/** The relay's cost. */
+/** Cost of relaying a stream. */
 export const relayBench: Bench = {
   name: "relay",
-  summary: "what the router adds to a stream, against a plain pipe and none at all",
+  summary: "overhead that the router adds to a stream, compared with a plain pipe and a direct connection",
   run,
 };
--- a/bench/relay/types.ts
+++ b/bench/relay/types.ts
@@ -1,6 +1,6 @@
-/** What the threads of the relay bench tell one another. Times are milliseconds. */
+/** Messages between the threads of the relay bench. Times are in milliseconds. */
 
-/** What a thread is to do. */
+/** The role of a worker thread. */
 export type RelayWorkerData =
   | { readonly role: "engine"; readonly tokenMilliseconds: number }
   | {
@@ -9,32 +9,34 @@
       readonly key: string;
       readonly streams: number;
       readonly tokens: number;
-      /** Between the starts of two streams. */
+      /** Time between the starts of two streams. */
       readonly startInterval: number;
     };
 
-/** An engine thread is listening. */
+/** Sent by an engine thread once it is listening. */
 export interface EngineReady {
   readonly url: string;
 }
 
-/** What a caller thread measured. */
+/** Measurements of a caller thread. */
 export interface CallerReport {
   readonly timesToFirstToken: readonly number[];
   readonly tokens: number;
 }
 
-/** One way from callers to engines, measured. */
-export interface PathMeasure {
+/** Measurements of one path from callers to engines. */
+export interface PathMeasurement {
   readonly path: "direct" | "pipe" | "router";
   readonly streams: number;
   readonly tokens: number;
   readonly medianTimeToFirstToken: number;
-  /** Processor time of the relaying thread for each token, microseconds; none for `direct`. */
+  /** CPU time of the relaying thread per token, microseconds; `undefined` for `direct`. */
   readonly threadMicrosecondsPerToken: number | undefined;
-  /** Time that this thread's event loop was busy for each token, microseconds, with what
-   * other work on the machine took from it; none for `direct`. */
+  /**
+   * Busy time of the relaying thread's event loop per token, microseconds, including preemption by other processes;
+   * `undefined` for `direct`.
+   */
   readonly busyMicrosecondsPerToken: number | undefined;
-  /** Growth of this process's heap while the streams were open, kibibytes for each stream. */
+  /** Growth of this process's heap per open stream, kibibytes; `undefined` if not measured. */
   readonly heapKibibytesPerStream: number | undefined;
 }
--- a/bench/relay/worker.ts
+++ b/bench/relay/worker.ts
@@ -1,4 +1,4 @@
-/** A thread of the relay bench: engines, or callers. What it measures stays off the router's event loop. */
+/** Worker thread of the relay bench: an engine, or callers. Its work stays off the router's event loop. */
 import { parentPort, workerData } from "node:worker_threads";
 import { Agent } from "undici";
 import { createEngineStandIn } from "../../standIns/engine/engine.ts";
@@ -19,7 +19,7 @@
   return { url: engine.url };
 };
 
-interface StreamMeasure {
+interface StreamMeasurement {
   readonly timeToFirstToken: number;
   readonly tokens: number;
 }
@@ -27,7 +27,12 @@
 const countEvents = (text: string): number =>
   text.split("\ndata: ").length - 1 + (text.startsWith("data: ") ? 1 : 0);
 
-const readStream = async (pool: Agent, url: string, body: string, key: string): Promise<StreamMeasure> => {
+const readStream = async (
+  pool: Agent,
+  url: string,
+  body: string,
+  key: string,
+): Promise<StreamMeasurement> => {
   const startedAt = performance.now();
   const attempt = crypto.randomUUID();
   const answer = await pool.request({
@@ -51,7 +56,7 @@
   return { timeToFirstToken, tokens: countEvents(text) };
 };
 
-/** Starts the streams spread over one token's time, and reads them all to their ends. */
+/** Starts the streams one interval apart and reads each of them to its end. */
 const callRouter = async (data: Extract<RelayWorkerData, { role: "caller" }>): Promise<CallerReport> => {
   const pool = new Agent({ connections: data.streams, pipelining: 1 });
   const body = JSON.stringify({
--- a/bench/report/barChart.ts
+++ b/bench/report/barChart.ts
@@ -1,24 +1,24 @@
-/** Bar charts as SVG: one group of bars for each row. */
+/** Horizontal bar charts as SVG, with one group of bars per row. */
 
-/** A bar's series, named in the legend. */
+/** A series of bars, named in the legend. */
 export interface Series {
   readonly name: string;
   readonly colour: string;
 }
 
-/** One group of bars; a value that is not finite is drawn to the end and marked. */
+/** A group of bars with one value per series. A value that is not finite is drawn at full width and marked. */
 export interface BarGroup {
   readonly label: string;
   readonly values: readonly number[];
 }
 
-/** What a chart shows. */
+/** The content of a chart. */
 export interface BarChart {
   readonly title: string;
   readonly unit: string;
   readonly series: readonly Series[];
   readonly groups: readonly BarGroup[];
-  /** The value at the right end. */
+  /** The value at the right end of the axis. */
   readonly maximum: number;
 }
 
@@ -30,9 +30,9 @@
   `<text x="${x}" y="${y}" text-anchor="${anchor}">${escapeText(text)}</text>`;
 
 const drawBar = (chart: BarChart, value: number, y: number, colour: string): string => {
-  const room = layout.width - layout.left - layout.right;
-  const part = Number.isFinite(value) ? Math.min(1, value / chart.maximum) : 1;
-  const length = Math.max(1, Math.round(part * room));
+  const plotWidth = layout.width - layout.left - layout.right;
+  const share = Number.isFinite(value) ? Math.min(1, value / chart.maximum) : 1;
+  const length = Math.max(1, Math.round(share * plotWidth));
   const label = Number.isFinite(value) ? `${value.toFixed(value < 10 ? 1 : 0)} ${chart.unit}` : "unbounded";
   const box = `<rect x="${layout.left}" y="${y}" width="${length}" height="${layout.bar - 2}" fill="${colour}"/>`;
   return box + textAt(layout.left + length + 4, y + layout.bar - 4, label);
@@ -54,7 +54,7 @@
     })
     .join("\n");
 
-/** Draws a chart. */
+/** @returns The chart as an SVG document. */
 export const drawBarChart = (chart: BarChart): string => {
   const groupHeight = chart.series.length * layout.bar + layout.gap;
   const height = layout.top + chart.groups.length * groupHeight;
--- a/bench/report/page.test.ts
+++ b/bench/report/page.test.ts
@@ -3,7 +3,7 @@
 import { replaceSection } from "./page.ts";
 
 describe("replaceSection", () => {
-  it("adds a section at the end, and replaces it alone the next time", () => {
+  it("appends a new section, and replaces only that section afterwards", () => {
     const first = replaceSection("# Page\n", "a", "one");
     expect(first).toEqual("# Page\n\n<!-- begin a -->\none\n<!-- end a -->\n");
     const both = replaceSection(`${first}\nkept\n`, "b", "other");
--- a/bench/report/page.ts
+++ b/bench/report/page.ts
@@ -1,13 +1,17 @@
-/** Parts of the project's pages that benches write. */
+/** Writes generated sections of the documentation. */
 import { execFileSync } from "node:child_process";
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
 
-/** Which state of the product's code a page's figures are of: the last commit that changed it. */
+/** @returns Abbreviated hash of the last commit that changed `src`, which identifies the benchmarked code. */
 export const commitName = (): string =>
   execFileSync("git", ["log", "-1", "--format=%h", "--", "src"], { encoding: "utf8" }).trim();
 
-/** Puts a text in place of what stands between a page's markers, or at its end. */
+/**
+ * Replaces the text between a section's markers, or appends the section if the page does not have it.
+ *
+ * @returns The new page.
+ */
 export const replaceSection = (page: string, section: string, text: string): string => {
   const begin = `<!-- begin ${section} -->`;
   const end = `<!-- end ${section} -->`;
@@ -18,13 +22,17 @@
   return page.slice(0, from) + block + page.slice(until + end.length);
 };
 
-/** Writes a section of a page that may not exist yet. */
+/**
+ * Writes a section of a page, and creates the page if necessary.
+ *
+ * @param title - Heading of a newly created page.
+ */
 export const writeSection = (file: string, title: string, section: string, text: string): void => {
   const page = existsSync(file) ? readFileSync(file, "utf8") : `# ${title}\n`;
   writeFile(file, replaceSection(page, section, text));
 };
 
-/** Writes a file, with the folders that it needs. */
+/** Writes a file and creates its parent directories. */
 export const writeFile = (file: string, text: string): void => {
   mkdirSync(dirname(file), { recursive: true });
   writeFileSync(file, text);
--- a/bench/report/table.ts
+++ b/bench/report/table.ts
@@ -1,6 +1,6 @@
-/** Tables of text, for the terminal and for pages. */
+/** Formats tables for the terminal and for Markdown pages. */
 
-/** A row of cells. */
+/** The cells of a row. */
 export type Row = readonly string[];
 
 const widthsOf = (rows: readonly Row[]): readonly number[] =>
@@ -8,7 +8,7 @@
 
 const isNumeric = (text: string): boolean => /^[-∞\d]/.test(text);
 
-/** Sets rows in columns, numbers to the right; the first row is the heading. */
+/** Formats rows as aligned columns with numbers right-aligned; the first row is the heading. */
 export const formatTable = (rows: readonly Row[]): string => {
   const widths = widthsOf(rows);
   const numeric = widths.map((_, column) => rows.slice(1).every((row) => isNumeric(row[column] ?? "-")));
@@ -17,17 +17,17 @@
   return rows.map((row) => row.map(formatCell).join("  ").trimEnd()).join("\n");
 };
 
-/** Writes the same rows as a Markdown table. */
+/** Formats rows as a Markdown table; the first row is the heading. */
 export const formatMarkdownTable = ([heading = [], ...rows]: readonly Row[]): string =>
   [heading, heading.map(() => "---"), ...rows].map((row) => `| ${row.join(" | ")} |`).join("\n");
 
-/** A part as a percentage. */
+/** Formats a share between 0 and 1 as a percentage without the sign. */
 export const formatShare = (share: number, digits = 1): string =>
   Number.isFinite(share) ? (share * 100).toFixed(digits) : "-";
 
-/** Milliseconds, with a decimal where they are few. */
+/** Formats milliseconds, with one decimal place below 10. */
 export const formatMilliseconds = (milliseconds: number): string =>
   Number.isFinite(milliseconds) ? milliseconds.toFixed(milliseconds < 10 ? 1 : 0) : "∞";
 
-/** One measure over another. */
+/** Formats a ratio with two decimal places. */
 export const formatRatio = (ratio: number): string => (Number.isFinite(ratio) ? ratio.toFixed(2) : "∞");
--- a/bench/router/load.ts
+++ b/bench/router/load.ts
@@ -1,4 +1,4 @@
-/** Callers that keep a pace: prompts and plain requests in the shares of a deployment, on connections that are kept. */
+/** Open-loop load at a fixed rate over persistent connections, with the request mix of a deployment. */
 import type { IncomingMessage } from "node:http";
 import { Agent, request as httpRequest } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -7,24 +7,29 @@
 import type { Random } from "../model/random.ts";
 
 /** A kind of request. */
-interface Kind {
+interface RequestKind {
   readonly name: "ask" | "tag" | "read";
-  /** Of all requests, 0 to 1. */
+  /** Share of all requests, 0 to 1. */
   readonly share: number;
-  /** Shared texts to choose from, and the tokens of one; none for plain requests. */
+  /**
+   * Number of shared prompt parts, their tokens, and the tokens of the unshared part; absent for plain requests.
+   */
   readonly texts?: { readonly count: number; readonly tokens: number; readonly ownTokens: number };
   readonly bodyBytes: number;
 }
 
-const shortPrompts: Kind = {
+const shortPrompts: RequestKind = {
   name: "tag",
   share: 0.68,
   texts: { count: 5_217, tokens: 227, ownTokens: 1_800 },
   bodyBytes: 2_400,
 };
 
-/** The mix of a deployment of 58 routers with 103 long and 654 short prompts and 204 plain requests a second. */
-const kinds: readonly Kind[] = [
+/**
+ * The mix of a deployment of 58 routers that handles 103 long prompts, 654 short prompts and 204 plain requests
+ * per second.
+ */
+const kinds: readonly RequestKind[] = [
   {
     name: "ask",
     share: 0.11,
@@ -35,20 +40,20 @@
   { name: "read", share: 0.21, bodyBytes: 0 },
 ];
 
-/** Tokens of the part that all prompts begin with, and of an answer. */
+/** Tokens of the part that all prompts start with, and of an answer. */
 const commonTokens = 512;
 const answerTokens = 64;
 
 /** Milliseconds. */
-const patience = 5_000;
+const requestTimeout = 5_000;
 
-/** What came of a load. */
+/** Outcome of a load. */
 export interface LoadResult {
   readonly sent: number;
   readonly succeeded: number;
 }
 
-const pickKind = (random: Random): Kind => {
+const pickKind = (random: Random): RequestKind => {
   let point = random.uniform();
   for (const kind of kinds) {
     point -= kind.share;
@@ -57,10 +62,10 @@
   return shortPrompts;
 };
 
-const headersOf = ({ name, texts }: Kind, id: string, random: Random): Record<string, string> => {
+const headersOf = ({ name, texts }: RequestKind, id: string, random: Random): Record<string, string> => {
   const common = {
     host: name === "read" ? hosts.desk : hosts.model,
-    ...callHeaders(id, keys.known, patience),
+    ...callHeaders(id, keys.known, requestTimeout),
   };
   if (texts === undefined) return common;
   const text = random.index(texts.count);
@@ -81,18 +86,26 @@
   new Promise((resolve) => {
     const kind = pickKind(random);
     const method = kind.name === "read" ? "GET" : "POST";
-    const take = (response: IncomingMessage): void => {
+    const onResponse = (response: IncomingMessage): void => {
       response.resume();
       response.on("end", () => resolve(response.statusCode === 200));
       response.on("error", () => resolve(false));
     };
     const headers = headersOf(kind, id, random);
-    const request = httpRequest(place.url, { agent, method, path: `/${kind.name}/${id}`, headers }, take);
+    const request = httpRequest(
+      place.url,
+      { agent, method, path: `/${kind.name}/${id}`, headers },
+      onResponse,
+    );
     request.on("error", () => resolve(false));
     request.end("x".repeat(kind.bodyBytes));
   });
 
-/** Sends requests to every router at a pace, and waits until they have ended. @param perSecond - To each router. */
+/**
+ * Sends requests to every router at a fixed rate and waits until all of them have ended.
+ *
+ * @param perSecond - Requests per second to each router.
+ */
 export const sendLoad = async (
   routers: readonly RouterPlace[],
   perSecond: number,
--- a/bench/router/profiles.ts
+++ b/bench/router/profiles.ts
@@ -1,13 +1,13 @@
-/** Sums up the processor profiles that routers wrote when they ended. */
+/** Summarises the CPU profiles that routers write at exit. */
 import { readdir, readFile } from "node:fs/promises";
 import { join } from "node:path";
 import { z } from "zod";
 
-/** What a function took by itself, callees left out. */
+/** Self time of a function, i.e. excluding its callees. */
 export interface FunctionShare {
-  /** Name and place. */
+  /** Function name, file and line. */
   readonly place: string;
-  /** Of the processor time of all profiles, 0 to 1. */
+  /** Share of the CPU time of all profiles, 0 to 1. */
   readonly share: number;
 }
 
@@ -24,7 +24,7 @@
 
 type Profile = z.output<typeof profileSchema>;
 
-/** Time in which the process waited is none of its processor's. */
+/** Profile entries for idle time, which is not CPU time of the process. */
 const idlePlaces: ReadonlySet<string> = new Set(["(idle)", "(program)"]);
 
 const placeOf = ({ callFrame }: Profile["nodes"][number]): string => {
@@ -43,9 +43,12 @@
 };
 
 /**
- * @param directory - Holds the profiles and nothing else.
- * @param count - How many functions are wanted.
- * @returns The functions that took most, the first one first; throws where a profile can't be read.
+ * Finds the functions with the most self time.
+ *
+ * @param directory - Contains the profiles and nothing else.
+ * @param count - Maximum number of functions returned.
+ * @returns The functions in descending order of self time.
+ * @throws If a profile cannot be read or parsed.
  */
 export const largestFunctions = async (
   directory: string,
--- a/bench/router/router.ts
+++ b/bench/router/router.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- router`: processor time of routers as they are deployed, in processes of their own before the
- * platform's stand-in: a start, a second at rest, a request, and requests while weights are rolled out.
+ * `npm run bench -- router`: CPU time of routers as deployed, each in its own process in front of the platform
+ * stand-in: at start, at rest, per request, and per request while new model weights are rolled out.
  */
 import { execFileSync } from "node:child_process";
 import { existsSync, mkdtempSync } from "node:fs";
@@ -18,25 +18,28 @@
 import { sendLoad } from "./load.ts";
 import { largestFunctions } from "./profiles.ts";
 
-/** Routers enough that they ask owners; engines enough that a prompt has a choice. */
+/** Enough routers that they query owners, and enough engines that placement has a choice. */
 const size = { routers: 12, engines: 24, desks: 4 } as const;
 
-/** Requests a second to each router: the mean of a deployment of 58 routers, and where a small VM begins to bind. */
+/**
+ * Requests per second to each router: the mean of a deployment of 58 routers, and a rate at which a small VM
+ * becomes the bottleneck.
+ */
 const rates = { usual: 14, busy: 30 } as const;
 
-/** Seconds of each phase. */
-const lengths = { usual: 8, quick: 2 } as const;
+/** Duration of each phase, seconds. */
+const phaseDurations = { usual: 8, quick: 2 } as const;
 
-/** Between two sets of weights, seconds. */
+/** Seconds between two weights versions. */
 const weightsInterval = 4;
 
 const functionsShown = 20;
 
-/** The clock ticks in which the kernel counts processor time, a second. */
+/** Clock ticks per second in which the kernel reports CPU time. */
 const ticksPerSecond = 100;
 
-/** Where the fields of user and system time stand behind the program's name. */
-const timeFields = { user: 11, system: 12 } as const;
+/** Positions of user and system time in `/proc/PID/stat`, counted from the end of the program name. */
+const statFields = { user: 11, system: 12 } as const;
 
 const program = resolve("target/router.mjs");
 
@@ -45,11 +48,11 @@
   if (!existsSync(program)) throw new Error(`${program} was not built.`);
 };
 
-/** @returns Milliseconds of processor time that a process has taken. */
+/** @returns CPU time of a router's process so far, milliseconds. */
 const readProcessorTime = async ({ process: started }: RouterPlace): Promise<number> => {
   const text = await readFile(`/proc/${started?.processId ?? 0}/stat`, "utf8");
   const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
-  const ticks = Number(fields[timeFields.user]) + Number(fields[timeFields.system]);
+  const ticks = Number(fields[statFields.user]) + Number(fields[statFields.system]);
   return (ticks / ticksPerSecond) * 1_000;
 };
 
@@ -58,15 +61,15 @@
   return times.reduce((sum, time) => sum + time, 0) / routers.length;
 };
 
-/** Names new weights again and again until it is called off. */
+/** Publishes a new weights version periodically. @returns A function that stops it. */
 const rollOutWeights = (system: SoakSystem): (() => void) => {
   let version = 1;
-  const name = (): void => {
+  const publishNext = (): void => {
     version += 1;
     system.nameWeights(version);
   };
-  name();
-  const timer = setInterval(name, weightsInterval * 1_000);
+  publishNext();
+  const timer = setInterval(publishNext, weightsInterval * 1_000);
   return () => clearInterval(timer);
 };
 
@@ -102,13 +105,14 @@
   return await measure(system, seconds);
 };
 
-/** See the module. */
+/** CPU time of router processes by phase, and their most expensive functions. */
 export const routerBench: Bench = {
   name: "router",
-  summary: "processor time of real router processes: start, rest, requests, roll-outs; the largest functions",
+  summary:
+    "CPU time of real router processes: start, rest, requests, roll-outs; the most expensive functions",
   run: async ({ quick, json, only }) => {
     buildProgram();
-    const seconds = quick ? lengths.quick : lengths.usual;
+    const seconds = quick ? phaseDurations.quick : phaseDurations.usual;
     const heap = "--max-old-space-size=96";
     const times = await runWith(seconds, [heap]);
     const tables = [times];
--- a/bench/slopes/capacity.ts
+++ b/bench/slopes/capacity.ts
@@ -1,4 +1,4 @@
-/** Writes the slopes of decisions into the capacity page, worked out for one node of the target. */
+/** Writes the cost of decisions into the capacity page, extrapolated to one node of the target deployment. */
 import { commitName, writeSection } from "../report/page.ts";
 import { formatMarkdownTable } from "../report/table.ts";
 import type { Row } from "../report/table.ts";
@@ -6,15 +6,15 @@
 import { slopeRows } from "./report.ts";
 import type { SlopeReport } from "./report.ts";
 
-/** One node of the target: 460 nodes before 12,000 replicas in 12 data centres. */
+/** One node of the target deployment: 460 nodes in front of 12,000 replicas in 12 data centres. */
 const node = {
-  /** 19,000 requests a second over 460 nodes. */
+  /** 19,000 requests per second over 460 nodes. */
   decisionsPerSecond: 41,
-  /** Digests of 1,000 engines of the data centre, each every 2 s. */
+  /** Load digests of the data centre's 1,000 engines, one every 2 s from each. */
   digestsPerSecond: 500,
 } as const;
 
-/** Of one core, as the first letter allows for control. */
+/** Share of one core that the requirements allow for the control path. */
 const controlShare = 0.019;
 
 const page = "docs/CAPACITY.md";
@@ -50,7 +50,7 @@
   ];
 };
 
-/** Writes the section "Measured slopes: decisions". */
+/** Writes the section "Measured slopes: decisions" of the capacity page. */
 export const writeCapacitySection = (report: SlopeReport): void => {
   const text = [
     "## Measured slopes: decisions",
--- a/bench/slopes/measure.test.ts
+++ b/bench/slopes/measure.test.ts
@@ -3,7 +3,7 @@
 import { fitLine, valueAt } from "./measure.ts";
 
 describe("fitLine", () => {
-  it("finds the line through points, and the closest one beside them", () => {
+  it("fits exact points exactly, and other points by least squares", () => {
     const exact = fitLine([1, 2, 3].map((size) => ({ size, value: 3 + 2 * size })));
     expect([exact.slope, exact.intercept, valueAt(exact, 100)]).toEqual([2, 3, 203]);
     const points = [
--- a/bench/slopes/measure.ts
+++ b/bench/slopes/measure.ts
@@ -1,21 +1,21 @@
-/** Processor time, memory and the line through several of them. */
+/** Measures time and heap, and fits lines to the measurements. */
 import { setImmediate as macrotask } from "node:timers/promises";
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 
-/** One size with what was measured at it. */
+/** A size with the value measured at it. */
 export interface Point {
   readonly size: number;
   readonly value: number;
 }
 
-/** A line through points. */
+/** A straight line: value = intercept + slope × size. */
 export interface Line {
   readonly slope: number;
   readonly intercept: number;
 }
 
-/** The least squares line. */
+/** @returns The least-squares line; with slope 0 if all points have the same size. */
 export const fitLine = (points: readonly Point[]): Line => {
   const count = points.length;
   const meanSize = points.reduce((sum, { size }) => sum + size, 0) / count;
@@ -29,15 +29,17 @@
   return { slope, intercept: meanValue - slope * meanSize };
 };
 
-/** What a line gives at a size. */
+/** @returns The value of the line at a size. */
 export const valueAt = ({ slope, intercept }: Line, size: number): number => intercept + slope * size;
 
 const batches = 7;
 
 /**
- * Microseconds of one call, from the fastest of several batches: others' work on the machine only ever adds.
+ * Times a call. Takes the fastest of several batches, since other processes on the machine can only add time.
  *
- * @param run - Makes this many calls and tells how many microseconds they took.
+ * @param calls - Calls in each batch.
+ * @param run - Makes the given number of calls and returns the microseconds they took.
+ * @returns Microseconds per call.
  */
 export const timeCalls = async (
   calls: number,
@@ -55,9 +57,9 @@
   collect();
 };
 
-/** Bytes of heap in use once garbage is gone. */
+/** @returns Bytes of heap in use after a garbage collection. */
 export const heapInUse = async (): Promise<number> => {
-  // What the last promises still hold is let go first.
+  // Objects referenced by pending microtasks become collectable first.
   await macrotask();
   collectGarbage();
   return process.memoryUsage().heapUsed;
--- a/bench/slopes/report.ts
+++ b/bench/slopes/report.ts
@@ -1,29 +1,29 @@
-/** What the slopes bench gives, and its table. */
+/** Results of the slopes bench and their table. */
 import type { Row } from "../report/table.ts";
 import { fitLine, valueAt } from "./measure.ts";
 import type { Line, Point } from "./measure.ts";
 
-/** One dimension with its measurements. */
+/** Measurements along one dimension. */
 export interface SlopeResult {
   readonly dimension: string;
   readonly target: number;
-  /** Microseconds of one decision, from the request's arrival to the report of its end. */
+  /** Microseconds of one decision, from the arrival of the request to the report of its end. */
   readonly decision: readonly Point[];
   readonly decisionLine: Line;
-  /** Bytes of heap of all that the scheduler and the engine directory keep. */
+  /** Bytes of heap retained by the scheduler and the engine directory. */
   readonly heap: readonly Point[];
   readonly heapLine: Line;
-  /** The least part of decisions that gave an engine at once, over all sizes. */
+  /** Share of the decisions that yielded an engine immediately; the minimum over all sizes. */
   readonly admitted: number;
 }
 
-/** All that the bench gives. */
+/** Results of the bench for one policy. */
 export interface SlopeReport {
   readonly policy: string;
   readonly dimensions: readonly SlopeResult[];
-  /** Microseconds for one load digest in a directory of `size` engines, with the scheduler listening. */
+  /** Microseconds to apply one load digest to a directory of `size` engines that the scheduler observes. */
   readonly digest: readonly Point[];
-  /** Bytes of heap that `size` decisions more, each with a prompt of its own, leave behind: next to none. */
+  /** Bytes of heap retained after `size` more decisions, each with a unique prompt; expected to be close to 0. */
   readonly history: readonly Point[];
 }
 
@@ -35,7 +35,7 @@
 const formatMicroseconds = (value: number): string => value.toFixed(1);
 const formatKibibytes = (value: number): string => (value / kibibyte).toFixed(0);
 
-/** The rows for the terminal and for the page. */
+/** @returns A heading and the rows for the terminal and the capacity page. */
 export const slopeRows = ({ dimensions: results, digest, history }: SlopeReport): readonly Row[] => [
   ["for each", "measured at", "slope", "at the target"],
   ...results.flatMap(({ dimension, target, decision, decisionLine, heap, heapLine }) => [
--- a/bench/slopes/schedulerHarness.ts
+++ b/bench/slopes/schedulerHarness.ts
@@ -1,4 +1,4 @@
-/** One router's beliefs and scheduler at a chosen size, without network or engines. */
+/** One router's scheduler and its state at a given size, without network or engines. */
 import { setMaxListeners } from "node:events";
 import { createConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
 import type { ConfigurationIndex } from "../../src/coordination/configurationIndex.ts";
@@ -15,47 +15,47 @@
 import type { Random } from "../model/random.ts";
 import type { Policy } from "../policies/Policy.ts";
 
-/** How much a router has to do with. */
+/** Size of the deployment as seen by one router. */
 export interface Size {
   readonly engines: number;
   readonly organisations: number;
-  /** Shared prefixes that requests have, over all organisations. */
+  /** Distinct shared prefixes of the requests of all organisations. */
   readonly prefixes: number;
 }
 
-/** A router's decisions, to be timed and weighed. */
+/** Runs a router's decisions so that their time and memory can be measured. */
 export interface SchedulerHarness {
   readonly scheduler: Scheduler;
   readonly directory: EngineDirectory;
   /**
-   * Makes this many decisions, each ended some decisions later.
+   * Makes the given number of decisions; each attempt ends a fixed number of admissions later.
    *
-   * @returns Microseconds spent, the making of the requests left out.
+   * @returns Microseconds spent, excluding the creation of the requests.
    */
   readonly decide: (count: number) => Promise<number>;
-  /** Takes this many load digests, of one engine after another. @returns Microseconds spent. */
-  readonly takeDigests: (count: number) => number;
-  /** Decisions that gave an engine at once, as a part of all. */
+  /** Applies the given number of load digests, cycling through the engines. @returns Microseconds spent. */
+  readonly applyDigests: (count: number) => number;
+  /** @returns Share of all decisions that yielded an engine immediately. */
   readonly admitted: () => number;
 }
 
 const seed = 1;
 
-/** Between two decisions, simulated milliseconds: 41 a second, as at the target. */
+/** Simulated milliseconds between two decisions: 41 per second, as at the target. */
 const interval = 24;
 
-/** 12,000 replicas before 460 nodes. */
-const enginesOfRouter = 26;
+/** 12,000 replicas in front of 460 nodes. */
+const enginesPerRouter = 26;
 
-/** Attempts of this router that run at once: each lasts half a second. */
-const underWay = 20;
+/** Concurrent attempts of this router, each of which lasts half a second. */
+const concurrentAttempts = 20;
 
-/** Waiting for it lets other promises settle first. */
-const settled = Promise.resolve();
+/** Awaiting it lets promises that are already resolved run their callbacks first. */
+const resolvedPromise = Promise.resolve();
 
 const ignore = (): void => undefined;
 
-/** Of rules, member and subject. */
+/** Cumulative prompt tokens at the levels of rules, member and subject. */
 const levelTokens: readonly number[] = [1000, 2000, 4500];
 
 const promptTokens = 4630;
@@ -101,7 +101,7 @@
 
 const keyOf = (text: string): string => hash64(text).toString(16).padStart(16, "0");
 
-/** Makes works whose prefixes follow Zipf's law, each with a last level of its own. */
+/** Creates work items whose shared prefixes follow Zipf's law and whose last level is unique. */
 const createWorks = (index: ConfigurationIndex, size: Size, random: Random) => {
   const { organisations, classes, enginePools, models } = index.configuration;
   const pickPrefix = createWeightedIndex(zipfWeights(Math.min(size.prefixes, 1000), 1));
@@ -153,7 +153,7 @@
   });
 };
 
-/** Makes a router's decisions at a size. */
+/** Creates a harness for a policy at a given size. */
 export const createSchedulerHarness = (policy: Policy, size: Size): SchedulerHarness => {
   const clock = createManualClock();
   const mix = createLevantMix();
@@ -173,23 +173,23 @@
     clock,
     directory,
     configuration: () => index,
-    liveRouters: () => Math.ceil(size.engines / enginesOfRouter),
+    liveRouters: () => Math.ceil(size.engines / enginesPerRouter),
     seed,
     fleet: createFleet({ ...mix, configuration: { ...configuration, enginePools: [] } }, clock),
   });
   const createWork = createWorks(index, size, createRandom(seed, "slopes"));
-  const open: { readonly assignment: Assignment; readonly work: Work }[] = [];
+  const openAttempts: { readonly assignment: Assignment; readonly work: Work }[] = [];
   let decisions = 0;
   let admissions = 0;
 
   const admit = (assignment: Assignment, work: Work): void => {
     admissions += 1;
-    open.push({ assignment, work });
+    openAttempts.push({ assignment, work });
   };
 
   const endOldest = (): void => {
-    if (open.length <= underWay) return;
-    const oldest = open.shift();
+    if (openAttempts.length <= concurrentAttempts) return;
+    const oldest = openAttempts.shift();
     if (oldest !== undefined) endAttempt(oldest.assignment, oldest.work);
   };
 
@@ -206,12 +206,12 @@
         clock.advanceTo(work.context.arrivedAt);
         decisions += 1;
         scheduler.assign(work, signal).then((assignment) => admit(assignment, work), ignore);
-        await settled;
+        await resolvedPromise;
         endOldest();
       }
       return (performance.now() - before) * 1000;
     },
-    takeDigests: (count) => {
+    applyDigests: (count) => {
       const loads = Array.from({ length: count }, (_, step) => createLoad(step % size.engines, step % 5));
       const before = performance.now();
       loads.forEach((load, step) => {
--- a/bench/slopes/slopes.ts
+++ b/bench/slopes/slopes.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- slopes`: what a router's decisions cost in processor time and memory, by size. */
+/** `npm run bench -- slopes`: CPU time and memory of a router's decisions as a function of size. */
 import { policies, policyNames } from "../policies/policies.ts";
 import type { Policy } from "../policies/Policy.ts";
 import { formatTable } from "../report/table.ts";
@@ -11,7 +11,7 @@
 import { createSchedulerHarness } from "./schedulerHarness.ts";
 import type { Size } from "./schedulerHarness.ts";
 
-/** What is counted, and what the target of the first letter makes of it for one node. */
+/** A quantity that is varied, with its value at one node of the target deployment. */
 interface Dimension {
   readonly name: string;
   readonly sizes: readonly number[];
@@ -19,43 +19,43 @@
   readonly sizeOf: (value: number) => Size;
 }
 
-/** 12,000 replicas in 12 data centres; a router knows those of its own. */
+/** 12,000 replicas in 12 data centres; a router knows those of its own data centre. */
 const enginesOfDataCentre = 1000;
 
-const usual: Size = { engines: 200, organisations: 50, prefixes: 2000 };
+const defaultSize: Size = { engines: 200, organisations: 50, prefixes: 2000 };
 
 const dimensions: readonly Dimension[] = [
   {
     name: "engine",
     sizes: [8, 100, 250, 500, 1000],
     target: enginesOfDataCentre,
-    sizeOf: (engines) => ({ ...usual, engines }),
+    sizeOf: (engines) => ({ ...defaultSize, engines }),
   },
   {
     name: "organisation",
     sizes: [8, 100, 250, 570],
     target: 570,
-    sizeOf: (organisations) => ({ ...usual, organisations }),
+    sizeOf: (organisations) => ({ ...defaultSize, organisations }),
   },
   {
     name: "tracked prefix",
     sizes: [500, 2000, 8000, 32_000],
     target: 32_000,
-    sizeOf: (prefixes) => ({ ...usual, prefixes }),
+    sizeOf: (prefixes) => ({ ...defaultSize, prefixes }),
   },
 ];
 
-/** Enough to fill every bounded table. */
+/** Enough decisions to fill every bounded table. */
 const decisionsToFill = 10_000;
 const decisionsTimed = { usual: 1000, quick: 300 } as const;
 
-const timeAndWeigh = async (policy: Policy, size: Size, timed: number) => {
+const measureTimeAndHeap = async (policy: Policy, size: Size, timed: number) => {
   const before = await heapInUse();
-  const subject = createSchedulerHarness(policy, size);
-  await subject.decide(decisionsToFill);
+  const harness = createSchedulerHarness(policy, size);
+  await harness.decide(decisionsToFill);
   const bytes = (await heapInUse()) - before;
-  const microseconds = await timeCalls(timed, subject.decide);
-  return { bytes, microseconds, admitted: subject.admitted() };
+  const microseconds = await timeCalls(timed, harness.decide);
+  return { bytes, microseconds, admitted: harness.admitted() };
 };
 
 const measureDimension = async (
@@ -65,36 +65,36 @@
 ): Promise<SlopeResult> => {
   const decision: Point[] = [];
   const heap: Point[] = [];
-  let least = 1;
+  let leastAdmitted = 1;
   for (const size of sizes) {
-    const { bytes, microseconds, admitted } = await timeAndWeigh(policy, sizeOf(size), timed);
+    const { bytes, microseconds, admitted } = await measureTimeAndHeap(policy, sizeOf(size), timed);
     decision.push({ size, value: microseconds });
     heap.push({ size, value: bytes });
-    least = Math.min(least, admitted);
+    leastAdmitted = Math.min(leastAdmitted, admitted);
   }
   const lines = { decisionLine: fitLine(decision), heapLine: fitLine(heap) };
-  return { dimension: name, target, decision, heap, ...lines, admitted: least };
+  return { dimension: name, target, decision, heap, ...lines, admitted: leastAdmitted };
 };
 
 const measureDigests = async (policy: Policy, timed: number): Promise<readonly Point[]> => {
   const points: Point[] = [];
   for (const engines of [100, enginesOfDataCentre]) {
-    const subject = createSchedulerHarness(policy, { ...usual, engines });
-    await subject.decide(decisionsToFill);
-    const value = await timeCalls(timed, subject.takeDigests);
+    const harness = createSchedulerHarness(policy, { ...defaultSize, engines });
+    await harness.decide(decisionsToFill);
+    const value = await timeCalls(timed, harness.applyDigests);
     points.push({ size: engines, value });
   }
   return points;
 };
 
 const measureHistory = async (policy: Policy): Promise<readonly Point[]> => {
-  const subject = createSchedulerHarness(policy, usual);
-  await subject.decide(decisionsToFill);
+  const harness = createSchedulerHarness(policy, defaultSize);
+  await harness.decide(decisionsToFill);
   const before = await heapInUse();
   const points: Point[] = [];
   let made = 0;
   for (const size of [10_000, 40_000, 80_000]) {
-    await subject.decide(size - made);
+    await harness.decide(size - made);
     made = size;
     points.push({ size, value: (await heapInUse()) - before });
   }
@@ -104,8 +104,8 @@
 const measure = async (policy: Policy, quick: boolean): Promise<SlopeReport> => {
   const timed = quick ? decisionsTimed.quick : decisionsTimed.usual;
   const results: SlopeResult[] = [];
-  // Compiled code and caches of the runtime must not count as the first size's memory.
-  await timeAndWeigh(policy, usual, timed);
+  // A warm-up run, so that compiled code and runtime caches do not count as memory of the first size.
+  await measureTimeAndHeap(policy, defaultSize, timed);
   for (const dimension of dimensions) results.push(await measureDimension(policy, dimension, timed));
   return {
     policy: policy.name,
@@ -125,7 +125,7 @@
   }
 };
 
-/** Decision time and memory by size. */
+/** Time and memory of decisions by size. */
 export const slopesBench: Bench = {
   name: "slopes",
   summary: "decision time and memory of a router by engines, organisations, prefixes, digests",
--- a/bench/types.ts
+++ b/bench/types.ts
@@ -1,24 +1,24 @@
-/** What every bench offers and is given. */
+/** Interface of the benches. */
 
-/** How a bench is to be run. */
+/** Options of a bench run. */
 export interface BenchOptions {
   /** Print the results as JSON instead of tables. */
   readonly json: boolean;
   /** Write pages and plots under `docs/` as well. */
   readonly write: boolean;
-  /** A short run, for a look rather than for a figure that is kept. */
+  /** A short run for a first impression, too short for published figures. */
   readonly quick: boolean;
   /** Random seeds, one run each. */
   readonly seeds: readonly number[];
-  /** Only these of what the bench compares, by name; all if there are none. */
+  /** Names of the variants to compare; all if empty. */
   readonly only: readonly string[];
 }
 
-/** One named bench. */
+/** A named bench. */
 export interface Bench {
   readonly name: string;
-  /** One line for the list of benches. */
+  /** One-line description in the list of benches. */
   readonly summary: string;
-  /** Measures and prints to standard output. */
+  /** Runs the bench and prints its results to standard output. */
   readonly run: (options: BenchOptions) => Promise<void>;
 }
