--- a/bench/admission/measures.ts
+++ b/bench/admission/measures.ts
@@ -55,7 +55,10 @@
  * Milliseconds for which a refused request could no longer meet its deadline when it was refused, based on the most
  * tokens that an engine had cached when it arrived.
  */
-const infeasibleTime = (mix: Mix, { arrival, heldTokens, endedAfter }: RequestRecord): number => {
+const infeasibleTime = (
+  mix: Mix,
+  { arrival, cachedAnywhereTokens: heldTokens, endedAfter }: RequestRecord,
+): number => {
   const { prefillOverhead, prefillTokensPerSecond } = mix.engine;
   const prefill = prefillOverhead + ((arrival.promptTokens - heldTokens) * 1000) / prefillTokensPerSecond;
   const infeasibleAfter = Math.max(0, deadlineOf(mix, arrival.className) - prefill);
--- a/bench/admission/scenarios.ts
+++ b/bench/admission/scenarios.ts
@@ -25,7 +25,7 @@
 
 const dataCentreCutOff: TimedFault = {
   at: warmUp,
-  strike: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
+  apply: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
 };
 
 /** In the order in which they are run and printed. */
--- a/bench/placement/page.ts
+++ b/bench/placement/page.ts
@@ -21,7 +21,7 @@
 const plots = "docs/measurements";
 
 const firstTokenChart = ({ mix, policies }: MixRuns): BarChart => ({
-  title: `${mix.name}, steady: time to first token of ${mix.watchedClass} (refused ones count as unbounded in p99 of all)`,
+  title: `${mix.name}, steady: time to first token of ${mix.primaryClass} (refused ones count as unbounded in p99 of all)`,
   unit: "ms",
   maximum: 3000,
   series: [
@@ -30,7 +30,7 @@
     { name: "p99 of all", colour: "#c0392b" },
   ],
   groups: policies.map(({ policy, runs }) => {
-    const found = runs.get(scenarios.steady.name)?.figures.classes[mix.watchedClass];
+    const found = runs.get(scenarios.steady.name)?.figures.classes[mix.primaryClass];
     return { label: policy, values: [found?.p50 ?? NaN, found?.p99 ?? NaN, found?.p99OfAll ?? NaN] };
   }),
 });
--- a/bench/placement/placement.ts
+++ b/bench/placement/placement.ts
@@ -42,7 +42,7 @@
     mix.configuration.classes.some(({ name, kind }) => name === className && kind === "interactive");
   return checkExpectations({
     mix: mix.name,
-    watchedClass: mix.watchedClass,
+    watchedClass: mix.primaryClass,
     interactiveClasses: mix.classes.map(({ className }) => className).filter(isInteractive),
     ours: steady,
     leastLoaded,
--- a/bench/policies/omniscient.ts
+++ b/bench/policies/omniscient.ts
@@ -39,7 +39,7 @@
     const engine = this.dependencies.fleet.get(id);
     if (
       engine?.isUp() !== true ||
-      !this.dependencies.fleet.reaches(this.dependencies.dataCentre, engine.dataCentre)
+      !this.dependencies.fleet.canReach(this.dependencies.dataCentre, engine.dataCentre)
     ) {
       return Infinity;
     }
@@ -50,7 +50,7 @@
     const prefill = uncached * tokenTime;
     const loss = this.lastCopyTokensLost(engine, uncached) * tokenTime;
     const latency = engine.dataCentre === this.dependencies.dataCentre ? latencies.within : latencies.between;
-    const firstToken = queue.seatWait + queue.pendingTokens * tokenTime + prefill + 2 * latency;
+    const firstToken = queue.slotWait + queue.pendingTokens * tokenTime + prefill + 2 * latency;
     return firstToken + loss + recomputationWeight(index, work) * (prefill + loss);
   }
 
@@ -59,7 +59,7 @@
     const others = this.dependencies.fleet.engines.filter((other) => other !== engine);
     return engine
       .wouldEvict(tokens)
-      .filter(({ key }) => this.shared.has(key) && !others.some((other) => other.holds(key)))
+      .filter(({ key }) => this.shared.has(key) && !others.some((other) => other.isCached(key)))
       .reduce((sum, unit) => sum + unit.tokens, 0);
   }
 }
--- a/bench/retries/SimulatedEngine.ts
+++ b/bench/retries/SimulatedEngine.ts
@@ -88,7 +88,7 @@
     try {
       const isStraggler = this.random.uniform() < simulationParameters.stragglers;
       await this.occupySlot(
-        this.random.within(simulationParameters.prefill) +
+        this.random.integerIn(simulationParameters.prefill) +
           (isStraggler ? simulationParameters.stragglerTime : 0),
         signal,
       );
--- a/bench/router/router.ts
+++ b/bench/router/router.ts
@@ -9,8 +9,8 @@
 import { join, resolve } from "node:path";
 import { pathToFileURL } from "node:url";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { RouterPlace, SoakSystem } from "../../soak/platform/system.ts";
-import { startSoakSystem } from "../../soak/platform/system.ts";
+import type { RouterSlot, SoakSystem } from "../../soak/platform/soakSystem.ts";
+import { startSoakSystem } from "../../soak/platform/soakSystem.ts";
 import { createRandom } from "../model/random.ts";
 import { formatTable } from "../report/table.ts";
 import type { Row } from "../report/table.ts";
@@ -49,7 +49,7 @@
 };
 
 /** @returns CPU time of a router's process so far, milliseconds. */
-const readProcessorTime = async ({ process: started }: RouterPlace): Promise<number> => {
+const readProcessorTime = async ({ process: started }: RouterSlot): Promise<number> => {
   const text = await readFile(`/proc/${started?.processId ?? 0}/stat`, "utf8");
   const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[statFields.user]) + Number(fields[statFields.system]);
@@ -66,7 +66,7 @@
   let version = 1;
   const publishNext = (): void => {
     version += 1;
-    system.nameWeights(version);
+    system.publishWeightsVersion(version);
   };
   publishNext();
   const timer = setInterval(publishNext, weightsInterval * 1_000);
--- a/bench/storeEpochs/storeEpochs.ts
+++ b/bench/storeEpochs/storeEpochs.ts
@@ -3,14 +3,14 @@
  * until the routers have registered again. Real routers run in one process.
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  configuration,
+  createConfiguration,
   isReady,
   registeredRouters,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { Bench } from "../types.ts";
 
 /** Numbers of routers in this process. With more, the process itself would become the bottleneck. */
@@ -29,16 +29,16 @@
     bounds: { keyRevocation: 5_000, drain: 2_000, lease: 3_000 },
   });
   while (system.routers.length < routers) await system.startRouter();
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   await sleep(countingDuration);
   const emptyCopy = new Map();
   const callsAtStart = countCalls(system);
   await sleep(countingDuration);
   const before = countCalls(system) - callsAtStart;
-  await system.store.returnFrom(emptyCopy, outageDuration);
+  await system.store.restoreFrom(emptyCopy, outageDuration);
   const returnedAt = performance.now();
   const callsAtReturn = countCalls(system);
-  system.publish(configuration(2));
+  system.publish(createConfiguration(2));
   for (const replica of [...system.desks, ...system.engines]) system.register(replica, { sequence: 2 });
   let registeredAfter = Number.NaN;
   while (performance.now() - returnedAt < countingDuration) {
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -1,14 +1,21 @@
 /** `npm run demo -- --platform`: routers that pass requests on, before the platform's stand-in, and a short session. */
-import { call, hosts, keys, promptHeaders, startPlatformSystem, until } from "../standIns/platform/system.ts";
-import type { CallerAnswer, CallerCall } from "../standIns/platform/system.ts";
+import {
+  sendRequest,
+  hosts,
+  keys,
+  defaultPromptHeaders,
+  startPlatformSystem,
+  waitUntil,
+} from "../standIns/platform/platformSystem.ts";
+import type { CallerAnswer, RequestOptions } from "../standIns/platform/platformSystem.ts";
 
 interface Step {
   readonly title: string;
   readonly expected: number;
-  readonly given: CallerCall;
+  readonly given: RequestOptions;
 }
 
-const summarise = { host: hosts.model, path: "/ask/summary", headers: promptHeaders() } as const;
+const summarise = { host: hosts.model, path: "/ask/summary", headers: defaultPromptHeaders() } as const;
 
 const steps: readonly Step[] = [
   { title: "a look-up", expected: 200, given: { host: hosts.desk, path: "/read/1", method: "GET" } },
@@ -38,12 +45,12 @@
   printRow("request", "status", "answer");
   let isAsExpected = true;
   for (const [index, { title, expected, given }] of steps.entries()) {
-    const answer = await call(index % 2 === 0 ? system.router : second, given);
+    const answer = await sendRequest(index % 2 === 0 ? system.router : second, given);
     printRow(title, String(answer.status), firstLine(answer));
     isAsExpected &&= answer.status === expected;
   }
-  system.nameWeights(2);
-  await until(() => system.engines.every((engine) => engine.version() === 2));
+  system.publishWeightsVersion(2);
+  await waitUntil(() => system.engines.every((engine) => engine.version() === 2));
   const orders = system.engines.flatMap((engine) => engine.orders);
   printRow(
     "new weights named",
--- a/tests/resume.test.ts
+++ b/tests/resume.test.ts
@@ -5,14 +5,14 @@
 import { createResumeTokens } from "../src/protocol/resumeToken.ts";
 import {
   failureOf,
-  isWhole,
-  lastIdOf,
+  isComplete,
+  lastEventIdOf,
   readStream,
-  streamedQuestion as question,
+  streamedRequest as question,
   textOf,
 } from "./support/eventStream.ts";
 import type { ReadStream } from "./support/eventStream.ts";
-import { onceHeaders, startLocalSystem } from "./support/localSystem.ts";
+import { atMostOnceHeaders, startLocalSystem } from "./support/localSystem.ts";
 import type { CallOptions, LocalSystem, LocalSystemOptions } from "./support/localSystem.ts";
 
 const path = "/v1/chat/completions";
@@ -72,8 +72,8 @@
     for (let lostAfter = 1; lostAfter < undisturbed.events.length; lostAfter += 1) {
       const before = executionsOf(system).length;
       const lost = await begin(system, lostAfter);
-      const rest = await readStream(await resume(system, lastIdOf(lost)));
-      expect(isWhole(rest)).toEqual(true);
+      const rest = await readStream(await resume(system, lastEventIdOf(lost)));
+      expect(isComplete(rest)).toEqual(true);
       expectWhole(undisturbed, lost, rest);
       expect(executionsOf(system).length).toEqual(before + 1);
     }
@@ -84,9 +84,9 @@
     await using system = await startWith({ engineSettings: slow });
     const first = await system.call(path, { body: question });
     const lost = await readStream(first, 2);
-    const second = await resume(system, lastIdOf(lost));
+    const second = await resume(system, lastEventIdOf(lost));
     const lostAgain = await readStream(second, 3);
-    const third = await resume(system, lastIdOf(lostAgain), { router: 0 });
+    const third = await resume(system, lastEventIdOf(lostAgain), { router: 0 });
     expectWhole(undisturbed, lost, lostAgain, await readStream(third));
     expect(third.headers.get(headers.requestId)).toEqual(first.headers.get(headers.requestId));
   });
@@ -95,7 +95,7 @@
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
     const lost = await begin(system, 2);
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     const [engine] = system.engines.filter((item) => item.executions().length > 0);
     engine?.crash();
     expectWhole(undisturbed, lost, await readStream(answer));
@@ -105,14 +105,14 @@
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
     const lost = await begin(system, 2);
-    expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
+    expectWhole(undisturbed, lost, await readStream(await resume(system, lastEventIdOf(lost))));
   });
 
   it("is not stopped by the router that the caller comes back to", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
     const lost = await begin(system, 2);
-    const answer = await resume(system, lastIdOf(lost), { router: 0 });
+    const answer = await resume(system, lastEventIdOf(lost), { router: 0 });
     expectWhole(undisturbed, lost, await readStream(answer));
     expect(executionsOf(system).map(({ state }) => state)).toEqual(["finished"]);
   });
@@ -130,23 +130,23 @@
     await using system = await startWith();
     const lost = await loseWithEngine(system);
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
-    const answer = await resume(system, lastIdOf(lost), { body });
+    const answer = await resume(system, lastEventIdOf(lost), { body });
     expectWhole(undisturbed, lost, await readStream(answer));
   });
 
   it("asks for the text where the caller sends none, and runs nothing", async () => {
     await using system = await startWith();
     const lost = await loseWithEngine(system);
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     expect(await errorOf(answer)).toEqual([409, "delivered_text_needed", "failed"]);
     expect(executionsOf(system).length).toEqual(1);
   });
 
   it("is of unknown outcome where it may run only once, also if the caller forgets to say so", async () => {
     await using system = await startWith();
-    const lost = await loseWithEngine(system, { headers: onceHeaders(`${Date.now()}-lost`) });
+    const lost = await loseWithEngine(system, { headers: atMostOnceHeaders(`${Date.now()}-lost`) });
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
-    const answer = await resume(system, lastIdOf(lost), { body });
+    const answer = await resume(system, lastEventIdOf(lost), { body });
     expect(await errorOf(answer)).toEqual([502, "outcome_unknown", "outcome_unknown"]);
     expect(executionsOf(system).length).toEqual(1);
   });
@@ -169,7 +169,7 @@
     await using system = await startWith({ engineSettings: slow });
     const lost = await loseContinued(system);
     const before = executionsOf(system).length;
-    expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
+    expectWhole(undisturbed, lost, await readStream(await resume(system, lastEventIdOf(lost))));
     expect(executionsOf(system).length).toEqual(before);
   });
 
@@ -179,15 +179,15 @@
     const lost = await loseContinued(system);
     // Where the test is held up, the stream must not have come to its end before the crash.
     for (const engine of system.engines) engine.faults.stallAfterTokens = tokensBeforeCrash;
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     for (const engine of system.engines) engine.crash();
     for (const engine of system.engines) engine.faults.stallAfterTokens = null;
     const cut = await readStream(answer);
-    expect(isWhole(cut)).toEqual(false);
+    expect(isComplete(cut)).toEqual(false);
     expect(failureOf(cut)?.code).toEqual("delivered_text_needed");
     const events = cut.events.filter(({ event }) => event !== "error");
     const more = { ...cut, events };
-    const id = events.length === 0 ? lastIdOf(lost) : lastIdOf(more);
+    const id = events.length === 0 ? lastEventIdOf(lost) : lastEventIdOf(more);
     const body = { ...question, pomelocleat_delivered: textOf(lost, more) };
     expectWhole(undisturbed, lost, more, await readStream(await resume(system, id, { body })));
   });
@@ -199,7 +199,7 @@
   it("is refused if forged, foreign, for another body, or stale; nothing is run", async () => {
     await using system = await startWith();
     const lost = await begin(system, 4);
-    const id = lastIdOf(lost);
+    const id = lastEventIdOf(lost);
     const fields = id.split(",");
     const changed = (index: number, value: string): string => fields.with(index, value).join(",");
     const point = createResumeTokens(sharedSecret).read(id, "petra-wings", 0);
