--- a/demo/processes.ts
+++ b/demo/processes.ts
@@ -47,7 +47,7 @@
 }
 
 /** How a run of the client ended. */
-export interface ClientRun {
+export interface ClientResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
@@ -64,9 +64,9 @@
   /** Starts one more router, or one in place of one that has ended. */
   readonly startRouter: (name: string, dataCentre: string) => Promise<SystemProcess>;
   /** Runs the operators' client. */
-  readonly runClient: (args: readonly string[]) => Promise<ClientRun>;
+  readonly runClient: (args: readonly string[]) => Promise<ClientResult>;
   /** Tells the VM list which VMs there are now. */
-  readonly announce: () => Promise<void>;
+  readonly publishVmList: () => Promise<void>;
 }
 
 /** A part of the system did not start as it should. */
@@ -77,7 +77,7 @@
 /** The API key of an organisation in the example configurations. */
 export const demoKey = (organisation: string): string => `demo-key-${organisation}`;
 
-const runClient = (args: readonly string[]): Promise<ClientRun> =>
+const runClient = (args: readonly string[]): Promise<ClientResult> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, [fileURLToPath(commandModule), ...args], {
       stdio: ["ignore", "pipe", "pipe"],
@@ -208,7 +208,7 @@
   const alive = (): readonly SystemProcess[] => processes.filter((item) => !ended.has(item.process));
   const routers = (): readonly SystemProcess[] => alive().filter((item) => item.kind === "router");
 
-  const announce = async (): Promise<void> => {
+  const publishVmList = async (): Promise<void> => {
     const body = JSON.stringify({ vms: alive().flatMap(listVm) });
     const answer = await fetch(`${vmList.url}/stand-in/vms`, { method: "POST", body });
     if (!answer.ok) throw systemStartError(`The VM list answered ${answer.status}: ${await answer.text()}`);
@@ -234,11 +234,11 @@
     await writeFile(file, JSON.stringify(settings));
     const started = await startProcess(routerModule, ["--settings", file]);
     const item = add({ kind: "router", name, dataCentre, process: started });
-    await announce();
+    await publishVmList();
     return item;
   };
 
-  await announce();
+  await publishVmList();
   await Promise.all(options.routers.map((dataCentre, index) => startRouter(`router-${index}`, dataCentre)));
   const published = await runClient([
     ...["configuration", "publish", options.configurationFile, "--by", "demo"],
@@ -257,7 +257,7 @@
     vmList,
     startRouter,
     runClient,
-    announce,
+    publishVmList,
     [Symbol.asyncDispose]: async () => {
       // Also routers that were started later.
       await Promise.all(routers().map(({ process }) => process[Symbol.asyncDispose]()));
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -1,6 +1,6 @@
 /** What must hold whatever went wrong, on the records of callers and stand-ins. */
 import { outcomes } from "../src/protocol/constants.ts";
-import type { Execution } from "../tests/processes/records.ts";
+import type { Execution } from "../tests/processes/standInControl.ts";
 import type { SoakRecord, Violation } from "./types.ts";
 
 const isStream = ({ asked }: SoakRecord): boolean => !asked.path.startsWith("/services/");
--- a/soak/disturbances.ts
+++ b/soak/disturbances.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { System, SystemProcess } from "../demo/processes.ts";
 import type { Random } from "../bench/model/random.ts";
-import { setFaults } from "../tests/processes/records.ts";
+import { setFaults } from "../tests/processes/standInControl.ts";
 import type { Violation } from "./types.ts";
 
 const shortest = 200;
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -7,7 +7,7 @@
 import { createRandom } from "../bench/model/random.ts";
 import { startSystem } from "../demo/processes.ts";
 import { createCaller } from "../tests/processes/caller.ts";
-import { listExecutions, waitForEngines } from "../tests/processes/records.ts";
+import { listExecutions, waitForEngines } from "../tests/processes/standInControl.ts";
 import { findViolations } from "./checks.ts";
 import { createDisturber } from "./disturbances.ts";
 import { soakQuestions, startLoad } from "./load.ts";
@@ -44,7 +44,7 @@
   const urls = (): readonly string[] => system.routers().map(({ process }) => process.url);
   await using caller = createCaller(urls);
   const undisturbed: string[] = [];
-  for (const question of soakQuestions) undisturbed.push((await caller.ask(question)).text);
+  for (const question of soakQuestions) undisturbed.push((await caller.sendWithRetries(question)).text);
 
   const random = createRandom(seed, "soak");
   let turn = 0;
--- a/tests/processes/caller.ts
+++ b/tests/processes/caller.ts
@@ -36,7 +36,7 @@
   /** One request to one router. */
   readonly send: (router: string, asked: CallerRequest) => Promise<CallerResult>;
   /** Goes on to another router as long as the answer is a true "not run"; gives the last answer. */
-  readonly ask: (asked: CallerRequest) => Promise<CallerResult>;
+  readonly sendWithRetries: (asked: CallerRequest) => Promise<CallerResult>;
 }
 
 /** A key as callers make it. */
@@ -157,5 +157,5 @@
     }
   };
 
-  return { send, ask, [Symbol.asyncDispose]: () => agent.destroy() };
+  return { send, sendWithRetries: ask, [Symbol.asyncDispose]: () => agent.destroy() };
 };
--- a/tests/processes/leaving.test.ts
+++ b/tests/processes/leaving.test.ts
@@ -6,7 +6,7 @@
 import type { System } from "../../demo/processes.ts";
 import type { CallerResult } from "./caller.ts";
 import { createCaller, newKey, signOff, streamedQuestion } from "./caller.ts";
-import { listExecutions, setFaults, waitForEngines } from "./records.ts";
+import { listExecutions, setFaults, waitForEngines } from "./standInControl.ts";
 
 const pollInterval = 5;
 /** The platform's list is late by this much. */
@@ -68,12 +68,14 @@
         }
       };
       // The same twice: the text is deterministic, and they may run at different engines.
-      const long = Promise.all([caller.ask(longAnswer), caller.ask(longAnswer)]);
+      const long = Promise.all([caller.sendWithRetries(longAnswer), caller.sendWithRetries(longAnswer)]);
       const engine = await findBusyEngine(system);
       const service = "records-desk-0";
       const loads = [
-        ...[0, 1, 2].map((index) => load(() => caller.ask(streamedQuestion(`Is ${index} current?`, 4)))),
-        ...[0, 1].map(() => load(() => caller.ask(signOff(newKey())))),
+        ...[0, 1, 2].map((index) =>
+          load(() => caller.sendWithRetries(streamedQuestion(`Is ${index} current?`, 4))),
+        ),
+        ...[0, 1].map(() => load(() => caller.sendWithRetries(signOff(newKey())))),
       ];
       try {
         await announce(system, engine);
--- a/tests/processes/routerKilled.test.ts
+++ b/tests/processes/routerKilled.test.ts
@@ -7,7 +7,7 @@
 import { logStreams } from "../../src/protocol/constants.ts";
 import type { Caller, CallerResult } from "./caller.ts";
 import { createCaller, newKey, signOff } from "./caller.ts";
-import { executionsByKey, setFaults } from "./records.ts";
+import { countExecutionsByKey, setFaults } from "./standInControl.ts";
 
 const pollInterval = 5;
 /** Long enough for a router to be killed while the call runs. */
@@ -48,7 +48,7 @@
     await process.ended;
   };
 
-  const runs = async (key: string): Promise<number> => (await executionsByKey(system)).get(key) ?? 0;
+  const runs = async (key: string): Promise<number> => (await countExecutionsByKey(system)).get(key) ?? 0;
 
   /** Claims alone: routers append renewals of their leases at any time. */
   const countClaims = async (): Promise<number> => {
@@ -69,7 +69,7 @@
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
     await setFaults(system.logService.url, { outage: false });
-    expect(told(await caller.ask(signOff(key)))).toEqual("200 answered");
+    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("200 answered");
     expect(await runs(key)).toEqual(1);
   });
 
@@ -83,7 +83,7 @@
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
     await setFaults(system.logService.url, { loseAppendAnswers: 0 });
-    expect(told(await caller.ask(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
+    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
     expect(await runs(key)).toEqual(0);
   });
 
@@ -94,7 +94,7 @@
     while ((await runs(key)) === 0) await sleep(pollInterval);
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
-    expect(told(await caller.ask(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
+    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
     expect(await runs(key)).toEqual(1);
   });
 
@@ -105,7 +105,7 @@
     expect(told(first)).toEqual("200 answered");
     await sleep(recordedAfter);
     await kill(victim);
-    const again = await caller.ask(signOff(key));
+    const again = await caller.sendWithRetries(signOff(key));
     expect([told(again), again.text]).toEqual(["200 answered", first.text]);
     expect(await runs(key)).toEqual(1);
   });
@@ -119,7 +119,7 @@
     while ((await countClaims()) === claims) await sleep(pollInterval);
     victim.process.kill("SIGSTOP");
     await setFaults(system.logService.url, { loseAppendAnswers: 0 });
-    const second = await caller.ask(signOff(key));
+    const second = await caller.sendWithRetries(signOff(key));
     victim.process.kill("SIGCONT");
     const woken = await first;
     // Whoever holds the claim may run it; the other one must not. The victim may also have woken too late.
--- a/tests/processes/shutdown.test.ts
+++ b/tests/processes/shutdown.test.ts
@@ -7,7 +7,7 @@
 import { headers } from "../../src/protocol/constants.ts";
 import type { CallerResult } from "./caller.ts";
 import { createCaller, newKey, signOff, streamedQuestion } from "./caller.ts";
-import { executionsByKey } from "./records.ts";
+import { countExecutionsByKey } from "./standInControl.ts";
 
 const pollInterval = 10;
 /** Short, so that the test needn't wait for idle connections for long; callers are told of it. */
@@ -39,7 +39,7 @@
     const finished = await running;
     expect([finished.outcome, finished.text]).toEqual(["answered", undisturbed.text]);
     expect(await router?.process.ended).toEqual({ code: 0, signal: null });
-    expect(await executionsByKey(system)).toEqual(new Map());
+    expect(await countExecutionsByKey(system)).toEqual(new Map());
   });
 });
 
@@ -48,7 +48,7 @@
     await using system = await start(3);
     await using caller = createCaller(() => urlsOf(system));
     const question = streamedQuestion("Summarise the course.", 60);
-    const undisturbed = await caller.ask(question);
+    const undisturbed = await caller.sendWithRetries(question);
     const failures: CallerResult[] = [];
     const keys: string[] = [];
     let isLoading = true;
@@ -56,7 +56,7 @@
 
     const loadStreams = async (): Promise<void> => {
       while (isLoading) {
-        const result = await caller.ask(question);
+        const result = await caller.sendWithRetries(question);
         streams += 1;
         if (result.outcome !== "answered" || result.text !== undisturbed.text) failures.push(result);
       }
@@ -64,7 +64,7 @@
     const loadSignOffs = async (): Promise<void> => {
       while (isLoading) {
         const key = newKey();
-        const result = await caller.ask(signOff(key));
+        const result = await caller.sendWithRetries(signOff(key));
         keys.push(key);
         if (result.outcome !== "answered") failures.push(result);
         await sleep(pollInterval);
@@ -88,7 +88,7 @@
     );
     expect(failures).toEqual([]);
     expect(streams > 20 && keys.length > 20).toEqual(true);
-    const executions = await executionsByKey(system);
+    const executions = await countExecutionsByKey(system);
     expect(keys.filter((key) => executions.get(key) !== 1)).toEqual([]);
   });
 });
--- a/tests/processes/records.ts
+++ b/tests/processes/standInControl.ts
@@ -27,7 +27,7 @@
 };
 
 /** How often each idempotency key was executed, over all upstreams. */
-export const executionsByKey = async (system: System): Promise<ReadonlyMap<string, number>> => {
+export const countExecutionsByKey = async (system: System): Promise<ReadonlyMap<string, number>> => {
   const counts = new Map<string, number>();
   for (const { idempotencyKey } of await listExecutions(system)) {
     if (idempotencyKey !== undefined) counts.set(idempotencyKey, (counts.get(idempotencyKey) ?? 0) + 1);
