--- a/tests/model/explore.ts
+++ b/tests/model/explore.ts
@@ -1,20 +1,20 @@
-/** Checks a model by visiting every state that it can reach. */
+/** An explicit-state model checker: visits every reachable state of a model. */
 
-/** A model whose states are plain data. */
+/** A state machine to check; its states are plain data. */
 export interface Model<State> {
   readonly initial: State;
-  /** @returns Every state that one step can lead to, with the name of the step. */
+  /** @returns The successors of a state, each with the name of the step that leads to it. */
   readonly steps: (state: State) => readonly (readonly [string, State])[];
-  /** @returns What is wrong with a state; nothing if it may be. */
+  /** @returns The invariant that a state violates; `undefined` for a valid state. */
   readonly violation: (state: State) => string | undefined;
-  /** @returns The same for states that behave alike; without it for equal states. */
+  /** @returns The same key for states with equivalent behaviour. Default: the state as JSON. */
   readonly key?: (state: State) => string;
 }
 
-/** What was found. */
-export interface Exploration {
+/** The result of an exploration. */
+export interface ExplorationResult {
   readonly states: number;
-  /** The steps that lead to the first violation, and the violation. */
+  /** The steps that lead to the first violation, then the violation; `undefined` if there is none. */
   readonly counterexample: readonly string[] | undefined;
 }
 
@@ -27,8 +27,8 @@
 const pathTo = <State>(visit: Visit<State>): readonly string[] =>
   visit.before === undefined ? [] : [...pathTo(visit.before), visit.step];
 
-/** Visits states breadth first, so that a counterexample is as short as any. */
-export const explore = <State>(model: Model<State>): Exploration => {
+/** Explores a model breadth first, so that the counterexample is a shortest one. */
+export const explore = <State>(model: Model<State>): ExplorationResult => {
   const { initial, steps, violation, key: keyOf = JSON.stringify } = model;
   const seen = new Set([keyOf(initial)]);
   let frontier: Visit<State>[] = [{ state: initial, step: "", before: undefined }];
--- a/tests/model/leaseModel.ts
+++ b/tests/model/leaseModel.ts
@@ -1,30 +1,32 @@
 /**
- * Two routers that contend for the lease of orders while the store returns from copies: appends may arrive late or in
- * another epoch, and answers may be lost.
+ * A model of two routers that contend for the lease of orders while the store is restored from copies: appends may arrive
+ * late or in another epoch, and answers may be lost.
  */
 import type { Model } from "./explore.ts";
 
-/** How fences are made, and whether a new epoch is waited for. */
+/** The variant of the protocol to check. */
 export interface LeaseRules {
-  /** `epochs`: from epoch and offset; `offsets`: from the offset; `largest`: one more than any in the log. */
+  /** How a fence is computed. `epochs`: epoch and offset; `offsets`: offset only; `largest`: largest in the log plus 1. */
   readonly fences: "epochs" | "offsets" | "largest";
-  readonly waitsForEpoch: boolean;
+  /** Whether a router waits for the duration of a lease before it contends in a new epoch. */
+  readonly waitsForPreviousEpoch: boolean;
 }
 
 interface Grant {
   readonly epoch: number;
   readonly holder: number;
-  /** The writer had read all records before this offset. */
+  /** The writer had read all records before this offset when it sent the grant. */
   readonly readTo: number;
   readonly sentAt: number;
   readonly fence: number;
 }
 
 interface Append extends Grant {
-  /** Set once the store has taken it. */
-  readonly taken: { readonly epoch: number; readonly offset: number } | undefined;
+  /** The position in the log; `undefined` until the store has accepted the append. */
+  readonly accepted: { readonly epoch: number; readonly offset: number } | undefined;
 }
 
+/** The time for which a router holds the lease. */
 interface Tenure {
   readonly epoch: number;
   readonly fence: number;
@@ -35,7 +37,7 @@
   /** 0 before the first read. */
   readonly epoch: number;
   readonly epochSince: number;
-  /** The last valid grant that it has read, by offset, and since when it knows of it. */
+  /** The offset of the last valid grant that the router has read, and the time when it first read it. */
   readonly head: number;
   readonly headSince: number;
   readonly append: Append | undefined;
@@ -47,7 +49,7 @@
   readonly epoch: number;
   readonly log: readonly Grant[];
   readonly routers: readonly Router[];
-  /** The largest fence of an order that the engine has taken. */
+  /** The largest fence of any order that the engine has accepted. */
   readonly engineFence: number;
   readonly problem: string | undefined;
 }
@@ -55,8 +57,8 @@
 type Step = readonly [string, State];
 
 const duration = 2;
-const mostEpochs = 2;
-const mostGrants = 2;
+const maxEpochs = 2;
+const maxGrants = 2;
 const offsetsPerEpoch = 100;
 
 const unread: Router = {
@@ -81,7 +83,7 @@
   return Math.max(0, ...log.map(({ fence }) => fence)) + 1;
 };
 
-/** What a router knows once it has read the log to its end. */
+/** @returns The router after it has read the log to its end. */
 const readAll = ({ now, epoch, log }: State, router: Router, index: number): Router => {
   const isNew = router.epoch !== epoch;
   const head = lastValid(log, epoch);
@@ -102,7 +104,9 @@
   if (router.tenure !== undefined && router.tenure.until > now) return false;
   if (router.head >= 0) return now >= router.headSince + duration;
   return (
-    !rules.waitsForEpoch || now >= router.epochSince + duration || (router.epoch === 1 && log.length === 0)
+    !rules.waitsForPreviousEpoch ||
+    now >= router.epochSince + duration ||
+    (router.epoch === 1 && log.length === 0)
   );
 };
 
@@ -110,7 +114,7 @@
   const { now, epoch, log } = state;
   const steps: Step[] = [];
   steps.push(["time passes", { ...state, now: now + 1 }]);
-  if (epoch < mostEpochs) {
+  if (epoch < maxEpochs) {
     steps.push(["return empty", { ...state, epoch: epoch + 1, log: [] }]);
     if (log.length > 1)
       steps.push(["return with one record", { ...state, epoch: epoch + 1, log: log.slice(0, 1) }]);
@@ -126,21 +130,22 @@
     log,
     routers: state.routers.map((each, at) => (at === index ? changed : each)),
   });
-  const { taken, ...grant } = append;
-  if (taken === undefined) {
-    const isTaken = { epoch: state.epoch, offset: state.log.length };
+  const { accepted, ...grant } = append;
+  if (accepted === undefined) {
+    const acceptedAt = { epoch: state.epoch, offset: state.log.length };
     return [
       [`the append of router ${index} is lost`, put({ ...router, append: undefined })],
       [
         `the store takes the append of router ${index}`,
-        put({ ...router, append: { ...append, taken: isTaken } }, [...state.log, grant]),
+        put({ ...router, append: { ...append, accepted: acceptedAt } }, [...state.log, grant]),
       ],
     ];
   }
   const answered = { ...router, append: undefined };
-  const isNext = taken.epoch === grant.epoch && taken.epoch === router.epoch && taken.offset === grant.readTo;
+  const isNext =
+    accepted.epoch === grant.epoch && accepted.epoch === router.epoch && accepted.offset === grant.readTo;
   const tenure = { epoch: grant.epoch, fence: grant.fence, until: grant.sentAt + duration };
-  const granted = isNext ? { ...answered, head: taken.offset, headSince: state.now, tenure } : answered;
+  const granted = isNext ? { ...answered, head: accepted.offset, headSince: state.now, tenure } : answered;
   return [
     [`router ${index} gets no answer`, put(answered)],
     [`router ${index} gets the answer`, put(granted)],
@@ -169,7 +174,7 @@
   }
   const read = readAll(state, router, index);
   steps.push([`router ${index} reads`, put(read)]);
-  if (router.append === undefined && state.log.length < mostGrants && mayContend(state, read, rules)) {
+  if (router.append === undefined && state.log.length < maxGrants && mayContend(state, read, rules)) {
     const grant: Grant = {
       epoch: read.epoch,
       holder: index,
@@ -177,19 +182,19 @@
       sentAt: state.now,
       fence: fenceOf(rules, state),
     };
-    steps.push([`router ${index} contends`, put({ ...read, append: { ...grant, taken: undefined } })]);
+    steps.push([`router ${index} contends`, put({ ...read, append: { ...grant, accepted: undefined } })]);
   }
   return steps;
 };
 
-const twoHolders = ({ now, routers }: State): string | undefined => {
+const findTwoHolders = ({ now, routers }: State): string | undefined => {
   const holders = routers.filter(
     ({ tenure, epoch }) => tenure !== undefined && tenure.until > now && tenure.epoch === epoch,
   );
   return holders.length > 1 ? "two routers hold the lease" : undefined;
 };
 
-/** Times count only as ages, and ages only up to the duration of a tenure. */
+/** Replaces times by ages, capped at the duration of a lease, so that the state space is finite. */
 const keyOf = ({ now, epoch, engineFence, problem, log, routers }: State): string => {
   const ageOf = (since: number): number => Math.min(duration, now - since);
   const grantKey = (grant: Grant): string =>
@@ -197,7 +202,7 @@
   const appendKey = (append: Append | undefined): string =>
     append === undefined
       ? ""
-      : `${grantKey(append)},${append.taken?.epoch ?? ""},${append.taken?.offset ?? ""}`;
+      : `${grantKey(append)},${append.accepted?.epoch ?? ""},${append.accepted?.offset ?? ""}`;
   const tenureKey = (tenure: Tenure | undefined): string =>
     tenure === undefined || tenure.until <= now
       ? ""
@@ -214,7 +219,7 @@
   return [epoch, engineFence, problem, ...log.map(grantKey), "", ...routers.map(routerKey)].join("|");
 };
 
-/** Creates the model. */
+/** Creates the model of the lease. */
 export const createLeaseModel = (rules: LeaseRules): Model<State> => ({
   initial: {
     now: 0,
@@ -228,6 +233,6 @@
     ...storeSteps(state),
     ...state.routers.flatMap((_, index) => routerSteps(state, index, rules)),
   ],
-  violation: (state) => state.problem ?? twoHolders(state),
+  violation: (state) => state.problem ?? findTwoHolders(state),
   key: keyOf,
 });
--- a/tests/model/readerModel.ts
+++ b/tests/model/readerModel.ts
@@ -1,24 +1,24 @@
 /**
- * Two routers that read an operator's log while the store returns from copies. Answers may be late or lost, in any
- * order. A router proves its version by a read that reached the end.
+ * A model of two routers that read an operator's log while the store is restored from copies. Answers may be late, lost
+ * or out of order. A router proves its version by a read that reaches the end of the log.
  */
 import type { Model } from "./explore.ts";
 
-/** How positions are kept over epochs. */
+/** Whether a read position consists of epoch and offset (`epochs`), or of the offset alone (`offsets`). */
 export type PositionRule = "epochs" | "offsets";
 
 interface Read {
-  /** The epoch and offset that it was sent from; the epoch is 0 before the first read. */
+  /** The router's position when it sent the read; the epoch is 0 before the first read. */
   readonly epoch: number;
   readonly from: number;
-  /** Newest version that the store had acknowledged in its epoch when the read was sent. */
+  /** The newest version that the store had acknowledged in its epoch when the read was sent. */
   readonly acknowledged: number;
   readonly answer: { readonly epoch: number; readonly end: number; readonly newest: number } | undefined;
 }
 
 interface Router {
   readonly epoch: number;
-  /** Nothing until all is read anew. */
+  /** `undefined` while the router has to read the whole log again. */
   readonly offset: number | undefined;
   readonly version: number;
   readonly read: Read | undefined;
@@ -26,7 +26,7 @@
 
 interface State {
   readonly epoch: number;
-  /** Versions by offset. */
+  /** The version at each offset. */
   readonly log: readonly number[];
   readonly copies: readonly (readonly number[])[];
   readonly published: number;
@@ -36,16 +36,16 @@
   readonly problem: string | undefined;
 }
 
-const mostVersions = 2;
-const mostEpochs = 3;
+const maxVersions = 2;
+const maxEpochs = 3;
 
 const newestOf = (log: readonly number[]): number => Math.max(0, ...log);
 
 const replaceAt = <T>(items: readonly T[], index: number, item: T): readonly T[] =>
   items.map((each, at) => (at === index ? item : each));
 
-/** What a router makes of an answer. */
-const take = (
+/** @returns The router after it has processed the answer of a read, with the violation if it proves an old version. */
+const applyAnswer = (
   state: State,
   router: Router,
   { acknowledged, ...read }: Read,
@@ -64,9 +64,9 @@
   const version =
     answer.end > read.from || isWhole ? Math.max(router.version, answer.newest) : router.version;
   const offset = Math.max(rule === "offsets" ? (router.offset ?? 0) : 0, answer.end);
-  const isProofOfNow = answer.epoch === state.epoch;
+  const provesCurrentEpoch = answer.epoch === state.epoch;
   const problem =
-    isProofOfNow && version < acknowledged
+    provesCurrentEpoch && version < acknowledged
       ? `proves ${version}, although ${acknowledged} was acknowledged in epoch ${state.epoch}`
       : undefined;
   return { ...known, epoch: answer.epoch, offset, version, ...(problem === undefined ? {} : { problem }) };
@@ -75,7 +75,7 @@
 const storeSteps = (state: State): (readonly [string, State])[] => {
   const steps: (readonly [string, State])[] = [];
   const { epoch, log, copies, published } = state;
-  if (published < mostVersions) {
+  if (published < maxVersions) {
     const version = published + 1;
     steps.push([
       `publish ${version}`,
@@ -89,7 +89,7 @@
     ]);
   }
   if (copies.length < 1) steps.push(["copy", { ...state, copies: [...copies, log] }]);
-  if (epoch < mostEpochs) {
+  if (epoch < maxEpochs) {
     copies.forEach((copy, index) => {
       steps.push([
         `return from copy ${index}`,
@@ -121,7 +121,7 @@
   if (read.answer === undefined) {
     const newest = newestOf(state.log.slice(read.from));
     const answer = { epoch: state.epoch, end: state.log.length, newest };
-    // What was acknowledged in an earlier epoch may be gone: the proof is about this one.
+    // Versions acknowledged in an earlier epoch may be lost: the proof covers only the epoch of the answer.
     const acknowledged = read.epoch === state.epoch ? read.acknowledged : 0;
     return [
       lost,
@@ -131,11 +131,11 @@
       ],
     ];
   }
-  const { problem, ...taken } = take(state, router, read, rule);
-  return [lost, [`router ${index} takes the answer`, withRouter(taken, problem)]];
+  const { problem, ...updated } = applyAnswer(state, router, read, rule);
+  return [lost, [`router ${index} takes the answer`, withRouter(updated, problem)]];
 };
 
-/** Creates the model. */
+/** Creates the model of the readers. */
 export const createReaderModel = (rule: PositionRule): Model<State> => ({
   initial: {
     epoch: 1,
--- a/tests/processes/caller.ts
+++ b/tests/processes/caller.ts
@@ -1,48 +1,47 @@
-/** A caller that goes from router to router, as one behind the platform's balancer does. */
+/** A test client that spreads its requests over the routers in turn, as the platform's load balancer does. */
 import { randomUUID } from "node:crypto";
 import { createParser } from "eventsource-parser";
 import { Agent, request } from "undici";
 import { demoKey } from "../../demo/processes.ts";
 import { headers, outcomes } from "../../src/protocol/constants.ts";
 
-const maximumTries = 12;
-const longestAnswer = 20_000;
+const maxAttempts = 12;
+const requestTimeout = 20_000;
 
-/** What to ask. */
+/** A request to send. */
 export interface CallerRequest {
   readonly path: string;
   readonly organisation?: string;
   readonly body: object;
   readonly requestClass?: string;
-  /** Marks the request non-idempotent. */
+  /** The idempotency key; its presence marks the request as non-idempotent. */
   readonly key?: string;
 }
 
-/** The end of a request, or of one try. */
+/** The result of a request, or of a single attempt. */
 export interface CallerResult {
   readonly router: string;
-  /** `answered`, an outcome of the router's, or `cut` where the connection failed under way. */
+  /** `answered`, the outcome that the router stated, or `cut` if the connection broke while the request ran. */
   readonly outcome: string;
-  /** The stable code of a failure. */
+  /** The error code of a failure; empty if there was none. */
   readonly code: string;
   readonly status: number;
-  /** The text of a stream, or the body. */
+  /** The concatenated content of a stream, or the response body. */
   readonly text: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** Sends requests. */
 export interface Caller extends AsyncDisposable {
-  /** One request to one router. */
-  readonly send: (router: string, asked: CallerRequest) => Promise<CallerResult>;
-  /** Goes on to another router as long as the answer is a true "not run"; gives the last answer. */
-  readonly sendWithRetries: (asked: CallerRequest) => Promise<CallerResult>;
+  /** Sends the request once, to the given router. */
+  readonly send: (router: string, callerRequest: CallerRequest) => Promise<CallerResult>;
+  /** Retries at the next router while the outcome is `not_run`, up to a limit, and returns the last result. */
+  readonly sendWithRetries: (callerRequest: CallerRequest) => Promise<CallerResult>;
 }
 
-/** A key as callers make it. */
+/** @returns A new idempotency key: the time in milliseconds and a random UUID. */
 export const newKey = (): string => `${Date.now()}-${randomUUID()}`;
 
-/** A streamed question. */
+/** @returns A streamed chat completion request. */
 export const streamedQuestion = (question: string, maximumTokens: number): CallerRequest => ({
   path: "/v1/chat/completions",
   body: {
@@ -54,7 +53,7 @@
   },
 });
 
-/** A sign-off that may run at most once. */
+/** @returns A non-idempotent request to the sign-off service, which may run at most once. */
 export const signOff = (key: string, attendant = 17): CallerRequest => ({
   path: "/services/records-desk/sign-offs",
   body: { attendant },
@@ -94,68 +93,70 @@
   }
 };
 
-const callHeaders = (asked: CallerRequest): Record<string, string> => ({
-  authorization: `Bearer ${demoKey(asked.organisation ?? "petra-wings")}`,
+const requestHeaders = (callerRequest: CallerRequest): Record<string, string> => ({
+  authorization: `Bearer ${demoKey(callerRequest.organisation ?? "petra-wings")}`,
   "content-type": "application/json",
-  ...(asked.requestClass === undefined ? {} : { [headers.requestClass]: asked.requestClass }),
-  ...(asked.key === undefined ? {} : { [headers.idempotent]: "false", [headers.idempotencyKey]: asked.key }),
+  ...(callerRequest.requestClass === undefined ? {} : { [headers.requestClass]: callerRequest.requestClass }),
+  ...(callerRequest.key === undefined
+    ? {}
+    : { [headers.idempotent]: "false", [headers.idempotencyKey]: callerRequest.key }),
 });
 
-const codeOf = (error: unknown): string => (error as { code?: string }).code ?? String(error);
+const errorCodeOf = (error: unknown): string => (error as { code?: string }).code ?? String(error);
 
 /**
- * Makes a caller.
+ * Creates a caller.
  *
- * @param routers - The URLs of the routers that the balancer knows.
+ * @param routers - Returns the URLs of the routers that requests are spread over.
  */
 export const createCaller = (routers: () => readonly string[]): Caller => {
   const agent = new Agent({ pipelining: 1 });
-  /** Routers that said that they are ending. */
-  const left = new Set<string>();
-  let turn = 0;
+  /** Routers that answered `shutting_down`; they get no further requests. */
+  const shuttingDown = new Set<string>();
+  let roundRobinIndex = 0;
 
-  const send = async (router: string, asked: CallerRequest): Promise<CallerResult> => {
+  const send = async (router: string, callerRequest: CallerRequest): Promise<CallerResult> => {
     const failed = { router, status: 0, text: "", headers: {} };
     let status: number;
     let text = "";
     let answerHeaders;
     try {
-      const answer = await request(`${router}${asked.path}`, {
+      const answer = await request(`${router}${callerRequest.path}`, {
         method: "POST",
-        headers: callHeaders(asked),
-        body: JSON.stringify(asked.body),
+        headers: requestHeaders(callerRequest),
+        body: JSON.stringify(callerRequest.body),
         dispatcher: agent,
-        signal: AbortSignal.timeout(longestAnswer),
+        signal: AbortSignal.timeout(requestTimeout),
       });
       status = answer.statusCode;
       answerHeaders = answer.headers;
       for await (const chunk of answer.body) text += (chunk as Buffer).toString("utf8");
     } catch (error) {
-      const code = codeOf(error);
-      // Nothing was sent where there was no connection.
+      const code = errorCodeOf(error);
+      // The request can't have run, since no connection was made.
       if (code === "ECONNREFUSED") return { ...failed, outcome: outcomes.notRun, code };
       return { ...failed, outcome: "cut", code, text: readStream(text).text };
     }
-    const shown = { router, status, headers: answerHeaders };
+    const common = { router, status, headers: answerHeaders };
     if (status !== 200) {
       const { error } = readError(text);
-      return { ...shown, text, outcome: error?.outcome ?? "untyped", code: error?.code ?? "" };
+      return { ...common, text, outcome: error?.outcome ?? "untyped", code: error?.code ?? "" };
     }
     const isStream = String(answerHeaders["content-type"]).startsWith("text/event-stream");
-    if (!isStream) return { ...shown, text, outcome: "answered", code: "" };
+    if (!isStream) return { ...common, text, outcome: "answered", code: "" };
     const stream = readStream(text);
-    return { ...shown, text: stream.text, outcome: stream.end, code: stream.code };
+    return { ...common, text: stream.text, outcome: stream.end, code: stream.code };
   };
 
-  const ask = async (asked: CallerRequest): Promise<CallerResult> => {
-    for (let tries = 1; ; tries += 1) {
-      const known = routers().filter((router) => !left.has(router));
-      turn += 1;
-      const result = await send(known[turn % known.length] ?? "", asked);
-      if (result.code === "shutting_down") left.add(result.router);
-      if (result.outcome !== outcomes.notRun || tries === maximumTries) return result;
+  const sendWithRetries = async (callerRequest: CallerRequest): Promise<CallerResult> => {
+    for (let attempt = 1; ; attempt += 1) {
+      const available = routers().filter((router) => !shuttingDown.has(router));
+      roundRobinIndex += 1;
+      const result = await send(available[roundRobinIndex % available.length] ?? "", callerRequest);
+      if (result.code === "shutting_down") shuttingDown.add(result.router);
+      if (result.outcome !== outcomes.notRun || attempt === maxAttempts) return result;
     }
   };
 
-  return { send, sendWithRetries: ask, [Symbol.asyncDispose]: () => agent.destroy() };
+  return { send, sendWithRetries, [Symbol.asyncDispose]: () => agent.destroy() };
 };
--- a/tests/processes/leaving.test.ts
+++ b/tests/processes/leaving.test.ts
@@ -1,4 +1,4 @@
-/** An upstream that is leaving gets no new work after a few seconds from any router; what runs there ends whole. */
+/** Within seconds, no router sends new requests to an upstream that is leaving, and its running requests complete. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -9,21 +9,21 @@
 import { listExecutions, setFaults, waitForEngines } from "./standInControl.ts";
 
 const pollInterval = 5;
-/** The platform's list is late by this much. */
+/** The delay of the VM list, milliseconds. */
 const lagMilliseconds = 1_000;
-/** What callers are promised. */
+/** Milliseconds after which a leaving upstream receives no new requests. */
 const noNewWorkAfter = 3_000;
-const watchedFor = 700;
-const longAnswer = streamedQuestion("Summarise all courses.", 2_200);
+const observationPeriod = 700;
+const longRequest = streamedQuestion("Summarise all courses.", 2_200);
 
-type Announce = (system: System, upstream: string) => Promise<void>;
+type AnnounceLeaving = (system: System, upstream: string) => Promise<void>;
 
-const byList: Announce = async (system, upstream) => {
+const announceInVmList: AnnounceLeaving = async (system, upstream) => {
   const path = `/stand-in/vms/${upstream}`;
   await fetch(`${system.vmList.url}${path}`, { method: "POST", body: JSON.stringify({ state: "leaving" }) });
 };
 
-const byItself: Announce = async (system, upstream) => {
+const announceByUpstream: AnnounceLeaving = async (system, upstream) => {
   const found = system.processes().find(({ name }) => name === upstream);
   await setFaults(found?.process.url ?? "", { leaving: true });
 };
@@ -36,10 +36,10 @@
     routerSettings: { vmListInterval: 1_000 },
   });
 
-const attemptsAt = async (system: System, upstream: string): Promise<readonly string[]> =>
+const fetchAttempts = async (system: System, upstream: string): Promise<readonly string[]> =>
   (await listExecutions(system)).filter((item) => item.upstream === upstream).map(({ attempt }) => attempt);
 
-/** The engine that has begun the long answer. */
+/** @returns The name of the engine that runs the long request. */
 const findBusyEngine = async (system: System): Promise<string> => {
   for (;;) {
     const running = (await listExecutions(system)).find(({ state }) => state === "running");
@@ -49,41 +49,41 @@
 };
 
 describe("an upstream that is leaving", () => {
-  const ways: readonly (readonly [string, Announce])[] = [
-    ["as the VM list says, late", byList],
-    ["as it says itself", byItself],
+  const announcements: readonly (readonly [string, AnnounceLeaving])[] = [
+    ["announced by a delayed VM list", announceInVmList],
+    ["announced by the upstream itself", announceByUpstream],
   ];
-  for (const [name, announce] of ways) {
-    it(`gets no new work, and its running work ends whole: ${name}`, async () => {
+  for (const [name, announce] of announcements) {
+    it(`gets no new requests, and its running requests complete: ${name}`, async () => {
       await using system = await start();
       await waitForEngines(system);
       const urls = system.routers().map(({ process }) => process.url);
       await using caller = createCaller(() => urls);
       const failures: CallerResult[] = [];
       let isLoading = true;
-      const load = async (ask: () => Promise<CallerResult>): Promise<void> => {
+      const sendContinuously = async (ask: () => Promise<CallerResult>): Promise<void> => {
         while (isLoading) {
           const result = await ask();
           if (result.outcome !== "answered") failures.push(result);
         }
       };
-      // The same twice: the text is deterministic, and they may run at different engines.
-      const long = Promise.all([caller.sendWithRetries(longAnswer), caller.sendWithRetries(longAnswer)]);
+      // Sent twice: the two may run on different engines, and the text is deterministic, so both results must be equal.
+      const long = Promise.all([caller.sendWithRetries(longRequest), caller.sendWithRetries(longRequest)]);
       const engine = await findBusyEngine(system);
       const service = "records-desk-0";
       const loads = [
         ...[0, 1, 2].map((index) =>
-          load(() => caller.sendWithRetries(streamedQuestion(`Is ${index} current?`, 4))),
+          sendContinuously(() => caller.sendWithRetries(streamedQuestion(`Is ${index} current?`, 4))),
         ),
-        ...[0, 1].map(() => load(() => caller.sendWithRetries(signOff(newKey())))),
+        ...[0, 1].map(() => sendContinuously(() => caller.sendWithRetries(signOff(newKey())))),
       ];
       try {
         await announce(system, engine);
         await announce(system, service);
         await sleep(noNewWorkAfter);
-        const before = [await attemptsAt(system, engine), await attemptsAt(system, service)];
-        await sleep(watchedFor);
-        expect([await attemptsAt(system, engine), await attemptsAt(system, service)]).toEqual(before);
+        const before = [await fetchAttempts(system, engine), await fetchAttempts(system, service)];
+        await sleep(observationPeriod);
+        expect([await fetchAttempts(system, engine), await fetchAttempts(system, service)]).toEqual(before);
       } finally {
         isLoading = false;
         await Promise.all(loads);
--- a/tests/processes/orderHolderFrozen.test.ts
+++ b/tests/processes/orderHolderFrozen.test.ts
@@ -1,4 +1,4 @@
-/** The router that gives a deployment's orders is stopped in the middle of a roll-out: real processes. */
+/** The router that issues a deployment's orders is stopped (SIGSTOP) during a roll-out, with real processes. */
 import { mkdtemp, readFile, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -29,24 +29,24 @@
 const readJson = async <T>(url: string, headers: Readonly<Record<string, string>> = {}): Promise<T> =>
   (await (await fetch(url, { headers })).json()) as T;
 
-/** The fencing number under which a router gives Levant's orders, if it does. */
-const numberOf = async ({ process }: SystemProcess): Promise<number | undefined> => {
+/** @returns The fencing number of a router that holds the lease of Levant's orders; otherwise `undefined`. */
+const fetchFencingNumber = async ({ process }: SystemProcess): Promise<number | undefined> => {
   const headers = { authorization: `Bearer ${operatorKey}` };
   const { rollOuts } = await readJson<Dump>(`${process.url}/operator/dump`, headers);
   const levant = rollOuts.find(({ deployment }) => deployment === "levant");
   return levant?.holding === true ? (levant.fencingNumber ?? undefined) : undefined;
 };
 
-const findHolder = async (routers: readonly SystemProcess[]): Promise<SystemProcess | undefined> => {
+const findOrderHolder = async (routers: readonly SystemProcess[]): Promise<SystemProcess | undefined> => {
   for (const router of routers) {
-    if ((await numberOf(router)) !== undefined) return router;
+    if ((await fetchFencingNumber(router)) !== undefined) return router;
   }
   return undefined;
 };
 
-const until = async <T>(look: () => Promise<T | undefined>): Promise<T> => {
+const waitFor = async <T>(poll: () => Promise<T | undefined>): Promise<T> => {
   for (;;) {
-    const found = await look();
+    const found = await poll();
     if (found !== undefined) return found;
     await sleep(50);
   }
@@ -55,14 +55,14 @@
 const enginesOf = (system: System): readonly SystemProcess[] =>
   system.processes().filter(({ kind, name }) => kind === "engine" && name.startsWith("records-assistant"));
 
-const loadsOf = (system: System) =>
+const fetchLoads = (system: System) =>
   Promise.all(
     enginesOf(system).map(({ process }) =>
       readJson<{ readonly weightsVersion: string; readonly leaving: boolean }>(`${process.url}/load`),
     ),
   );
 
-const ordersOf = async ({ process }: SystemProcess): Promise<readonly Order[]> => {
+const fetchOrders = async ({ process }: SystemProcess): Promise<readonly Order[]> => {
   const { orders } = await readJson<{ readonly orders: readonly Order[] }>(`${process.url}/stand-in/orders`);
   return orders;
 };
@@ -80,30 +80,30 @@
 };
 
 describe("the holder of a deployment's orders", { timeout: 120_000 }, () => {
-  it("that is stopped in a roll-out is replaced, and orders nothing any more when it is resumed", async () => {
+  it("is replaced when it is stopped during a roll-out, and issues no order after it is resumed", async () => {
     await using system = await startSystem({
       configurationFile,
       routers: ["amman-north", "amman-north"],
       standIns: { weightStore: { loadMilliseconds: 1_000 } },
     });
-    const stopped = await until(() => findHolder(system.routers()));
-    const before = await until(() => numberOf(stopped));
+    const stopped = await waitFor(() => findOrderHolder(system.routers()));
+    const before = await waitFor(() => fetchFencingNumber(stopped));
     await publishNewWeights(system);
-    await until(async () => ((await loadsOf(system)).some(({ leaving }) => leaving) ? true : undefined));
+    await waitFor(async () => ((await fetchLoads(system)).some(({ leaving }) => leaving) ? true : undefined));
     stopped.process.kill("SIGSTOP");
     const others = system.routers().filter((router) => router !== stopped);
-    const next = await until(() => findHolder(others));
-    const after = await until(() => numberOf(next));
+    const next = await waitFor(() => findOrderHolder(others));
+    const after = await waitFor(() => fetchFencingNumber(next));
     expect(after > before).toEqual(true);
     stopped.process.kill("SIGCONT");
-    await until(async () => {
-      const loads = await loadsOf(system);
+    await waitFor(async () => {
+      const loads = await fetchLoads(system);
       const done = loads.every(({ weightsVersion, leaving }) => weightsVersion === newWeights && !leaving);
       return done ? true : undefined;
     });
-    expect(await numberOf(stopped)).toEqual(undefined);
+    expect(await fetchFencingNumber(stopped)).toEqual(undefined);
     for (const engine of enginesOf(system)) {
-      const numbers = (await ordersOf(engine))
+      const numbers = (await fetchOrders(engine))
         .filter(({ outcome }) => outcome === "done")
         .map(({ fencingNumber }) => fencingNumber);
       expect([...numbers].sort((left, right) => left - right)).toEqual(numbers);
--- a/tests/processes/routerKilled.test.ts
+++ b/tests/processes/routerKilled.test.ts
@@ -1,4 +1,4 @@
-/** A router dies or freezes at each point of a request that may run at most once; its caller retries elsewhere. */
+/** A router is killed or stopped at each stage of a non-idempotent request, and the caller retries at another router. */
 import { after, before, describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -10,16 +10,16 @@
 import { countExecutionsByKey, setFaults } from "./standInControl.ts";
 
 const pollInterval = 5;
-/** Long enough for a router to be killed while the call runs. */
+/** Long enough to kill a router while the service runs the request. */
 const workMilliseconds = 300;
-/** Outcomes are recorded this soon after an answer, with room to spare. */
-const recordedAfter = 1_000;
+/** Milliseconds after an answer by which its outcome is surely in the log. */
+const outcomeRecordingDelay = 1_000;
 
-describe("a router that dies with a sign-off under way", () => {
+describe("a non-idempotent request whose router is killed or stopped", () => {
   let system: System;
   let caller: Caller;
   let survivor: string;
-  let victims = 0;
+  let victimCount = 0;
 
   before(async () => {
     system = await startSystem({
@@ -37,8 +37,8 @@
   });
 
   const startVictim = async (): Promise<SystemProcess> => {
-    victims += 1;
-    const victim = await system.startRouter(`victim-${victims}`, "amman-north");
+    victimCount += 1;
+    const victim = await system.startRouter(`victim-${victimCount}`, "amman-north");
     while (!(await fetch(`${victim.process.url}/readyz`)).ok) await sleep(pollInterval);
     return victim;
   };
@@ -48,9 +48,10 @@
     await process.ended;
   };
 
-  const runs = async (key: string): Promise<number> => (await countExecutionsByKey(system)).get(key) ?? 0;
+  const countExecutions = async (key: string): Promise<number> =>
+    (await countExecutionsByKey(system)).get(key) ?? 0;
 
-  /** Claims alone: routers append renewals of their leases at any time. */
+  /** Counts only records of claims, since routers append lease renewals at any time. */
   const countClaims = async (): Promise<number> => {
     const answer = await fetch(`${system.logService.url}/stand-in/state`);
     const { streams } = (await answer.json()) as { readonly streams: Readonly<Record<string, number>> };
@@ -58,9 +59,10 @@
     return claims.reduce((sum, [, count]) => sum + count, 0);
   };
 
-  const told = ({ status, outcome, code }: CallerResult): string => `${status} ${outcome} ${code}`.trim();
+  const describeResult = ({ status, outcome, code }: CallerResult): string =>
+    `${status} ${outcome} ${code}`.trim();
 
-  it("before its claim: the retry runs", async () => {
+  it("runs when retried after a kill before the claim", async () => {
     const victim = await startVictim();
     const key = newKey();
     await setFaults(system.logService.url, { outage: true });
@@ -69,11 +71,11 @@
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
     await setFaults(system.logService.url, { outage: false });
-    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("200 answered");
-    expect(await runs(key)).toEqual(1);
+    expect(describeResult(await caller.sendWithRetries(signOff(key)))).toEqual("200 answered");
+    expect(await countExecutions(key)).toEqual(1);
   });
 
-  it("between claim and dispatch: the retry is told that the outcome is unknown, and nothing runs", async () => {
+  it("has an unknown outcome and does not run when retried after a kill between claim and dispatch", async () => {
     const victim = await startVictim();
     const key = newKey();
     const claims = await countClaims();
@@ -83,34 +85,38 @@
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
     await setFaults(system.logService.url, { loseAppendAnswers: 0 });
-    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
-    expect(await runs(key)).toEqual(0);
+    expect(describeResult(await caller.sendWithRetries(signOff(key)))).toEqual(
+      "409 outcome_unknown already_claimed",
+    );
+    expect(await countExecutions(key)).toEqual(0);
   });
 
-  it("after dispatch: the retry is told that the outcome is unknown, and it has run once", async () => {
+  it("has an unknown outcome and has run once when retried after a kill after dispatch", async () => {
     const victim = await startVictim();
     const key = newKey();
     const first = caller.send(victim.process.url, signOff(key));
-    while ((await runs(key)) === 0) await sleep(pollInterval);
+    while ((await countExecutions(key)) === 0) await sleep(pollInterval);
     await kill(victim);
     expect((await first).outcome).toEqual("cut");
-    expect(told(await caller.sendWithRetries(signOff(key)))).toEqual("409 outcome_unknown already_claimed");
-    expect(await runs(key)).toEqual(1);
+    expect(describeResult(await caller.sendWithRetries(signOff(key)))).toEqual(
+      "409 outcome_unknown already_claimed",
+    );
+    expect(await countExecutions(key)).toEqual(1);
   });
 
-  it("after its answer: the retry gets the same answer, and it has run once", async () => {
+  it("gets the same answer and has run once when retried after a kill after the answer", async () => {
     const victim = await startVictim();
     const key = newKey();
     const first = await caller.send(victim.process.url, signOff(key));
-    expect(told(first)).toEqual("200 answered");
-    await sleep(recordedAfter);
+    expect(describeResult(first)).toEqual("200 answered");
+    await sleep(outcomeRecordingDelay);
     await kill(victim);
     const again = await caller.sendWithRetries(signOff(key));
-    expect([told(again), again.text]).toEqual(["200 answered", first.text]);
-    expect(await runs(key)).toEqual(1);
+    expect([describeResult(again), again.text]).toEqual(["200 answered", first.text]);
+    expect(await countExecutions(key)).toEqual(1);
   });
 
-  it("or freezes before it learns of its claim: it runs at one router at most", async () => {
+  it("runs through one router at most when its router is stopped before the claim is acknowledged", async () => {
     const victim = await startVictim();
     const key = newKey();
     const claims = await countClaims();
@@ -121,10 +127,12 @@
     await setFaults(system.logService.url, { loseAppendAnswers: 0 });
     const second = await caller.sendWithRetries(signOff(key));
     victim.process.kill("SIGCONT");
-    const woken = await first;
-    // Whoever holds the claim may run it; the other one must not. The victim may also have woken too late.
-    const answered = [told(second), told(woken)].filter((result) => result === "200 answered").length;
+    const resumed = await first;
+    // Only the router that holds the claim may run the request; the victim may also have resumed after its deadline.
+    const answered = [describeResult(second), describeResult(resumed)].filter(
+      (result) => result === "200 answered",
+    ).length;
     expect(answered <= 1).toEqual(true);
-    expect(await runs(key)).toEqual(answered);
+    expect(await countExecutions(key)).toEqual(answered);
   });
 });
--- a/tests/processes/shutdown.test.ts
+++ b/tests/processes/shutdown.test.ts
@@ -1,4 +1,4 @@
-/** Routers that end gracefully cut nothing, and what they refuse has not run. */
+/** Graceful shutdown: running streams complete, and refused requests have not run. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -10,7 +10,7 @@
 import { countExecutionsByKey } from "./standInControl.ts";
 
 const pollInterval = 10;
-/** Short, so that the test needn't wait for idle connections for long; callers are told of it. */
+/** Short, so that the test waits less for idle connections to close; callers learn it from the response headers. */
 const callerKeepAlive = 3_000;
 
 const start = (routers: number): Promise<System> =>
@@ -22,8 +22,8 @@
 
 const urlsOf = (system: System): readonly string[] => system.routers().map(({ process }) => process.url);
 
-describe("a router that is told to end", () => {
-  it("finishes its streams, refuses new work as not run, and ends with code 0", async () => {
+describe("a router that receives SIGTERM", () => {
+  it("finishes its streams, refuses new requests as not_run, and exits with code 0", async () => {
     await using system = await start(1);
     const [router] = system.routers();
     const url = router?.process.url ?? "";
--- a/tests/processes/standInControl.ts
+++ b/tests/processes/standInControl.ts
@@ -1,16 +1,16 @@
-/** What the stand-ins of a running system have recorded. */
+/** Reads the executions that stand-ins have recorded, sets their faults, and waits until routers see all engines. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { operatorKey } from "../../demo/processes.ts";
 import type { System, SystemProcess } from "../../demo/processes.ts";
 
 const pollInterval = 20;
 
-/** One execution, by an engine or a plain service. */
+/** One execution of a request by an engine or a plain service. */
 export interface Execution {
   readonly upstream: string;
   readonly attempt: string;
   readonly idempotencyKey?: string;
-  /** Of an engine's execution. */
+  /** Only for executions by engines. */
   readonly state?: string;
 }
 
@@ -20,13 +20,13 @@
   return executions.map((execution) => ({ ...execution, upstream: name }));
 };
 
-/** Every execution of every upstream that still runs. */
+/** @returns All executions that the running upstreams have recorded. */
 export const listExecutions = async (system: System): Promise<readonly Execution[]> => {
   const upstreams = system.processes().filter(({ kind }) => kind === "engine" || kind === "service");
   return (await Promise.all(upstreams.map(readExecutions))).flat();
 };
 
-/** How often each idempotency key was executed, over all upstreams. */
+/** @returns The number of executions by idempotency key, over all running upstreams. */
 export const countExecutionsByKey = async (system: System): Promise<ReadonlyMap<string, number>> => {
   const counts = new Map<string, number>();
   for (const { idempotencyKey } of await listExecutions(system)) {
@@ -35,12 +35,16 @@
   return counts;
 };
 
-/** Sets fault switches of a stand-in. */
+/**
+ * Sets fault switches of a stand-in.
+ *
+ * @param url - The stand-in's base URL.
+ */
 export const setFaults = async (url: string, faults: Readonly<Record<string, unknown>>): Promise<void> => {
   await fetch(`${url}/stand-in/faults`, { method: "POST", body: JSON.stringify(faults) });
 };
 
-/** Waits until every router has heard from every engine. */
+/** Waits until every router reports every engine as live. */
 export const waitForEngines = async (system: System): Promise<void> => {
   const wanted = system.processes().filter(({ kind }) => kind === "engine").length;
   const headers = { authorization: `Bearer ${operatorKey}` };
--- a/tests/processes/suspendedRouter.test.ts
+++ b/tests/processes/suspendedRouter.test.ts
@@ -1,8 +1,8 @@
 /**
- * A router whose VM is suspended for longer than a key may be served after it was taken away, and which is cut off from
- * the store when it is back. By its steady clock no time has passed: its proof of the configuration looked fresh, and it
- * served the key that was gone. In the first run of this test the request was answered 200, run by the replica 4 s after
- * the key had been taken away, where 2 s are allowed.
+ * A router whose VM is suspended for longer than the allowed delay of a key's revocation, and which can't reach the store
+ * after it resumes. Its monotonic clock doesn't count the suspension, so its proof of the configuration seemed current
+ * and it accepted the revoked key: the request got 200 and a replica ran it 4 s after the revocation, where 2 s are
+ * allowed.
  */
 import { request } from "node:http";
 import { describe, it } from "node:test";
@@ -11,17 +11,17 @@
 import { bounds, startSoakSystem, suspendableProgram } from "../../soak/platform/system.ts";
 import { callHeaders, configuration, hosts, keys } from "../../standIns/platform/system.ts";
 
-/** Longest time until a router that hears the store again serves, milliseconds. */
-const longestUnready = 5_000;
+/** Maximum time from the store's return until the router serves requests, milliseconds. */
+const maxRecoveryTime = 5_000;
 
-let asked = 0;
+let requestCount = 0;
 
-/** @returns The status of the answer; 0 without one. */
-const read = (url: string, key: string): Promise<number> =>
+/** @returns The status of the response; 0 if there was none. */
+const sendRead = (url: string, key: string): Promise<number> =>
   new Promise((resolve) => {
-    asked += 1;
+    requestCount += 1;
     const { hostname, port } = new URL(url);
-    const headers = { ...callHeaders(`suspended-${asked}`, key, 3_000), host: hosts.desk };
+    const headers = { ...callHeaders(`suspended-${requestCount}`, key, 3_000), host: hosts.desk };
     const sent = request(
       { hostname, port, method: "POST", path: "/read/2f", agent: false, headers },
       (answer) => {
@@ -34,31 +34,31 @@
   });
 
 describe("a router whose VM was suspended", { timeout: 60_000 }, () => {
-  it("serves no key that was taken away meanwhile, and serves others as soon as it hears the store", async () => {
+  it("rejects a key that was revoked meanwhile, and serves other keys once it can read the store again", async () => {
     await using system = await startSoakSystem(
       { routers: 1, engines: 1, desks: 1 },
-      // The process's id keeps runs beside one another apart.
+      // The process id keeps parallel runs apart.
       process.pid,
       suspendableProgram,
     );
-    const [place] = system.routers;
-    if (place === undefined) throw new Error("There is no router.");
-    while ((await read(place.url, keys.known)) !== 200) await sleep(50);
-    place.process?.kill("SIGSTOP");
+    const [router] = system.routers;
+    if (router === undefined) throw new Error("There is no router.");
+    while ((await sendRead(router.url, keys.known)) !== 200) await sleep(50);
+    router.process?.kill("SIGSTOP");
     const { tenants } = configuration();
     system.publish(2, { tenants: tenants.filter(({ name }) => name !== "one") });
-    place.storeProxy.setMode("silent");
+    router.storeProxy.setMode("silent");
     await sleep(2 * bounds.keyRevocation);
-    place.process?.kill("SIGCONT");
+    router.process?.kill("SIGCONT");
     const statuses: number[] = [];
-    for (let turn = 0; turn < 10; turn += 1) statuses.push(await read(place.url, keys.known));
+    for (let attempt = 0; attempt < 10; attempt += 1) statuses.push(await sendRead(router.url, keys.known));
     expect(statuses.every((status) => status === 503 || status === 401)).toEqual(true);
-    place.storeProxy.setMode("reset");
+    router.storeProxy.setMode("reset");
     await sleep(100);
-    place.storeProxy.setMode("pass");
-    const heardAt = performance.now();
-    while ((await read(place.url, keys.isolated)) !== 200) await sleep(50);
-    expect(performance.now() - heardAt < longestUnready).toEqual(true);
-    expect(await read(place.url, keys.known)).toEqual(401);
+    router.storeProxy.setMode("pass");
+    const reconnectedAt = performance.now();
+    while ((await sendRead(router.url, keys.isolated)) !== 200) await sleep(50);
+    expect(performance.now() - reconnectedAt < maxRecoveryTime).toEqual(true);
+    expect(await sendRead(router.url, keys.known)).toEqual(401);
   });
 });
