--- a/tools/emitSchemas.ts
+++ b/tools/emitSchemas.ts
@@ -1,4 +1,4 @@
-/** Writes the schema files: `npm run schemas`. */
+/** `npm run schemas`: writes the JSON Schema files. */
 import { writeFile } from "node:fs/promises";
 import { createSchemaFiles, repositoryRoot } from "./schemaFiles.ts";
 
--- a/tools/runTests.ts
+++ b/tools/runTests.ts
@@ -1,27 +1,27 @@
 /**
- * Runs the test files that are named; tests that `KNOWN-RED.txt` lists (the text before a line's first bar) may fail and
- * are printed, anything else that fails, fails the run. So `npm test` and CI give one verdict.
+ * Runs the given test files. Tests listed in `KNOWN-RED.txt` (the text before the first bar of a line) may fail and are
+ * printed; any other failure fails the run. Used by both `npm test` and CI, so that their results agree.
  */
 import { spawn } from "node:child_process";
 import { existsSync, readFileSync } from "node:fs";
 
-const knownFile = "KNOWN-RED.txt";
+const knownFailuresFile = "KNOWN-RED.txt";
 
 const concurrency = 4;
 
-/** @returns The names of tests that may fail. */
-const readKnown = (): readonly string[] =>
-  (existsSync(knownFile) ? readFileSync(knownFile, "utf8") : "")
+/** @returns The names of the tests that may fail. */
+const readKnownFailures = (): readonly string[] =>
+  (existsSync(knownFailuresFile) ? readFileSync(knownFailuresFile, "utf8") : "")
     .split("\n")
     .filter((line) => line.trim() !== "")
     .map((line) => line.split("|")[0]?.trim() ?? "");
 
-/** Lines of tests in suites, and of files that ended before their tests; that a suite failed says nothing more. */
-const failedLine = /^(?: +not ok \d+ - (.*?)|not ok \d+ - (.*\.test\.m?js))(?: # .*)?$/;
+/** Matches failed tests within suites, and files that exited before their tests ran; ignores the lines of suites. */
+const failedTestLine = /^(?: +not ok \d+ - (.*?)|not ok \d+ - (.*\.test\.m?js))(?: # .*)?$/;
 
 const run = async (
   files: readonly string[],
-): Promise<{ readonly failed: readonly string[]; readonly isGreen: boolean }> => {
+): Promise<{ readonly failed: readonly string[]; readonly isPassing: boolean }> => {
   const failed = new Set<string>();
   const runner = spawn(
     process.execPath,
@@ -35,20 +35,21 @@
     const lines = (rest + text).split("\n");
     rest = lines.pop() ?? "";
     for (const line of lines) {
-      const found = failedLine.exec(line);
+      const found = failedTestLine.exec(line);
       const name = found?.[1] ?? found?.[2];
       if (name !== undefined) failed.add(name);
     }
   });
   const code = await new Promise<number | null>((resolve) => runner.on("close", resolve));
-  return { failed: [...failed], isGreen: code === 0 };
+  return { failed: [...failed], isPassing: code === 0 };
 };
 
-const known = readKnown();
-const { failed, isGreen } = await run(process.argv.slice(2));
-if (known.length > 0) console.log(`Known to fail (${knownFile}):\n${readFileSync(knownFile, "utf8")}`);
-const unknown = failed.filter((name) => !known.includes(name));
-for (const name of unknown) console.log(`Failed, and not known: ${name}`);
-const isExplained = failed.length > 0 && unknown.length === 0;
-if (!isGreen && isExplained) console.log("Only known tests failed.");
-process.exitCode = isGreen || isExplained ? 0 : 1;
+const knownFailures = readKnownFailures();
+const { failed, isPassing } = await run(process.argv.slice(2));
+if (knownFailures.length > 0)
+  console.log(`Known failures (${knownFailuresFile}):\n${readFileSync(knownFailuresFile, "utf8")}`);
+const unexpected = failed.filter((name) => !knownFailures.includes(name));
+for (const name of unexpected) console.log(`Unexpected failure: ${name}`);
+const onlyKnownFailed = failed.length > 0 && unexpected.length === 0;
+if (!isPassing && onlyKnownFailed) console.log("Only known failures occurred.");
+process.exitCode = isPassing || onlyKnownFailed ? 0 : 1;
--- a/tools/schemaFiles.test.ts
+++ b/tools/schemaFiles.test.ts
@@ -4,7 +4,7 @@
 import { createSchemaFiles, repositoryRoot } from "./schemaFiles.ts";
 
 describe("createSchemaFiles", () => {
-  it("makes what is committed; otherwise run npm run schemas", async () => {
+  it("creates the committed schema files (to update them: npm run schemas)", async () => {
     for (const { path, text } of await createSchemaFiles()) {
       expect(await readFile(new URL(path, repositoryRoot), "utf8")).toEqual(text);
     }
--- a/tools/schemaFiles.ts
+++ b/tools/schemaFiles.ts
@@ -1,18 +1,18 @@
-/** The JSON Schemas that the repository ships, made from the zod schemas that the programs use. */
+/** Generates the JSON Schemas in the repository from the zod schemas that the programs use. */
 import { format } from "prettier";
 import { z } from "zod";
 import { clientSettingsSchema } from "../src/commandLine/clientSettings.ts";
 import { routerSettingsSchema } from "../src/daemons/routerSettings.ts";
 import { configurationSchema } from "../src/protocol/configuration/schema.ts";
 
-/** A file to write, as text. */
+/** A schema file with its content. */
 export interface SchemaFile {
-  /** From the repository's root. */
+  /** Relative to the repository's root. */
   readonly path: string;
   readonly text: string;
 }
 
-/** The programs' schemas by file; what a file may leave out is optional in them. */
+/** Path, title and zod schema of each file. The JSON Schemas describe the input, so fields with defaults are optional. */
 const schemas: readonly (readonly [path: string, title: string, schema: z.ZodType])[] = [
   ["docs/configuration.schema.json", "pomelocleat configuration", configurationSchema],
   ["docs/router-settings.schema.json", "pomelocleat router settings", routerSettingsSchema],
@@ -25,9 +25,9 @@
   return { path, text: await format(text, { parser: "json", printWidth: 110 }) };
 };
 
-/** Makes all schema files. */
+/** @returns All schema files, formatted. */
 export const createSchemaFiles = (): Promise<readonly SchemaFile[]> =>
   Promise.all(schemas.map(([path, title, schema]) => createSchemaFile(path, title, schema)));
 
-/** The repository's root, seen from the compiled tools. */
+/** The repository's root, relative to the compiled tools. */
 export const repositoryRoot = new URL("../../", import.meta.url);
