--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo [-- --serve | --json | --platform]`: the whole system on one machine, with a session of each deployment. */
+/** `npm run demo [-- --serve | --json | --platform]`: runs the whole system on one machine and plays a session of each deployment. */
 import { parseArgs } from "node:util";
 import { playPlatformDemo } from "./platform.ts";
 import { playSession } from "./playSession.ts";
@@ -53,7 +53,7 @@
   processId,
 });
 
-/** The system for scripts, as one object. */
+/** @returns The description of the system that `--json` prints. */
 const describeSystem = (system: System): object => ({
   routers: system.routers().map(describeProcess),
   organisations: system.configuration.organisations.map(({ name, deployment }) => ({
@@ -90,7 +90,7 @@
   print("\nThe stand-ins' fault switches are described in docs/STAND-INS.md. Ctrl-C ends all of it.");
 };
 
-const untilInterrupted = (): Promise<void> =>
+const waitForSignal = (): Promise<void> =>
   new Promise((resolve) => {
     process.once("SIGINT", () => resolve());
     process.once("SIGTERM", () => resolve());
@@ -109,7 +109,7 @@
   const flag = { type: "boolean" } as const;
   const { values } = parseArgs({ options: { serve: flag, json: flag, platform: flag } });
   if (values.platform === true) return (await playPlatformDemo()) ? 0 : 1;
-  const interrupted = untilInterrupted();
+  const interrupted = waitForSignal();
   await using system = await startSystem({ configurationFile, routers: routerDataCentres });
   if (values.json === true) print(JSON.stringify(describeSystem(system)));
   else if (values.serve === true) printGuide(system);
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -1,26 +1,26 @@
-/** `npm run demo -- --platform`: routers that pass requests on, before the platform's stand-in, and a short session. */
+/** `npm run demo -- --platform`: plays a short session against routers that proxy requests to the platform's stand-in. */
 import { call, hosts, keys, promptHeaders, startPlatformSystem, until } from "../standIns/platform/system.ts";
 import type { CallerAnswer, CallerCall } from "../standIns/platform/system.ts";
 
 interface Step {
   readonly title: string;
   readonly expected: number;
-  readonly given: CallerCall;
+  readonly request: CallerCall;
 }
 
 const summarise = { host: hosts.model, path: "/ask/summary", headers: promptHeaders() } as const;
 
 const steps: readonly Step[] = [
-  { title: "a look-up", expected: 200, given: { host: hosts.desk, path: "/read/1", method: "GET" } },
+  { title: "a look-up", expected: 200, request: { host: hosts.desk, path: "/read/1", method: "GET" } },
   {
     title: "a sign-off that runs once",
     expected: 200,
-    given: { host: hosts.desk, path: "/post/1", body: "ok" },
+    request: { host: hosts.desk, path: "/post/1", body: "ok" },
   },
-  { title: "a summary, streamed", expected: 200, given: { ...summarise, body: "summarise" } },
-  { title: "the same by a rival kept apart", expected: 200, given: { ...summarise, key: keys.isolated } },
-  { title: "a key that nobody holds", expected: 401, given: { ...summarise, key: "nobody" } },
-  { title: "a path without a route", expected: 404, given: { host: hosts.desk, path: "/nowhere/" } },
+  { title: "a summary, streamed", expected: 200, request: { ...summarise, body: "summarise" } },
+  { title: "the same by a rival kept apart", expected: 200, request: { ...summarise, key: keys.isolated } },
+  { title: "a key that nobody holds", expected: 401, request: { ...summarise, key: "nobody" } },
+  { title: "a path without a route", expected: 404, request: { host: hosts.desk, path: "/nowhere/" } },
 ];
 
 const columns = { title: 34, status: 8 } as const;
@@ -31,14 +31,18 @@
 
 const firstLine = ({ body }: CallerAnswer): string => body.split("\n").slice(0, 2).join(" ").slice(0, 60);
 
-/** @returns Whether everything came out as it should. */
+/**
+ * Plays the session, then announces new weights and waits until every engine has them. Prints a table of the results.
+ *
+ * @returns Whether every answer had the expected status.
+ */
 export const playPlatformDemo = async (): Promise<boolean> => {
   await using system = await startPlatformSystem({ engines: 3 });
   const second = await system.startRouter();
   printRow("request", "status", "answer");
   let isAsExpected = true;
-  for (const [index, { title, expected, given }] of steps.entries()) {
-    const answer = await call(index % 2 === 0 ? system.router : second, given);
+  for (const [index, { title, expected, request }] of steps.entries()) {
+    const answer = await call(index % 2 === 0 ? system.router : second, request);
     printRow(title, String(answer.status), firstLine(answer));
     isAsExpected &&= answer.status === expected;
   }
--- a/demo/playSession.ts
+++ b/demo/playSession.ts
@@ -1,4 +1,4 @@
-/** Plays sessions against routers as a caller would. */
+/** Sends the requests of a session to routers, and collects what their answers say. */
 import { randomUUID } from "node:crypto";
 import { createParser } from "eventsource-parser";
 import { headers } from "../src/protocol/constants.ts";
@@ -6,7 +6,7 @@
 import type { System } from "./processes.ts";
 import type { SessionStep } from "./sessions.ts";
 
-/** What came of a step. Times are milliseconds. */
+/** The result of a step. Times are in milliseconds. */
 export interface StepResult {
   readonly router: string;
   readonly organisation: string;
@@ -24,7 +24,7 @@
   promptTokens: number | undefined;
   cachedTokens: number | undefined;
   timeToFirstToken: number;
-  complete: boolean;
+  isComplete: boolean;
 }
 
 interface Chunk {
@@ -52,11 +52,11 @@
     promptTokens: undefined,
     cachedTokens: undefined,
     timeToFirstToken: 0,
-    complete: false,
+    isComplete: false,
   };
   const parser = createParser({
     onEvent: ({ data, event }) => {
-      if (data === endMark) result.complete = true;
+      if (data === endMark) result.isComplete = true;
       else if (event !== "error") addChunk(result, JSON.parse(data) as Chunk, performance.now() - startedAt);
     },
   });
@@ -75,9 +75,10 @@
 });
 
 /**
- * Plays one step.
+ * Sends one step to a router.
  *
- * @param url - The router's.
+ * @param router - The router's name.
+ * @param url - The router's base URL.
  */
 export const playStep = async (step: SessionStep, router: string, url: string): Promise<StepResult> => {
   const startedAt = performance.now();
@@ -90,8 +91,8 @@
   const shared = { router, organisation, requestClass, upstream: answer.headers.get(headers.upstream) ?? "" };
   const isStream = answer.headers.get("content-type")?.startsWith("text/event-stream") === true;
   if (isStream && answer.body !== null) {
-    const { complete, ...result } = await readStream(answer.body, startedAt);
-    return { ...shared, ...result, outcome: complete ? "complete" : "failed" };
+    const { isComplete, ...result } = await readStream(answer.body, startedAt);
+    return { ...shared, ...result, outcome: isComplete ? "complete" : "failed" };
   }
   const text = await answer.text();
   const outcome = answer.ok ? "complete" : (answer.headers.get(headers.outcome) ?? `status ${answer.status}`);
@@ -99,7 +100,7 @@
   return { ...shared, promptTokens: undefined, cachedTokens: undefined, timeToFirstToken, outcome, text };
 };
 
-/** Plays steps one after another, each through the next router. */
+/** Sends steps one after another, to the routers in turn. */
 export const playSession = async (
   system: System,
   steps: readonly SessionStep[],
--- a/demo/processes.ts
+++ b/demo/processes.ts
@@ -1,6 +1,6 @@
 /**
- * The whole system as separate processes on 127.0.0.1: stand-ins for everything outside, routers before them,
- * and a published configuration. For the demo and for tests of whole processes.
+ * Starts the whole system as separate processes on 127.0.0.1: stand-ins for all external systems, routers in front of
+ * them, and a published configuration. Used by the demo and by tests with real processes.
  */
 import { spawn } from "node:child_process";
 import { createHash } from "node:crypto";
@@ -21,13 +21,13 @@
 const routerModule = new URL("../src/daemons/routerMain.js", import.meta.url);
 const commandModule = new URL("../src/commandLine/main.js", import.meta.url);
 const readyPolls = 200;
-const readyInterval = 50;
+const readyPollInterval = 50;
 const sharedSecret = "demo-shared-secret-of-all-routers-0123456789";
 
-/** The operators' key of every demo. */
+/** The operators' API key of the routers that {@link startSystem} starts. */
 export const operatorKey = "demo-operator-key";
 
-/** A process of the system with what it stands for. */
+/** A process of the system, with its role and place. */
 export interface SystemProcess {
   readonly kind: StandInKind | "router";
   readonly name: string;
@@ -35,46 +35,46 @@
   readonly process: StartedProcess;
 }
 
-/** What to start. Paths are relative to the working directory. */
+/** The system to start. Paths are relative to the working directory. */
 export interface SystemOptions {
   readonly configurationFile: string;
   /** The data centre of each router. */
   readonly routers: readonly string[];
-  /** Changes to the settings of stand-ins, by kind. */
+  /** Settings that override the defaults of stand-ins, by kind. */
   readonly standIns?: Partial<Record<StandInKind, object>>;
-  /** Changes to the settings of each router. */
+  /** Settings that override the defaults of each router. */
   readonly routerSettings?: Partial<RouterSettings>;
 }
 
-/** How a run of the client ended. */
+/** The result of a run of the operators' client. */
 export interface ClientResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
-/** A running system; disposing of it ends every process of it. */
+/** A running system; disposing of it ends all of its processes. */
 export interface System extends AsyncDisposable {
   readonly configuration: Configuration;
   readonly processes: () => readonly SystemProcess[];
-  /** Routers that have not ended. */
+  /** The routers that still run. */
   readonly routers: () => readonly SystemProcess[];
   readonly logService: StartedProcess;
   readonly vmList: StartedProcess;
-  /** Starts one more router, or one in place of one that has ended. */
+  /** Starts another router, or a replacement under the name of one that ended. */
   readonly startRouter: (name: string, dataCentre: string) => Promise<SystemProcess>;
   /** Runs the operators' client. */
   readonly runClient: (args: readonly string[]) => Promise<ClientResult>;
-  /** Tells the VM list which VMs there are now. */
+  /** Updates the VM list to the processes that run now. */
   readonly publishVmList: () => Promise<void>;
 }
 
-/** A part of the system did not start as it should. */
+/** Thrown if the VM list rejects an update, publishing fails, or a router does not become ready. */
 export const SystemStartError = PomelocleatError.subclass("SystemStartError");
 
 const systemStartError = (message: string): Error => new SystemStartError(message);
 
-/** The API key of an organisation in the example configurations. */
+/** @returns The API key of an organisation in the example configurations. */
 export const demoKey = (organisation: string): string => `demo-key-${organisation}`;
 
 const runClient = (args: readonly string[]): Promise<ClientResult> =>
@@ -89,7 +89,7 @@
     child.on("close", (code) => resolve({ code: code ?? -1, output, errors }));
   });
 
-const listedRoles = {
+const vmRoles = {
   router: "router",
   engine: "engine",
   service: "service",
@@ -102,8 +102,8 @@
 const poolOf = ({ kind, name }: SystemProcess): string =>
   kind === "router" ? "" : name.replace(/-\d+$/, "");
 
-const listVm = (item: SystemProcess): readonly ListedVm[] => {
-  const role = listedRoles[item.kind];
+const listVmEntry = (item: SystemProcess): readonly ListedVm[] => {
+  const role = vmRoles[item.kind];
   if (role === undefined) return [];
   const { peerUrl } = item.process.ready;
   const { name: id, dataCentre } = item;
@@ -117,7 +117,7 @@
   readonly dataCentres: readonly string[];
 }
 
-/** The replicas of pools, spread over each pool's data centres in turn. */
+/** @returns The replicas of all pools, assigned to each pool's data centres in turn. */
 const listReplicas = <T extends Pool>(pools: readonly T[]) =>
   pools.flatMap((pool) =>
     Array.from({ length: pool.replicas }, (_, index) => ({
@@ -131,7 +131,7 @@
   for (let poll = 0; poll < readyPolls; poll += 1) {
     const answer = await fetch(`${url}/readyz`).catch(() => undefined);
     if (answer?.ok === true) return;
-    await sleep(readyInterval);
+    await sleep(readyPollInterval);
   }
   throw systemStartError(`The router at ${url} did not become ready.`);
 };
@@ -146,7 +146,7 @@
   settings: object,
 ) => Promise<StartedProcess>;
 
-/** Starts every upstream that a configuration wants. */
+/** Starts a stand-in for every upstream in the configuration. */
 const startUpstreams = async (
   configuration: Configuration,
   start: StartStandIn,
@@ -176,7 +176,11 @@
   await Promise.all([...engines, ...services, ...stores]);
 };
 
-/** Starts the stand-ins, then the routers, and publishes the configuration. */
+/**
+ * Starts the stand-ins and the routers, publishes the configuration, and waits until every router is ready.
+ *
+ * @throws {@link SystemStartError} if the VM list rejects an update, publishing fails, or a router does not become ready.
+ */
 export const startSystem = async (options: SystemOptions): Promise<System> => {
   await using resources = createResourceStack();
   const folder = await mkdtemp(join(tmpdir(), "pomelocleat-"));
@@ -185,7 +189,7 @@
   const processes: SystemProcess[] = [];
   const ended = new Set<StartedProcess>();
 
-  const add = (item: SystemProcess): SystemProcess => {
+  const register = (item: SystemProcess): SystemProcess => {
     resources.use(item.process);
     processes.push(item);
     void item.process.ended.then(() => ended.add(item.process));
@@ -195,7 +199,7 @@
   const startStandIn: StartStandIn = async (kind, name, dataCentre, settings) => {
     const changes = options.standIns?.[kind] ?? {};
     const started = await startStandInProcess(kind, { name, ...settings, ...changes });
-    return add({ kind, name, dataCentre, process: started }).process;
+    return register({ kind, name, dataCentre, process: started }).process;
   };
 
   const [logService, vmList, weightStore] = await Promise.all([
@@ -209,7 +213,7 @@
   const routers = (): readonly SystemProcess[] => alive().filter((item) => item.kind === "router");
 
   const publishVmList = async (): Promise<void> => {
-    const body = JSON.stringify({ vms: alive().flatMap(listVm) });
+    const body = JSON.stringify({ vms: alive().flatMap(listVmEntry) });
     const answer = await fetch(`${vmList.url}/stand-in/vms`, { method: "POST", body });
     if (!answer.ok) throw systemStartError(`The VM list answered ${answer.status}: ${await answer.text()}`);
   };
@@ -233,7 +237,7 @@
     const file = join(folder, `${name}.json`);
     await writeFile(file, JSON.stringify(settings));
     const started = await startProcess(routerModule, ["--settings", file]);
-    const item = add({ kind: "router", name, dataCentre, process: started });
+    const item = register({ kind: "router", name, dataCentre, process: started });
     await publishVmList();
     return item;
   };
@@ -259,7 +263,7 @@
     runClient,
     publishVmList,
     [Symbol.asyncDispose]: async () => {
-      // Also routers that were started later.
+      // Includes routers that were started later.
       await Promise.all(routers().map(({ process }) => process[Symbol.asyncDispose]()));
       await owned[Symbol.asyncDispose]();
     },
--- a/demo/sessions.ts
+++ b/demo/sessions.ts
@@ -1,4 +1,4 @@
-/** The two sessions that the demo plays: what is asked. */
+/** The requests of the two sessions that the demo plays. */
 
 /** One request of a session. */
 export interface SessionStep {
@@ -6,7 +6,7 @@
   readonly requestClass: string;
   readonly path: string;
   readonly body: object;
-  /** Marked non-idempotent. */
+  /** Marks the request as non-idempotent, so that it runs at most once. */
   readonly once?: boolean;
 }
 
@@ -28,7 +28,7 @@
   (index) => `Order ${index + 1}: ${(index * 7) % 90} cards of corozo buttons, trim family ${index % 9}.`,
 );
 
-const chat = (model: string, contents: readonly string[], maximumTokens: number): object => ({
+const createChatBody = (model: string, contents: readonly string[], maximumTokens: number): object => ({
   model,
   stream: true,
   stream_options: { include_usage: true },
@@ -41,28 +41,28 @@
 
 const chatPath = "/v1/chat/completions";
 
-const currencyCheck = (organisation: string, attendant: number): SessionStep => ({
+const createCurrencyCheck = (organisation: string, attendant: number): SessionStep => ({
   organisation,
   requestClass: "currency-check",
   path: chatPath,
-  body: chat(
+  body: createChatBody(
     "records-assistant",
     [consortiumRules, memberRules(organisation), `Is attendant ${attendant} current? Answer yes or no.`],
     4,
   ),
 });
 
-/** Quick checks of rival carriers, a long summary, a sign-off, and a call to the records desk. */
+/** Short checks of rival carriers, a long summary, a sign-off, and an idempotent call to the records desk. */
 export const levantSession: readonly SessionStep[] = [
-  currencyCheck("petra-wings", 17),
-  currencyCheck("petra-wings", 18),
-  currencyCheck("royal-desert-air", 17),
-  currencyCheck("petra-wings", 19),
+  createCurrencyCheck("petra-wings", 17),
+  createCurrencyCheck("petra-wings", 18),
+  createCurrencyCheck("royal-desert-air", 17),
+  createCurrencyCheck("petra-wings", 19),
   {
     organisation: "aqaba-express",
     requestClass: "course-summary",
     path: chatPath,
-    body: chat(
+    body: createChatBody(
       "records-assistant",
       [consortiumRules, memberRules("aqaba-express"), courseHistory, "Summarise the course history."],
       120,
@@ -83,27 +83,27 @@
   },
 ];
 
-const reconciliation = (question: string): SessionStep => ({
+const createReconciliation = (question: string): SessionStep => ({
   organisation: "bottega-catania",
   requestClass: "reconciliation",
   path: chatPath,
-  body: chat("modelli", [consortiumRules, orderHistory, question], 100),
+  body: createChatBody("modelli", [consortiumRules, orderHistory, question], 100),
 });
 
-/** A long reconciliation, another on the same history, tagging, and a price look-up. */
+/** Two long reconciliations with the same history, a tagging request, and a price look-up. */
 export const trinacriaSession: readonly SessionStep[] = [
-  reconciliation("Check the season against the supplier list."),
-  reconciliation("List the orders that no supplier confirmed."),
+  createReconciliation("Check the season against the supplier list."),
+  createReconciliation("List the orders that no supplier confirmed."),
   {
     organisation: "bottega-palermo",
     requestClass: "line-tagging",
     path: chatPath,
-    body: chat("modelli", [consortiumRules, "Tag: corozo, 18 mm, four holes."], 8),
+    body: createChatBody("modelli", [consortiumRules, "Tag: corozo, 18 mm, four holes."], 8),
   },
   {
     organisation: "bottega-palermo",
     requestClass: "price-lookup",
     path: chatPath,
-    body: chat("modelli", [consortiumRules, "Price of horn toggles, 40 mm?"], 8),
+    body: createChatBody("modelli", [consortiumRules, "Price of horn toggles, 40 mm?"], 8),
   },
 ];
