--- a/tests/atMostOnce.test.ts
+++ b/tests/atMostOnce.test.ts
@@ -1,4 +1,4 @@
-/** Requests marked non-idempotent, whatever fails: counted are executions by idempotency key. */
+/** Non-idempotent requests run at most once under any fault; the tests count executions by idempotency key. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -20,12 +20,17 @@
   return { status: answer.status, outcome, code: body.error?.code, answer };
 };
 
-const told = async (system: LocalSystem, key: string, router = 0, attendant = 17): Promise<string> => {
+const describeAnswer = async (
+  system: LocalSystem,
+  key: string,
+  router = 0,
+  attendant = 17,
+): Promise<string> => {
   const { status, outcome, code } = await signOff(system, key, router, attendant);
   return outcome === null ? `${status}` : `${status} ${outcome} ${code ?? ""}`;
 };
 
-const runsOf = (system: LocalSystem, key: string): number =>
+const countExecutions = (system: LocalSystem, key: string): number =>
   [...system.services, ...system.engines]
     .flatMap((standIn): readonly { readonly idempotencyKey: string | undefined }[] => standIn.executions())
     .filter(({ idempotencyKey }) => idempotencyKey === key).length;
@@ -38,74 +43,74 @@
 };
 
 describe("a sign-off", () => {
-  it("runs once where two routers get it at the same moment, and both give its answer", async () => {
+  it("runs once if two routers receive it at the same time, and both return its answer", async () => {
     await using system = await startLocalSystem({ routers: 2, services: 2 });
     const key = newKey();
-    const both = await Promise.all([told(system, key, 0), told(system, key, 1)]);
+    const both = await Promise.all([describeAnswer(system, key, 0), describeAnswer(system, key, 1)]);
     expect(both).toEqual(["200", "200"]);
-    expect(runsOf(system, key)).toEqual(1);
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  it("does not run for another body under the same key", async () => {
+  it("does not run if its key was used with another body", async () => {
     await using system = await startLocalSystem({ routers: 2 });
     const key = newKey();
-    expect(await told(system, key, 0, 17)).toEqual("200");
-    expect(await told(system, key, 1, 18)).toEqual("422 not_run idempotency_key_reused");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await describeAnswer(system, key, 0, 17)).toEqual("200");
+    expect(await describeAnswer(system, key, 1, 18)).toEqual("422 not_run idempotency_key_reused");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  const unknowns = ["loseAnswers", "garbage", "crossAnswers"] as const;
-  for (const fault of unknowns) {
-    it(`is not tried again after it may have run: ${fault}`, async () => {
+  const faultsAfterExecution = ["loseAnswers", "garbage", "crossAnswers"] as const;
+  for (const fault of faultsAfterExecution) {
+    it(`is not retried after it may have run: ${fault}`, async () => {
       await using system = await startLocalSystem({ routers: 2, services: 2 });
       const key = newKey();
       setServiceFaults(system, { [fault]: 1 });
-      expect(await told(system, key, 0)).toEqual("502 outcome_unknown outcome_unknown");
-      expect(await told(system, key, 1)).toEqual("409 outcome_unknown already_claimed");
-      expect(runsOf(system, key)).toEqual(1);
+      expect(await describeAnswer(system, key, 0)).toEqual("502 outcome_unknown outcome_unknown");
+      expect(await describeAnswer(system, key, 1)).toEqual("409 outcome_unknown already_claimed");
+      expect(countExecutions(system, key)).toEqual(1);
     });
   }
 
   for (const fault of ["refuse", "leaving"] as const) {
     for (const index of [0, 1]) {
-      it(`goes to the other replica where number ${index} refuses it as not run: ${fault}`, async () => {
+      it(`goes to the other replica if replica ${index} refuses it as not run: ${fault}`, async () => {
         await using system = await startLocalSystem({ services: 2 });
         const refusing = system.services[index];
         if (refusing !== undefined) refusing.faults[fault] = true;
         const key = newKey();
-        expect(await told(system, key)).toEqual("200");
+        expect(await describeAnswer(system, key)).toEqual("200");
         expect(system.services.map((service) => service.executions().length)).toEqual([index, 1 - index]);
       });
     }
   }
 
-  it("is a true not_run where every replica refuses it, and the retry runs", async () => {
+  it("is not_run if every replica refuses it, and its retry runs", async () => {
     await using system = await startLocalSystem({ routers: 2, services: 2 });
     const key = newKey();
     setServiceFaults(system, { refuse: true });
     const refused = await signOff(system, key);
     expect([refused.status, refused.outcome, refused.code]).toEqual([503, "not_run", "no_service_replica"]);
     expect(refused.answer.headers.get(headers.retryAfter)).toEqual("1");
-    expect(runsOf(system, key)).toEqual(0);
+    expect(countExecutions(system, key)).toEqual(0);
     setServiceFaults(system, { refuse: false });
-    expect(await told(system, key, 1)).toEqual("200");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await describeAnswer(system, key, 1)).toEqual("200");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  it("is a true not_run while the log is away, and the retry runs", async () => {
+  it("is not_run while the log is unavailable, and its retry runs", async () => {
     await using system = await startLocalSystem({ routers: 2 });
     const key = newKey();
     system.logService.faults.outage = true;
     const refused = await signOff(system, key);
     expect([refused.status, refused.outcome, refused.code]).toEqual([503, "not_run", "claims_unavailable"]);
     expect(refused.answer.headers.get(headers.retryAfter)).toEqual("5");
-    expect(runsOf(system, key)).toEqual(0);
+    expect(countExecutions(system, key)).toEqual(0);
     system.logService.faults.outage = false;
-    expect(await told(system, key, 1)).toEqual("200");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await describeAnswer(system, key, 1)).toEqual("200");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  it("runs while the log is away where the service itself runs a key once", async () => {
+  it("runs while the log is unavailable if the service itself deduplicates by key", async () => {
     await using system = await startLocalSystem({
       services: 2,
       changeConfiguration: (configuration) => ({
@@ -115,25 +120,25 @@
     });
     const key = newKey();
     system.logService.faults.outage = true;
-    expect(await told(system, key)).toEqual("200");
-    expect(runsOf(system, key)).toEqual(1);
-    expect(await told(system, `${Date.now() - 86_400_000}-too-old`)).toEqual(
+    expect(await describeAnswer(system, key)).toEqual("200");
+    expect(countExecutions(system, key)).toEqual(1);
+    expect(await describeAnswer(system, `${Date.now() - 86_400_000}-too-old`)).toEqual(
       "409 outcome_unknown idempotency_key_too_old",
     );
   });
 
-  it("runs once although the answers of the log's appends are lost", async () => {
+  it("runs once although responses to appends to the log are lost", async () => {
     await using system = await startLocalSystem({ routers: 2 });
     const key = newKey();
     system.logService.faults.loseAppendAnswers = 2;
-    expect(await told(system, key, 0)).toEqual("200");
-    expect(await told(system, key, 1)).toEqual("200");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await describeAnswer(system, key, 0)).toEqual("200");
+    expect(await describeAnswer(system, key, 1)).toEqual("200");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 });
 
-describe("a client library that repeats requests by itself", () => {
-  const ask = async (system: LocalSystem, key: string, requestClass: string): Promise<string> => {
+describe("a client library with automatic retries", () => {
+  const sendWithClient = async (system: LocalSystem, key: string, requestClass: string): Promise<string> => {
     const client = new OpenAI({
       baseURL: `${system.routers[0]?.url ?? ""}/v1`,
       apiKey: "demo-key-petra-wings",
@@ -151,29 +156,29 @@
     }
   };
 
-  it("does not repeat what may have run", async () => {
+  it("does not retry a request that may have run", async () => {
     await using system = await startLocalSystem();
     for (const engine of system.engines) engine.faults.closeEarlyAfterTokens = 2;
     const key = newKey();
-    expect(await ask(system, key, "sign-off")).toEqual("outcome_unknown");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await sendWithClient(system, key, "sign-off")).toEqual("outcome_unknown");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  it("repeats what has not run, which then runs once", async () => {
+  it("retries a request that has not run, which then runs once", async () => {
     await using system = await startLocalSystem();
     for (const engine of system.engines) engine.faults.leaving = true;
     const key = newKey();
-    const asked = ask(system, key, "sign-off");
+    const asked = sendWithClient(system, key, "sign-off");
     await sleep(100);
     for (const engine of system.engines) engine.faults.leaving = false;
     expect(await asked).toEqual("answered");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(countExecutions(system, key)).toEqual(1);
   });
 
-  it("gets no second attempt beside a slow one, though the class hedges", async () => {
+  it("gets no hedged attempt for a slow non-idempotent request, although the class hedges", async () => {
     await using system = await startLocalSystem({ engineSettings: { tokenMilliseconds: 60 } });
     const key = newKey();
-    expect(await ask(system, key, "currency-check")).toEqual("answered");
-    expect(runsOf(system, key)).toEqual(1);
+    expect(await sendWithClient(system, key, "currency-check")).toEqual("answered");
+    expect(countExecutions(system, key)).toEqual(1);
   });
 });
--- a/tests/crashingRequests.test.ts
+++ b/tests/crashingRequests.test.ts
@@ -1,7 +1,7 @@
 /**
- * On the product's own interface as on the users' platform, a request whose content crashes the engine that runs it
- * was remembered nowhere: attempts were counted by request, and the same came back as another one. The router went on
- * at the next engine after each crash until the time of the request was over: 24 engines crashed in 6 tries.
+ * A request whose content crashes the engine that runs it, on the product's own interface. Crashes were counted for each
+ * request, so that a retry by the caller began at zero, and the router tried the next engine after each crash until the
+ * request's deadline: 24 engines crashed in 6 tries of the caller.
  */
 import type { TestContext } from "node:test";
 import { describe, it } from "node:test";
@@ -12,21 +12,21 @@
 import type { LocalSystem } from "./support/localSystem.ts";
 import { startLocalSystem } from "./support/localSystem.ts";
 
-/** Crashes after which a request is no more to be run, and runs that may still follow. */
-const allowed = { crashes: 3, further: 3 } as const;
+/** The number of crashes after which a request is quarantined, and of attempts that may already be running then. */
+const limits = { crashes: 3, further: 3 } as const;
 
 const tries = 6;
 
-const crashesOf = async ({ url }: EngineStandIn): Promise<number> => {
+const fetchCrashCount = async ({ url }: EngineStandIn): Promise<number> => {
   const answer = await fetch(`${url}/stand-in/state`);
   return ((await answer.json()) as { readonly crashes: number }).crashes;
 };
 
 const countCrashes = async ({ engines }: LocalSystem): Promise<number> =>
-  (await Promise.all(engines.map(crashesOf))).reduce((sum, count) => sum + count, 0);
+  (await Promise.all(engines.map(fetchCrashCount))).reduce((sum, count) => sum + count, 0);
 
-const setDeadly = ({ engines }: LocalSystem, isDeadly: boolean): void => {
-  for (const { faults } of engines) faults.dieAfterTokens = isDeadly ? 1 : null;
+const setCrashing = ({ engines }: LocalSystem, isCrashing: boolean): void => {
+  for (const { faults } of engines) faults.dieAfterTokens = isCrashing ? 1 : null;
 };
 
 const ask = async (system: LocalSystem, router: number, body: unknown = question) => {
@@ -35,21 +35,21 @@
   return { status: answer.status, text, retryAfter: Number(answer.headers.get("retry-after")) };
 };
 
-/** The same again and again at routers in turn; nothing else is sent, so that what crashes engines is this request. */
-const repeat = async (system: LocalSystem, routers: number): Promise<void> => {
-  for (let turn = 0; turn < tries; turn += 1) {
-    setDeadly(system, true);
-    await ask(system, turn % routers);
+/** Sends the same request to the routers in turn, and nothing else, so that every crash is caused by this request. */
+const repeatRequest = async (system: LocalSystem, routers: number): Promise<void> => {
+  for (let attempt = 0; attempt < tries; attempt += 1) {
+    setCrashing(system, true);
+    await ask(system, attempt % routers);
   }
 };
 
-const expectBounded = async (context: TestContext, system: LocalSystem): Promise<void> => {
+const expectBoundedCrashes = async (context: TestContext, system: LocalSystem): Promise<void> => {
   const crashed = await countCrashes(system);
   context.diagnostic(`${crashed} engines crashed in ${tries} tries of the same request`);
-  expect(crashed >= allowed.crashes && crashed <= allowed.crashes + allowed.further).toEqual(true);
+  expect(crashed >= limits.crashes && crashed <= limits.crashes + limits.further).toEqual(true);
 };
 
-const expectHeldBack = async (system: LocalSystem, router: number): Promise<void> => {
+const expectQuarantined = async (system: LocalSystem, router: number): Promise<void> => {
   const { status, text, retryAfter } = await ask(system, router);
   expect([status, text.includes("held_back"), text.includes("not_run"), retryAfter > 0]).toEqual([
     503,
@@ -59,35 +59,35 @@
   ]);
 };
 
-const another = { ...question, messages: [{ role: "user", content: "Who may fly tomorrow?" }] };
+const otherQuestion = { ...question, messages: [{ role: "user", content: "Who may fly tomorrow?" }] };
 
 describe("a request that crashes the engines that run it, on the product's own interface", () => {
-  it("reaches no more than three engines after it has crashed three, sent again by its caller", async (context) => {
+  it("reaches at most three more engines after it has crashed three, although its caller retries", async (context) => {
     await using system = await startLocalSystem({ engines: 4 });
-    await repeat(system, 1);
-    await expectBounded(context, system);
+    await repeatRequest(system, 1);
+    await expectBoundedCrashes(context, system);
   });
 
-  it("reaches no more than that through several routers, and leaves others served", async (context) => {
+  it("has the same limit over several routers, and other requests are still served", async (context) => {
     await using system = await startLocalSystem({ engines: 4, routers: 3 });
-    await repeat(system, 3);
-    await expectBounded(context, system);
-    setDeadly(system, false);
+    await repeatRequest(system, 3);
+    await expectBoundedCrashes(context, system);
+    setCrashing(system, false);
     for (let router = 0; router < 3; router += 1) {
-      await expectHeldBack(system, router);
-      expect((await ask(system, router, another)).status).toEqual(200);
+      await expectQuarantined(system, router);
+      expect((await ask(system, router, otherQuestion)).status).toEqual(200);
     }
   });
 
-  it("is turned away by a router that starts later", async () => {
+  it("is rejected by a router that starts later", async () => {
     await using system = await startLocalSystem({ engines: 4, routers: 2 });
-    await repeat(system, 2);
-    setDeadly(system, false);
+    await repeatRequest(system, 2);
+    setCrashing(system, false);
     const before = await countCrashes(system);
     for (const router of [0, 1]) await system.stopRouter(router);
     await system.startRouter(1);
-    while ((await ask(system, 1, another)).status !== 200) await sleep(50);
-    await expectHeldBack(system, 1);
+    while ((await ask(system, 1, otherQuestion)).status !== 200) await sleep(50);
+    await expectQuarantined(system, 1);
     expect(await countCrashes(system)).toEqual(before);
   });
 });
--- a/tests/demo.test.ts
+++ b/tests/demo.test.ts
@@ -1,4 +1,4 @@
-/** The demo as its users run it: whole processes, from the stand-ins to the last answer. */
+/** Runs the demo as a child process, with the stand-ins and routers that it starts. */
 import { spawn } from "node:child_process";
 import { createInterface } from "node:readline";
 import { describe, it } from "node:test";
@@ -22,7 +22,7 @@
 };
 
 describe("the demo", () => {
-  it("plays both sessions to complete answers and ends with status 0", async () => {
+  it("gets a complete answer for every step of both sessions and exits with status 0", async () => {
     const child = spawn(process.execPath, [demo], { stdio: ["ignore", "pipe", "inherit"] });
     const lines: string[] = [];
     createInterface(child.stdout).on("line", (line) => lines.push(line));
@@ -34,7 +34,7 @@
     );
   });
 
-  it("describes itself to scripts and leaves no process behind", async () => {
+  it("prints a JSON description with --json and leaves no process running", async () => {
     const child = spawn(process.execPath, [demo, "--json"], { stdio: ["ignore", "pipe", "inherit"] });
     const ended = new Promise((resolve) => child.once("close", resolve));
     const line = await new Promise<string>((resolve) => createInterface(child.stdout).once("line", resolve));
--- a/tests/fuzz.test.ts
+++ b/tests/fuzz.test.ts
@@ -1,4 +1,4 @@
-/** Input that nobody meant: whatever comes, the answer is typed and the process goes on. */
+/** Random input leads to typed errors, and the router keeps running. */
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { after, before, describe, it } from "node:test";
@@ -17,11 +17,11 @@
 const seed = 20261202;
 const routes = ["/v1/chat/completions", "/v1/completions", "/services/records-desk/x"] as const;
 
-const textOfHeader = fc.string({
+const headerText = fc.string({
   unit: fc.integer({ min: 0x21, max: 0x7e }).map((code) => String.fromCharCode(code)),
 });
 
-/** Bodies from noise to almost right. */
+/** Request bodies from random bytes to almost valid ones. */
 const anyBody = fc.oneof(
   fc.string({ unit: "binary" }),
   fc.json(),
@@ -45,11 +45,11 @@
 
 const anyHeaders = fc.record(
   {
-    [headers.requestClass]: textOfHeader,
-    [headers.idempotent]: fc.oneof(fc.constant("false"), textOfHeader),
-    [headers.idempotencyKey]: textOfHeader,
-    [headers.prefixLevels]: fc.oneof(fc.constant("1,5,90000"), textOfHeader),
-    [headers.lastEventId]: textOfHeader,
+    [headers.requestClass]: headerText,
+    [headers.idempotent]: fc.oneof(fc.constant("false"), headerText),
+    [headers.idempotencyKey]: headerText,
+    [headers.prefixLevels]: fc.oneof(fc.constant("1,5,90000"), headerText),
+    [headers.lastEventId]: headerText,
   },
   { requiredKeys: [] },
 );
@@ -58,7 +58,7 @@
   readonly error?: { readonly code?: unknown; readonly type?: unknown; readonly outcome?: unknown };
 }
 
-describe("a router under noise", () => {
+describe("a router that receives random requests", () => {
   let system: LocalSystem;
   before(async () => {
     system = await startLocalSystem({ engines: 1 });
@@ -67,7 +67,7 @@
     await system[Symbol.asyncDispose]();
   });
 
-  it("answers every request with 200 or a typed error, and never fails inside", async () => {
+  it("answers every request with 200 or a typed error, and never with internal_error", async () => {
     await fc.assert(
       fc.asyncProperty(fc.constantFrom(...routes), anyBody, anyHeaders, async (route, body, given) => {
         const answer = await system.call(route, { body, headers: given });
@@ -85,7 +85,7 @@
   });
 });
 
-/** A stream of three tokens as an engine writes it. */
+/** A stream of three tokens in the format of an engine. */
 const engineStream = [" one", " two", " three"]
   .map((content) =>
     JSON.stringify({ id: "attempt", choices: [{ index: 0, delta: { content }, finish_reason: null }] }),
@@ -94,8 +94,8 @@
   .map((data) => `data: ${data}\n\n`)
   .join("");
 
-/** Reads what a fake engine sends in given parts, and gives the text or the fault. */
-const readFrom = async (parts: readonly Buffer[]): Promise<string> => {
+/** @returns The text read from a fake engine that sends these chunks; the fault if reading fails. */
+const readEngineStream = async (parts: readonly Buffer[]): Promise<string> => {
   const server = createServer((request, response) => {
     request.resume();
     response.writeHead(200, { "content-type": "text/event-stream", [headers.attempt]: "attempt" });
@@ -123,37 +123,39 @@
 };
 
 describe("an engine's stream", () => {
-  it("reads the same wherever it is cut into parts", async () => {
+  it("gives the same text however it is split into chunks", async () => {
     const bytes = Buffer.from(engineStream);
     const cuts = fc.array(fc.integer({ min: 0, max: bytes.length }), { maxLength: 6 });
     await fc.assert(
       fc.asyncProperty(cuts, async (given) => {
         const bounds = [0, ...given.sort((left, right) => left - right), bytes.length];
         const parts = bounds.slice(1).map((end, index) => bytes.subarray(bounds[index], end));
-        expect(await readFrom(parts)).toEqual(" one two three");
+        expect(await readEngineStream(parts)).toEqual(" one two three");
       }),
       { seed, numRuns: 60 },
     );
   });
 
-  it("ends in a typed fault where it is noise", async () => {
+  it("ends in a typed fault if it is random bytes", async () => {
     const faults = ["malformed", "closed_early", "crossed"];
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ maxLength: 200 }), async (noise) => {
-        expect(faults).toInclude(await readFrom([Buffer.from(noise), Buffer.from("\n\ndata: {\n\n")]));
+        expect(faults).toInclude(
+          await readEngineStream([Buffer.from(noise), Buffer.from("\n\ndata: {\n\n")]),
+        );
       }),
       { seed, numRuns: 60 },
     );
   });
 });
 
-describe("records of the log", () => {
-  it("that are noise are void and change nothing", () => {
+describe("random records of the log", () => {
+  it("are void and change nothing", () => {
     fc.assert(
       fc.property(fc.array(fc.oneof(fc.string(), fc.json()), { maxLength: 20 }), (data) => {
         const history = createConfigurationHistory();
-        const fates = data.map((item, offset) => history.apply({ offset, appendedAt: 0, data: item }));
-        expect(fates.map((fate) => fate.kind)).toEqual(data.map(() => "void"));
+        const outcomes = data.map((item, offset) => history.apply({ offset, appendedAt: 0, data: item }));
+        expect(outcomes.map((outcome) => outcome.kind)).toEqual(data.map(() => "void"));
         expect(history.current()).toEqual(undefined);
         expect(data.map(decodeConfigurationRecord)).toEqual(data.map(() => undefined));
       }),
--- a/tests/notRun.test.ts
+++ b/tests/notRun.test.ts
@@ -1,4 +1,4 @@
-/** What is answered as "not run" did not run, at whatever point the request failed. */
+/** A request answered with `not_run` has not run, at whatever point it failed. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -9,7 +9,7 @@
 import { operatorKey, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 
-/** One way in which an engine fails the requests of a round. */
+/** The faults that an engine can have during a round of requests. */
 const failures = {
   none: () => undefined,
   outage: ({ faults }) => void (faults.outage = true),
@@ -26,7 +26,7 @@
 } as const satisfies Record<string, (engine: EngineStandIn) => void>;
 type Failure = keyof typeof failures;
 
-const clear = ({ faults }: EngineStandIn): void =>
+const clearFaults = ({ faults }: EngineStandIn): void =>
   void Object.assign(faults, {
     outage: false,
     loseAnswers: 0,
@@ -40,18 +40,19 @@
     dieAfterTokens: null,
   });
 
-/** One request of a round. */
+/** A request of a round. */
 interface Plan {
   readonly stream: boolean;
+  /** Whether the request is marked as non-idempotent. */
   readonly once: boolean;
-  /** In a class that hedges. */
+  /** Whether its class hedges. */
   readonly hedged: boolean;
-  /** Milliseconds after which the caller goes away. */
+  /** Milliseconds after which the caller aborts; `undefined`: never. */
   readonly leaveAfter: number | undefined;
   readonly body: "valid" | "malformed" | "rejected";
 }
 
-const plans: fc.Arbitrary<Plan> = fc.record({
+const planArbitrary: fc.Arbitrary<Plan> = fc.record({
   stream: fc.boolean(),
   once: fc.boolean(),
   hedged: fc.boolean(),
@@ -62,7 +63,7 @@
   body: fc.constantFrom("valid" as const, "valid" as const, "malformed" as const, "rejected" as const),
 });
 
-const bodyOf = ({ stream, body }: Plan) => ({
+const createBody = ({ stream, body }: Plan) => ({
   model: "records-assistant",
   stream,
   max_tokens: 4,
@@ -71,18 +72,18 @@
   ],
 });
 
-/** What the caller was told: an outcome, `finished`, or nothing. */
-const ask = async (system: LocalSystem, plan: Plan, key: string): Promise<string> => {
-  const gone = plan.leaveAfter === undefined ? {} : { signal: AbortSignal.timeout(plan.leaveAfter) };
+/** @returns The outcome that the caller received; `finished`, `cut`, `left` if the call threw, or `no Retry-After`. */
+const sendPlan = async (system: LocalSystem, plan: Plan, key: string): Promise<string> => {
+  const cancellation = plan.leaveAfter === undefined ? {} : { signal: AbortSignal.timeout(plan.leaveAfter) };
   try {
     const answer = await system.call("/v1/chat/completions", {
-      body: plan.body === "malformed" ? "{" : bodyOf(plan),
+      body: plan.body === "malformed" ? "{" : createBody(plan),
       headers: {
         [headers.idempotencyKey]: key,
         ...(plan.once ? { [headers.idempotent]: "false" } : {}),
         [headers.requestClass]: plan.hedged ? "currency-check" : "course-summary",
       },
-      ...gone,
+      ...cancellation,
     });
     if (answer.status !== 200) {
       const outcome = answer.headers.get(headers.outcome) ?? "";
@@ -102,7 +103,7 @@
   }
 };
 
-const untilLive = async (system: LocalSystem): Promise<void> => {
+const waitUntilEnginesLive = async (system: LocalSystem): Promise<void> => {
   for (;;) {
     const answer = await system.call("/operator/engines", {
       headers: { authorization: `Bearer ${operatorKey}` },
@@ -114,7 +115,7 @@
 };
 
 describe("not_run", () => {
-  it("is true at every point of failure, and what may run once is never run twice", async () => {
+  it("is true at every point of failure, and non-idempotent requests never run twice", async () => {
     await using system = await startLocalSystem({
       engineSettings: { tokenMilliseconds: 5, maximumRunning: 2, maximumWaiting: 1 },
       changeConfiguration: (configuration) => ({
@@ -128,7 +129,7 @@
         })),
       }),
     });
-    const told = new Map<string, { readonly plan: Plan; readonly outcome: string }>();
+    const results = new Map<string, { readonly plan: Plan; readonly outcome: string }>();
     const failure = fc.constantFrom(...(Object.keys(failures) as Failure[]));
     await fc.assert(
       fc.asyncProperty(
@@ -136,34 +137,36 @@
           fc.tuple(failure, failure),
           failure.map((name) => [name, name] as const),
         ),
-        fc.array(plans, { minLength: 4, maxLength: 6 }),
+        fc.array(planArbitrary, { minLength: 4, maxLength: 6 }),
         async (chosen, round) => {
           system.engines.forEach((engine, index) => failures[chosen[index] ?? "none"](engine));
           await Promise.all(
             round.map(async (plan) => {
-              const key = `${Date.now()}-request-${told.size}`;
-              told.set(key, { plan, outcome: "" });
-              told.set(key, { plan, outcome: await ask(system, plan, key) });
+              const key = `${Date.now()}-request-${results.size}`;
+              results.set(key, { plan, outcome: "" });
+              results.set(key, { plan, outcome: await sendPlan(system, plan, key) });
             }),
           );
-          system.engines.forEach(clear);
-          await untilLive(system);
+          system.engines.forEach(clearFaults);
+          await waitUntilEnginesLive(system);
         },
       ),
       { seed: 17, numRuns: 40, endOnFailure: true },
     );
 
     const executions = system.engines.flatMap((engine) => engine.executions());
-    const runsOf = (key: string): number =>
+    const countExecutions = (key: string): number =>
       executions.filter(({ idempotencyKey }) => idempotencyKey === key).length;
     const outcomesSeen = new Set<string>();
-    for (const [key, { plan, outcome }] of told) {
+    for (const [key, { plan, outcome }] of results) {
       outcomesSeen.add(outcome);
-      if (outcome === outcomes.notRun) expect([key, outcome, runsOf(key)]).toEqual([key, outcome, 0]);
+      if (outcome === outcomes.notRun)
+        expect([key, outcome, countExecutions(key)]).toEqual([key, outcome, 0]);
       if (plan.leaveAfter === undefined) expect([key, outcome]).not.toEqual([key, "cut"]);
-      if (plan.once) expect([key, Math.min(2, runsOf(key))]).toEqual([key, Math.min(1, runsOf(key))]);
+      if (plan.once)
+        expect([key, Math.min(2, countExecutions(key))]).toEqual([key, Math.min(1, countExecutions(key))]);
     }
-    // The rounds have to reach every kind of outcome, or they would prove nothing.
+    // The test proves something only if the rounds reach every kind of outcome.
     expect([...outcomesSeen]).not.toInclude("no Retry-After");
     expect([...outcomesSeen]).toInclude(
       "finished",
--- a/tests/operators.test.ts
+++ b/tests/operators.test.ts
@@ -1,4 +1,4 @@
-/** The operators' client against real routers, so that both agree on what they say to one another. */
+/** The operators' command-line client against real routers: both must agree on the operator interface. */
 import { PassThrough } from "node:stream";
 import { json } from "node:stream/consumers";
 import { describe, it } from "node:test";
@@ -9,7 +9,7 @@
 import { operatorKey, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 
-const mostPolls = 200;
+const maxPolls = 200;
 const pollInterval = 20;
 
 const runClient = async (system: LocalSystem, ...words: readonly string[]) => {
@@ -24,9 +24,9 @@
   return { exitCode, value: await json(stdout) };
 };
 
-/** Asks until all routers have the same version, and returns it for each. */
+/** Polls until all routers have the same configuration version, and returns it for each; `undefined` if they never do. */
 const pollVersions = async (system: LocalSystem): Promise<readonly number[] | undefined> => {
-  for (let poll = 0; poll < mostPolls; poll += 1) {
+  for (let poll = 0; poll < maxPolls; poll += 1) {
     const { exitCode, value } = await runClient(system, "versions");
     const { routers } = value as { readonly routers: readonly { readonly version: number }[] };
     if (exitCode === exitCodes.success) return routers.map(({ version }) => version);
@@ -36,7 +36,7 @@
 };
 
 describe("the operators' client with real routers", () => {
-  it("sees a publication come into force on every router", async () => {
+  it("sees a published configuration take effect on every router", async () => {
     await using system = await startLocalSystem({ routers: 2, engines: 1 });
     const published = await runClient(system, "configuration", "publish", "examples/levant.json");
     expect(published.exitCode).toEqual(exitCodes.success);
@@ -44,7 +44,7 @@
     expect(seen).toEqual([1, 1]);
   });
 
-  it("reads a router's engines and its whole state", async () => {
+  it("reads a router's engines and its dump", async () => {
     await using system = await startLocalSystem({ engines: 2, services: 0 });
     const { exitCode, value } = await runClient(system, "engines");
     const { engines } = value as {
--- a/tests/peers.test.ts
+++ b/tests/peers.test.ts
@@ -1,4 +1,4 @@
-/** Routers among their peers, in one process over real sockets. */
+/** Peer membership and configuration exchange of routers in one process, over real sockets. */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -19,35 +19,35 @@
   readonly metrics: Readonly<Record<string, number>>;
 }
 
-const dumpOf = async (system: LocalSystem, router: number): Promise<Dump> => {
+const fetchDump = async (system: LocalSystem, router: number): Promise<Dump> => {
   const headers = { authorization: `Bearer ${operatorKey}` };
   const answer = await system.call("/operator/dump", { router, headers });
   return (await answer.json()) as Dump;
 };
 
-/** Waits for what must come; the test runner's own limit ends a wait in vain. */
-const until = async (condition: () => Promise<boolean>): Promise<void> => {
+/** Waits for a condition; the timeout of the test ends the wait if it never holds. */
+const waitUntil = async (condition: () => Promise<boolean>): Promise<void> => {
   while (!(await condition())) await sleep(20);
 };
 
-const allLive = (system: LocalSystem, count: number) => async (): Promise<boolean> => {
-  const dumps = await Promise.all(system.routers.map((_, index) => dumpOf(system, index)));
+const allSeeLivePeers = (system: LocalSystem, count: number) => async (): Promise<boolean> => {
+  const dumps = await Promise.all(system.routers.map((_, index) => fetchDump(system, index)));
   return dumps.every(({ membership }) => membership.livePeers.length === count);
 };
 
 describe("routers of a data centre", { timeout: 60_000 }, () => {
-  it("find each other, and come again after every connection was cut", async () => {
+  it("discover each other, and are live again after every connection was cut", async () => {
     await using system = await startLocalSystem({ routers: 3 });
-    await until(allLive(system, 3));
+    await waitUntil(allSeeLivePeers(system, 3));
     for (const router of system.routers) router.dropPeerConnections();
     const statesOf = async (): Promise<readonly string[]> => {
-      const dumps = await Promise.all(system.routers.map((_, index) => dumpOf(system, index)));
+      const dumps = await Promise.all(system.routers.map((_, index) => fetchDump(system, index)));
       return dumps.flatMap(({ membership }) => membership.peers.map((peer) => peer.state));
     };
     expect(await statesOf()).toEqual(Array.from({ length: 6 }, () => "suspect"));
-    await until(async () => (await statesOf()).every((state) => state === "live"));
-    await until(allLive(system, 3));
-    const dump = await dumpOf(system, 0);
+    await waitUntil(async () => (await statesOf()).every((state) => state === "live"));
+    await waitUntil(allSeeLivePeers(system, 3));
+    const dump = await fetchDump(system, 0);
     expect(Object.keys(dump.metrics).filter((name) => name.startsWith("peer_refusals"))).toEqual([]);
   });
 });
@@ -67,26 +67,26 @@
 };
 
 describe("a router that restarts", { timeout: 60_000 }, () => {
-  it("answers its first request while log and VM list are down, from a peer's memory", async () => {
+  it("answers its first request with a peer's configuration while log and VM list are down", async () => {
     await using system = await startLocalSystem({ routers: 2 });
-    await until(allLive(system, 2));
+    await waitUntil(allSeeLivePeers(system, 2));
     await system.stopRouter(1);
     setOutage(system, true);
     await system.startRouter(1, { seedPeers: [system.routers[0]?.peerUrl ?? ""] });
     const answer = await ask(system, 1);
     expect(answer.status).toEqual(200);
-    expect((await dumpOf(system, 1)).configuration.source).toEqual(system.routers[0]?.peerUrl ?? "");
+    expect((await fetchDump(system, 1)).configuration.source).toEqual(system.routers[0]?.peerUrl ?? "");
   });
 
-  it("answers its first request from the log where there is no peer", async () => {
+  it("answers its first request with the configuration from the log if it has no peer", async () => {
     await using system = await startLocalSystem({ routers: 1 });
     await system.stopRouter(0);
     await system.startRouter(0);
     expect((await ask(system, 0)).status).toEqual(200);
-    expect((await dumpOf(system, 0)).configuration.source).toEqual("log");
+    expect((await fetchDump(system, 0)).configuration.source).toEqual("log");
   });
 
-  it("with neither says so: not ready, not run", async () => {
+  it("is not ready and answers not_run if it has neither a peer nor the log", async () => {
     await using system = await startLocalSystem({ routers: 1 });
     await system.stopRouter(0);
     setOutage(system, true);
@@ -98,10 +98,10 @@
     expect(answer.headers.get("retry-after")).not.toEqual(null);
   });
 
-  it("takes part in a herd: all refuse while the log is down, and all serve once one can read it", async () => {
+  it("refuses requests if all restart while the log is down, and serves once the log is back", async () => {
     await using system = await startLocalSystem({ routers: 4 });
     const indices = [0, 1, 2, 3];
-    await until(allLive(system, 4));
+    await waitUntil(allSeeLivePeers(system, 4));
     system.logService.faults.outage = true;
     await Promise.all(indices.map((index) => system.stopRouter(index)));
     await Promise.all(indices.map((index) => system.startRouter(index)));
@@ -110,16 +110,16 @@
       indices.map(() => "not_run"),
     );
     system.logService.faults.outage = false;
-    await until(async () =>
+    await waitUntil(async () =>
       (await Promise.all(indices.map((index) => isReady(system, index)))).every(Boolean),
     );
     const answered = await Promise.all(indices.map((index) => ask(system, index)));
     expect(answered.map(({ status }) => status)).toEqual([200, 200, 200, 200]);
   });
 
-  it("takes part in a herd that leaves one peer: all serve from its memory while the log is down", async () => {
+  it("serves with the configuration of the one remaining peer while the log is down", async () => {
     await using system = await startLocalSystem({ routers: 4 });
-    await until(allLive(system, 4));
+    await waitUntil(allSeeLivePeers(system, 4));
     system.logService.faults.outage = true;
     const restarted = [1, 2, 3];
     await Promise.all(restarted.map((index) => system.stopRouter(index)));
@@ -129,10 +129,10 @@
   });
 });
 
-describe("what a router shows", { timeout: 60_000 }, () => {
-  it("holds no secret", async () => {
+describe("the operator interface of a router", { timeout: 60_000 }, () => {
+  it("exposes no secret", async () => {
     await using system = await startLocalSystem({ routers: 2 });
-    await until(allLive(system, 2));
+    await waitUntil(allSeeLivePeers(system, 2));
     const headers = { authorization: `Bearer ${operatorKey}` };
     for (const view of ["version", "dump", "engines"]) {
       const text = await (await system.call(`/operator/${view}`, { headers })).text();
--- a/tests/processes/leaving.test.ts
+++ b/tests/processes/leaving.test.ts
@@ -61,9 +61,9 @@
       await using caller = createCaller(() => urls);
       const failures: CallerResult[] = [];
       let isLoading = true;
-      const sendContinuously = async (ask: () => Promise<CallerResult>): Promise<void> => {
+      const sendContinuously = async (sendOne: () => Promise<CallerResult>): Promise<void> => {
         while (isLoading) {
-          const result = await ask();
+          const result = await sendOne();
           if (result.outcome !== "answered") failures.push(result);
         }
       };
--- a/tests/resume.test.ts
+++ b/tests/resume.test.ts
@@ -1,4 +1,4 @@
-/** A caller that lost its connection or its router gets the rest of its stream from any other router. */
+/** A caller that lost its connection or its router can resume its stream at any other router. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { headers } from "../src/protocol/constants.ts";
@@ -28,9 +28,12 @@
     }),
   });
 
-/** Reads so many events from router 0, and loses the connection. */
-const begin = async (system: LocalSystem, events: number, options: CallOptions = {}): Promise<ReadStream> =>
-  readStream(await system.call(path, { body: question, ...options }), events);
+/** Reads a number of events from router 0, then drops the connection. */
+const readEvents = async (
+  system: LocalSystem,
+  events: number,
+  options: CallOptions = {},
+): Promise<ReadStream> => readStream(await system.call(path, { body: question, ...options }), events);
 
 const resume = (system: LocalSystem, id: string, options: CallOptions = {}): Promise<Response> =>
   system.call(path, {
@@ -52,26 +55,26 @@
   return await readStream(await system.call(path, { body: question }));
 };
 
-/** An event without what differs from run to run: ids, times, and what the caches held. */
-const essenceOf = (data: string): unknown => {
+/** @returns An event without the fields that differ between runs: ids, times and cached tokens. */
+const normaliseEvent = (data: string): unknown => {
   if (data === "[DONE]") return data;
   const chunk = JSON.parse(data) as { usage?: { completion_tokens: number } };
   return JSON.stringify({ ...chunk, id: "", created: 0, usage: chunk.usage?.completion_tokens });
 };
 
-/** What several streams gave together must be what one undisturbed stream gives, event by event. */
+/** Expects several streams together to have the same events as one undisturbed stream. */
 const expectWhole = (undisturbed: ReadStream, ...streams: readonly ReadStream[]): void => {
-  const given = streams.flatMap(({ events }) => events.map(({ data }) => essenceOf(data)));
-  expect(given).toEqual(undisturbed.events.map(({ data }) => essenceOf(data)));
+  const given = streams.flatMap(({ events }) => events.map(({ data }) => normaliseEvent(data)));
+  expect(given).toEqual(undisturbed.events.map(({ data }) => normaliseEvent(data)));
 };
 
-describe("a stream picked up at another router", () => {
-  it("has no gap and no repeat, wherever it was lost, and runs nothing anew", async () => {
+describe("a stream resumed at another router", () => {
+  it("has no gap and no duplicate wherever it was cut, and starts no new execution", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith();
     for (let lostAfter = 1; lostAfter < undisturbed.events.length; lostAfter += 1) {
       const before = executionsOf(system).length;
-      const lost = await begin(system, lostAfter);
+      const lost = await readEvents(system, lostAfter);
       const rest = await readStream(await resume(system, lastIdOf(lost)));
       expect(isWhole(rest)).toEqual(true);
       expectWhole(undisturbed, lost, rest);
@@ -79,7 +82,7 @@
     }
   });
 
-  it("can be lost and picked up again, under the same request id", async () => {
+  it("can be cut and resumed repeatedly, under the same request id", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
     const first = await system.call(path, { body: question });
@@ -91,60 +94,63 @@
     expect(third.headers.get(headers.requestId)).toEqual(first.headers.get(headers.requestId));
   });
 
-  it("goes on elsewhere where its engine fails after that", async () => {
+  it("continues at another engine if its engine fails after the resumption", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
-    const lost = await begin(system, 2);
+    const lost = await readEvents(system, 2);
     const answer = await resume(system, lastIdOf(lost));
     const [engine] = system.engines.filter((item) => item.executions().length > 0);
     engine?.crash();
     expectWhole(undisturbed, lost, await readStream(answer));
   });
 
-  it("survives that its first router, still alive, tells the engine to stop", async () => {
+  it("is not stopped by its first router, which still runs", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
-    const lost = await begin(system, 2);
+    const lost = await readEvents(system, 2);
     expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
   });
 
-  it("is not stopped by the router that the caller comes back to", async () => {
+  it("is not stopped if the caller resumes it at the same router", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
-    const lost = await begin(system, 2);
+    const lost = await readEvents(system, 2);
     const answer = await resume(system, lastIdOf(lost), { router: 0 });
     expectWhole(undisturbed, lost, await readStream(answer));
     expect(executionsOf(system).map(({ state }) => state)).toEqual(["finished"]);
   });
 });
 
-describe("a stream whose engine is gone when its caller comes back", () => {
-  const loseWithEngine = async (system: LocalSystem, options: CallOptions = {}): Promise<ReadStream> => {
-    const lost = await begin(system, 4, options);
+describe("a stream whose engine has crashed before its caller resumes it", () => {
+  const loseStreamAndEngines = async (
+    system: LocalSystem,
+    options: CallOptions = {},
+  ): Promise<ReadStream> => {
+    const lost = await readEvents(system, 4, options);
     for (const engine of system.engines) engine.crash();
     return lost;
   };
 
-  it("goes on elsewhere after the text that the caller sends", async () => {
+  it("continues at another engine after the delivered text that the caller sends", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith();
-    const lost = await loseWithEngine(system);
+    const lost = await loseStreamAndEngines(system);
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
     const answer = await resume(system, lastIdOf(lost), { body });
     expectWhole(undisturbed, lost, await readStream(answer));
   });
 
-  it("asks for the text where the caller sends none, and runs nothing", async () => {
+  it("needs the delivered text, and runs nothing if the caller sends none", async () => {
     await using system = await startWith();
-    const lost = await loseWithEngine(system);
+    const lost = await loseStreamAndEngines(system);
     const answer = await resume(system, lastIdOf(lost));
     expect(await errorOf(answer)).toEqual([409, "delivered_text_needed", "failed"]);
     expect(executionsOf(system).length).toEqual(1);
   });
 
-  it("is of unknown outcome where it may run only once, also if the caller forgets to say so", async () => {
+  it("has an unknown outcome if it is non-idempotent, even if the caller doesn't repeat that header", async () => {
     await using system = await startWith();
-    const lost = await loseWithEngine(system, { headers: onceHeaders(`${Date.now()}-lost`) });
+    const lost = await loseStreamAndEngines(system, { headers: onceHeaders(`${Date.now()}-lost`) });
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
     const answer = await resume(system, lastIdOf(lost), { body });
     expect(await errorOf(answer)).toEqual([502, "outcome_unknown", "outcome_unknown"]);
@@ -152,32 +158,32 @@
   });
 });
 
-/** Of the engine that continued it: more than the caller has from there, and fewer than the rest of the answer has. */
+/** Tokens from the engine that continued the stream: more than the caller has from it, fewer than the answer still has. */
 const tokensBeforeCrash = 6;
 
-describe("a stream that had been continued before its caller lost it", () => {
-  /** Each engine cuts streams after 3 tokens, so that the piece at which the caller goes comes from a second one. */
-  const loseContinued = async (system: LocalSystem): Promise<ReadStream> => {
+describe("a stream that was continued at a second engine before its caller lost it", () => {
+  /** Each engine cuts streams after 3 tokens, so that a second engine serves the part at which the caller disconnects. */
+  const loseContinuedStream = async (system: LocalSystem): Promise<ReadStream> => {
     for (const engine of system.engines) engine.faults.closeEarlyAfterTokens = 3;
-    const lost = await begin(system, 5);
+    const lost = await readEvents(system, 5);
     for (const engine of system.engines) engine.faults.closeEarlyAfterTokens = null;
     return lost;
   };
 
-  it("is picked up at the engine that continued it", async () => {
+  it("is resumed at the engine that continued it", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
-    const lost = await loseContinued(system);
+    const lost = await loseContinuedStream(system);
     const before = executionsOf(system).length;
     expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
     expect(executionsOf(system).length).toEqual(before);
   });
 
-  it("needs its text where that engine fails as well, and is whole with it", async () => {
+  it("needs the delivered text if that engine fails as well, and is complete with it", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
-    const lost = await loseContinued(system);
-    // Where the test is held up, the stream must not have come to its end before the crash.
+    const lost = await loseContinuedStream(system);
+    // Keeps the stream from ending before the crash if the test runs slowly.
     for (const engine of system.engines) engine.faults.stallAfterTokens = tokensBeforeCrash;
     const answer = await resume(system, lastIdOf(lost));
     for (const engine of system.engines) engine.crash();
@@ -196,9 +202,9 @@
 describe("a resume token", () => {
   const sharedSecret = "test-shared-secret-of-all-routers-0123456789";
 
-  it("is refused if forged, foreign, for another body, or stale; nothing is run", async () => {
+  it("is refused, and runs nothing, if forged, from another organisation, for another body or expired", async () => {
     await using system = await startWith();
-    const lost = await begin(system, 4);
+    const lost = await readEvents(system, 4);
     const id = lastIdOf(lost);
     const fields = id.split(",");
     const changed = (index: number, value: string): string => fields.with(index, value).join(",");
@@ -211,7 +217,7 @@
       ["no token", "12", {}, forged],
       ["another engine", changed(6, "records-assistant-9"), {}, forged],
       ["another attempt", changed(5, "another"), {}, forged],
-      ["a longer life", changed(1, "99999999999"), {}, forged],
+      ["a later expiry", changed(1, "99999999999"), {}, forged],
       ["made idempotent", changed(2, fields[2] === "1" ? "0" : "1"), {}, forged],
       ["another secret", otherSecret, {}, forged],
       ["another organisation", id, { organisation: "royal-desert-air" }, forged],
@@ -221,7 +227,7 @@
         { body: { ...question, max_tokens: 13 } },
         [409, "resume_of_other_request", "outcome_unknown"],
       ],
-      ["an old one", stale, {}, [409, "resume_token_expired", "outcome_unknown"]],
+      ["an expired token", stale, {}, [409, "resume_token_expired", "outcome_unknown"]],
       ["beyond the end", changed(9, "400"), {}, [409, "invalid_resume_position", "outcome_unknown"]],
       [
         "other text",
@@ -230,7 +236,7 @@
         [409, "delivered_text_differs", "outcome_unknown"],
       ],
       [
-        "no stream",
+        "a request without streaming",
         id,
         { body: { ...question, stream: false } },
         [400, "resume_not_streamed", "outcome_unknown"],
--- a/tests/rollOut.test.ts
+++ b/tests/rollOut.test.ts
@@ -1,4 +1,4 @@
-/** A roll-out of weights under requests, over real sockets. */
+/** A roll-out of new weights while requests are served, over real sockets. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { createPublication, encodeConfigurationRecord } from "../src/protocol/configuration/record.ts";
@@ -44,32 +44,32 @@
   return choices[0]?.message.content ?? "";
 };
 
-describe("a roll-out under requests", () => {
-  it("fails no request, and answers each by one version only, in the end by the new one", async () => {
+describe("a roll-out of weights under load", () => {
+  it("fails no request, never mixes versions in one answer, and ends with the new version", async () => {
     await using system = await startLocalSystem({
       routers: 2,
       engines: 4,
       engineSettings: { tokenMilliseconds: 2, loadMilliseconds: 30, averageTokens: 0 },
     });
-    const answersOf = (attendants: readonly number[]) =>
+    const askAll = (attendants: readonly number[]) =>
       Promise.all(attendants.map((attendant) => ask(system, attendant)));
     const courses = [0, 1, 2, 3, 4, 5, 6];
-    const old = (await answersOf(courses)).map(({ text }) => contentOf(text));
+    const oldContents = (await askAll(courses)).map(({ text }) => contentOf(text));
     await publishWeights(system);
     const during: { readonly course: number; readonly status: number; readonly text: string }[] = [];
     const isDone = (): boolean =>
       system.engines.every(({ load }) => load().weightsVersion === newWeights && !load().leaving);
     const end = performance.now() + 30_000;
     while (!isDone() && performance.now() < end) {
-      const answers = await answersOf(courses);
+      const answers = await askAll(courses);
       during.push(...answers.map((answer, course) => ({ course, ...answer })));
     }
     expect(isDone()).toEqual(true);
-    const now = (await answersOf(courses)).map(({ text }) => contentOf(text));
+    const newContents = (await askAll(courses)).map(({ text }) => contentOf(text));
     expect(during.filter(({ status }) => status !== 200)).toEqual([]);
-    const isWhole = ({ course, text }: (typeof during)[number]): boolean =>
-      [old[course], now[course]].includes(contentOf(text));
-    expect(during.filter((answer) => !isWhole(answer))).toEqual([]);
-    expect(now.every((text, course) => text !== old[course])).toEqual(true);
+    const isFromOneVersion = ({ course, text }: (typeof during)[number]): boolean =>
+      [oldContents[course], newContents[course]].includes(contentOf(text));
+    expect(during.filter((answer) => !isFromOneVersion(answer))).toEqual([]);
+    expect(newContents.every((text, course) => text !== oldContents[course])).toEqual(true);
   });
 });
--- a/tests/routerKilled.test.ts
+++ b/tests/routerKilled.test.ts
@@ -1,4 +1,4 @@
-/** Whole processes: a router is killed while it relays, and the caller goes on at another one. */
+/** A router process is killed while it relays a stream, and the caller resumes the stream at another router. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { demoKey, startSystem } from "../demo/processes.ts";
@@ -25,7 +25,7 @@
     body: JSON.stringify(question),
   });
 
-const executionsOf = async (system: System): Promise<number> => {
+const countExecutions = async (system: System): Promise<number> => {
   const engines = system.processes().filter(({ kind }) => kind === "engine");
   const counts = engines.map(async ({ process }) => {
     const answer = await fetch(`${process.url}/stand-in/state`);
@@ -35,7 +35,7 @@
 };
 
 describe("a router killed while it relays a stream", () => {
-  it("costs its caller nothing: another router gives the rest from the same engine", async () => {
+  it("loses nothing for its caller: another router relays the rest from the same engine", async () => {
     await using system = await startSystem({
       configurationFile: "examples/demo.json",
       routers: ["amman-north", "amman-south"],
@@ -43,7 +43,7 @@
     const [first, second] = system.routers();
     if (first === undefined || second === undefined) return;
     const undisturbed = textOf(await readStream(await ask(second.process.url)));
-    const before = await executionsOf(system);
+    const before = await countExecutions(system);
 
     const lost = await readStream(await ask(first.process.url), Infinity, (count) => {
       if (count === 20) first.process.kill("SIGKILL");
@@ -52,6 +52,6 @@
     const rest = await readStream(await ask(second.process.url, lastIdOf(lost)));
     expect(isWhole(rest)).toEqual(true);
     expect(textOf(lost, rest)).toEqual(undisturbed);
-    expect(await executionsOf(system)).toEqual(before + 1);
+    expect(await countExecutions(system)).toEqual(before + 1);
   });
 });
--- a/tests/streams.test.ts
+++ b/tests/streams.test.ts
@@ -1,4 +1,4 @@
-/** Streams are whole and in order, or end with a typed error, whatever engines do. */
+/** Streams are complete and in order, or end with a typed error, whatever faults engines have. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -17,7 +17,7 @@
 import { onceHeaders, operatorKey, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem, LocalSystemOptions } from "./support/localSystem.ts";
 
-/** A system whose classes all have some settings. */
+/** Starts a system whose classes all have the given settings, and don't hedge by default. */
 const startWith = (changes: Partial<ClassConfiguration>, options: LocalSystemOptions = {}) =>
   startLocalSystem({
     ...options,
@@ -27,19 +27,19 @@
     }),
   });
 
-/** Little time, so that what can't be done is given up soon. */
-const hopeless = { firstTokenDeadline: 100, completionDeadline: 300, stallTimeout: 50 };
+/** Deadlines at which requests that can't succeed fail soon, milliseconds. */
+const shortDeadlines = { firstTokenDeadline: 100, completionDeadline: 300, stallTimeout: 50 };
 
 const ask = async (system: LocalSystem, body: object = question): Promise<ReadStream> =>
   readStream(await system.call("/v1/chat/completions", { body }));
 
-/** The same answer from engines that nothing happens to. */
+/** @returns The answer of engines without faults. */
 const askUndisturbed = async (): Promise<ReadStream> => {
   await using system = await startWith({});
   return await ask(system);
 };
 
-const statesOf = async (system: LocalSystem): Promise<readonly string[]> => {
+const fetchEngineStates = async (system: LocalSystem): Promise<readonly string[]> => {
   const answer = await system.call("/operator/engines", {
     headers: { authorization: `Bearer ${operatorKey}` },
   });
@@ -59,7 +59,7 @@
 };
 
 describe("a stream whose engines fail again and again", () => {
-  it("goes on elsewhere byte for byte, with its usage added up", async () => {
+  it("continues at other engines with the same text, and adds up its usage", async () => {
     const undisturbed = await askUndisturbed();
     for (const fault of ["closeEarlyAfterTokens", "stallAfterTokens"] as const) {
       await using system = await startWith({ stallTimeout: 60 });
@@ -70,7 +70,7 @@
     }
   });
 
-  it("is whole also where it is not streamed", async () => {
+  it("is complete also as a response without streaming", async () => {
     const undisturbed = await askUndisturbed();
     await using system = await startWith({});
     for (const engine of system.engines) engine.faults.closeEarlyAfterTokens = 5;
@@ -84,7 +84,7 @@
     expect(body.usage.completion_tokens).toEqual(tokens);
   });
 
-  it("survives crashes of every engine in turn", async () => {
+  it("is complete although every engine crashes in turn", async () => {
     const undisturbed = await askUndisturbed();
     await using system = await startWith({}, { engines: 3 });
     for (const engine of system.engines) engine.faults.dieAfterTokens = 2;
@@ -93,8 +93,8 @@
 });
 
 describe("a stream that can't be finished", () => {
-  it("ends with a typed error and no end mark", async () => {
-    await using system = await startWith(hopeless);
+  it("ends with a typed error and without [DONE]", async () => {
+    await using system = await startWith(shortDeadlines);
     for (const engine of system.engines) engine.faults.stallAfterTokens = 4;
     const answer = await system.call("/v1/chat/completions", { body: question });
     for (const engine of system.engines) engine.faults.outage = true;
@@ -105,8 +105,8 @@
     expect(failureOf(stream)?.outcome).toEqual("failed");
   });
 
-  it("is a status with a typed error where the answer is whole", async () => {
-    await using system = await startWith(hopeless);
+  it("is an error status with a typed error without streaming", async () => {
+    await using system = await startWith(shortDeadlines);
     for (const engine of system.engines) engine.faults.stallAfterTokens = 0;
     const answer = await system.call("/v1/chat/completions", { body: { ...question, stream: false } });
     const [status, code, outcome] = await errorOf(answer);
@@ -117,19 +117,19 @@
 });
 
 describe("deadlines", () => {
-  it("let a request leave an engine that accepts and never answers", async () => {
+  it("move a request from an engine that accepts it and never answers to another one", async () => {
     await using system = await startWith({ firstTokenDeadline: 150, stallTimeout: 100 });
     const undisturbed = await askUndisturbed();
     for (const engine of system.engines) {
       engine.faults.freeze = true;
       expectSame(await ask(system), undisturbed);
       engine.faults.freeze = false;
-      while ((await statesOf(system)).some((state) => state !== "live")) await sleep(5);
+      while ((await fetchEngineStates(system)).some((state) => state !== "live")) await sleep(5);
     }
   });
 
-  it("give the final answer at once when the last one passes, with the truth about what ran", async () => {
-    await using system = await startWith({ ...hopeless, firstTokenDeadline: 300 }, { engines: 1 });
+  it("answer with the correct outcome as soon as the last one has passed", async () => {
+    await using system = await startWith({ ...shortDeadlines, firstTokenDeadline: 300 }, { engines: 1 });
     const [engine] = system.engines;
     if (engine === undefined) return;
     engine.faults.freeze = true;
@@ -139,10 +139,10 @@
 });
 
 describe("a caller that goes away", () => {
-  it("does not make its engine look broken", async () => {
+  it("does not make its engine count as failed", async () => {
     await using system = await startWith(
       {},
-      // No load report comes in between to correct the picture.
+      // Without load reports, which would restore the engine's state.
       { engines: 1, engineSettings: { tokenMilliseconds: 20 }, routerSettings: { loadInterval: 60_000 } },
     );
     const controller = new AbortController();
@@ -153,10 +153,10 @@
     const [engine] = system.engines;
     while (engine?.executions()[0]?.state === "running") await sleep(5);
     expect(engine?.executions()[0]?.state).toEqual("cancelled");
-    expect(await statesOf(system)).toEqual(["live"]);
+    expect(await fetchEngineStates(system)).toEqual(["live"]);
   });
 
-  it("does not cut a request that may run only once", async () => {
+  it("does not cancel a non-idempotent request", async () => {
     await using system = await startWith({}, { engines: 1, engineSettings: { tokenMilliseconds: 5 } });
     const controller = new AbortController();
     const answer = await system.call("/v1/chat/completions", {
@@ -173,7 +173,7 @@
 });
 
 describe("event ids", () => {
-  it("rise with the text and are different on each event", async () => {
+  it("are different for each event", async () => {
     await using system = await startWith({});
     const { events } = await ask(system);
     const ids = events.flatMap(({ id }) => id ?? []);
--- a/tests/wholePath.test.ts
+++ b/tests/wholePath.test.ts
@@ -1,4 +1,4 @@
-/** A request from one end to the other, in the forms that callers use. */
+/** Requests through router and upstream, in all forms that callers use. */
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
@@ -23,16 +23,16 @@
     maxRetries: 0,
   });
 
-/** Sends a body that must be refused, and gives status, code and outcome. */
-const refusal = async (answer: Response) => {
+/** @returns Status, code and outcome of an error response. */
+const readRefusal = async (answer: Response) => {
   const body = (await answer.json()) as {
     readonly error: { readonly code: string; readonly outcome: string };
   };
   return [answer.status, body.error.code, body.error.outcome] as const;
 };
 
-describe("the whole path", () => {
-  it("gives an unmodified OpenAI client the same text streamed and whole", async () => {
+describe("a request through router and upstream", () => {
+  it("gives an unmodified OpenAI client the same text with and without streaming", async () => {
     await using system = await startLocalSystem();
     const client = clientFor(system);
     const whole = await client.chat.completions.create(question);
@@ -70,7 +70,7 @@
     expect(answer.headers.get(headers.requestId) ?? "").toMatchRegex(/^[0-9a-f-]{36}$/);
   });
 
-  it("keeps an organisation's cache from its rivals", async () => {
+  it("keeps an organisation's prompt cache apart from its rivals", async () => {
     await using system = await startLocalSystem({ engines: 1 });
     const body = {
       ...question,
@@ -86,7 +86,7 @@
     expect(await cached("royal-desert-air")).toEqual("0");
   });
 
-  it("calls plain services, and runs a sign-off once for one key", async () => {
+  it("calls plain services, and runs a sign-off once for an idempotency key", async () => {
     await using system = await startLocalSystem({ services: 2 });
     const key = `${Date.now()}-key-of-this-test`;
     const signOff = () =>
@@ -102,7 +102,7 @@
     expect(executions.length).toEqual(1);
   });
 
-  it("passes a caller's abort on to the engine", async () => {
+  it("cancels the engine's execution when the caller aborts", async () => {
     await using system = await startLocalSystem({ engines: 1, engineSettings: { tokenMilliseconds: 20 } });
     const controller = new AbortController();
     const body = { ...question, stream: true, max_tokens: 500, ignore_eos: true };
@@ -115,7 +115,7 @@
   });
 });
 
-describe("bad input", () => {
+describe("invalid input", () => {
   const cases: readonly (readonly [string, string, object, readonly [number, string, string]])[] = [
     ["malformed JSON", "/v1/chat/completions", { body: "{" }, [400, "invalid_body", "not_run"]],
     [
@@ -137,7 +137,7 @@
       [404, "unknown_model", "not_run"],
     ],
     [
-      "a field that would move it ahead of rivals",
+      "a field that would raise its priority",
       "/v1/chat/completions",
       { body: { ...question, priority: -100 } },
       [400, "unsupported_field", "not_run"],
@@ -176,10 +176,10 @@
     ],
   ];
 
-  it("is refused with a typed error, and the router goes on", async () => {
+  it("is refused with a typed error, and the router keeps serving", async () => {
     await using system = await startLocalSystem();
     for (const [name, path, options, expected] of cases) {
-      const answer = await refusal(await system.call(path, options));
+      const answer = await readRefusal(await system.call(path, options));
       expect([name, ...answer]).toEqual([name, ...expected]);
     }
     const answer = await system.call("/v1/chat/completions", { body: question });
@@ -187,14 +187,14 @@
   });
 });
 
-describe("an engine that misbehaves", () => {
+describe("a faulty engine", () => {
   const ask = async (system: LocalSystem, fault: (system: LocalSystem) => void) => {
     fault(system);
     const answer = await system.call("/v1/chat/completions", { body: { ...question, stream: true } });
     return answer.text();
   };
-  /** Waits until every engine has reported again. */
-  const untilLive = async (system: LocalSystem): Promise<void> => {
+  /** Waits until the router reports every engine as live. */
+  const waitUntilEnginesLive = async (system: LocalSystem): Promise<void> => {
     for (;;) {
       const answer = await system.call("/operator/engines", {
         headers: { authorization: `Bearer ${operatorKey}` },
@@ -207,7 +207,7 @@
   const textOf = (stream: string): string =>
     [...stream.matchAll(/"content":"([^"]*)"/g)].map(([, text]) => text).join("");
 
-  it("is replaced by another one: garbage, crossed answers, early end, silence, crash", async () => {
+  it("is replaced by another one: garbage, crossed answers, early close, stall, crash", async () => {
     await using system = await startLocalSystem({
       changeConfiguration: (configuration) => ({
         ...configuration,
@@ -223,7 +223,7 @@
       (engine) => (engine.faults.dieAfterTokens = 3),
     ];
     for (const setFault of faults) {
-      // Both engines have the fault in turn, so that whichever is asked first shows it.
+      // Each engine has the fault in turn, since either may be chosen first.
       for (const engine of system.engines) {
         const stream = await ask(system, () => setFault(engine));
         expect(textOf(stream)).toEqual(undisturbed);
@@ -235,7 +235,7 @@
           stallAfterTokens: null,
           dieAfterTokens: null,
         });
-        await untilLive(system);
+        await waitUntilEnginesLive(system);
       }
     }
   });
