--- a/bench/admission/admission.ts
+++ b/bench/admission/admission.ts
@@ -5,7 +5,7 @@
 import { usualReports } from "../model/scenarios.ts";
 import { runSimulation } from "../model/simulation.ts";
 import type { SimulationResult } from "../model/simulation.ts";
-import { policies, policyNames } from "../policies/all.ts";
+import { policies, policyNames } from "../policies/policies.ts";
 import type { Policy } from "../policies/Policy.ts";
 import { formatMilliseconds, formatShare, formatTable } from "../report/table.ts";
 import type { Row } from "../report/table.ts";
--- a/bench/admission/measures.test.ts
+++ b/bench/admission/measures.test.ts
@@ -23,7 +23,7 @@
   assignedAfter: 10,
   endedAfter: 200,
   attempts: 1,
-  heldTokens: 4000,
+  cachedAnywhereTokens: 4000,
   startedTokens: 5000,
   cachedTokens: 4000,
   wastedTokens: 0,
--- a/bench/admission/measures.ts
+++ b/bench/admission/measures.ts
@@ -51,7 +51,10 @@
   firstTokenAfter !== undefined && firstTokenAfter <= deadlineOf(mix, arrival.className);
 
 /** How long a refused request had been hopeless, by what the best engine held when it came. */
-const hopelessTime = (mix: Mix, { arrival, heldTokens, endedAfter }: RequestRecord): number => {
+const hopelessTime = (
+  mix: Mix,
+  { arrival, cachedAnywhereTokens: heldTokens, endedAfter }: RequestRecord,
+): number => {
   const { prefillOverhead, prefillTokensPerSecond } = mix.engine;
   const prefill = prefillOverhead + ((arrival.promptTokens - heldTokens) * 1000) / prefillTokensPerSecond;
   const hopelessAfter = Math.max(0, deadlineOf(mix, arrival.className) - prefill);
--- a/bench/admission/scenarios.ts
+++ b/bench/admission/scenarios.ts
@@ -25,7 +25,7 @@
 
 const cutOffWhole: TimedFault = {
   at: warmUp,
-  strike: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
+  apply: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
 };
 
 export const admissionScenarios: readonly AdmissionScenario[] = [
--- a/bench/lab/labReplicaClient.ts
+++ b/bench/lab/LabReplicaClient.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../../src/coordination/clock.ts";
 import { pause } from "../../src/coordination/clock.ts";
 import { upstreamError } from "../../src/protocol/errors.ts";
-import type { ConnectionTrial } from "../../src/protocol/forwarding/ReplicaClient.ts";
+import type { ConnectionProbeResult } from "../../src/protocol/forwarding/ReplicaClient.ts";
 import { ReplicaClient } from "../../src/protocol/forwarding/ReplicaClient.ts";
 import type {
   AnswerHead,
@@ -38,7 +38,7 @@
   limit: limit?.isNamed === true ? limit.perSecond : undefined,
   isDraining,
   retryAfter: undefined,
-  closes: false,
+  closesConnection: false,
 });
 
 /** An engine that reports nothing. */
@@ -114,21 +114,21 @@
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
     await pause(this.clock, latency, signal);
-    if (signal.aborted || !call.mayLeave()) throw upstreamError("cancelled", "cancelled", "not_sent");
+    if (signal.aborted || !call.maySend()) throw upstreamError("cancelled", "cancelled", "not_sent");
     const replica = this.fleet.find(call.replica.id);
     if (replica === undefined || replica.state === "dark") return this.hang(signal);
     if (replica.state === "down") throw upstreamError("cannot connect", "unreachable", "not_sent");
     if (replica.state === "loading" || replica.version !== (call.weightsVersion ?? replica.version)) {
       return this.refuse(call, replica.version, replica.state === "loading" ? 503 : 421);
     }
-    this.fleet.reports.noteArrival(replica.entry.id, this.router);
+    this.fleet.reports.recordArrival(replica.entry.id, this.router);
     if (replica.refusal !== undefined) return this.turnAway(call, replica, replica.refusal);
     const isOver = isOverLimit(replica, this.clock.monotonic());
     replica.arrivals.push(this.clock.monotonic());
     return isOver ? this.refuse(call, replica.version, 503) : this.run(call, signal);
   }
 
-  override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionTrial> {
+  override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const state = this.fleet.find(id)?.state;
     const isSilent = state === "dark" || state === undefined;
     await pause(this.clock, isSilent ? timeout : latency);
@@ -186,7 +186,7 @@
     { entry, version }: LabReplica,
     { retryAfter }: LabRefusal,
   ): ReplicaAnswer {
-    if (retryAfter !== undefined) this.fleet.reports.noteBackoff(entry.id, this.router, retryAfter);
+    if (retryAfter !== undefined) this.fleet.reports.recordBackoff(entry.id, this.router, retryAfter);
     const refused = this.refuse(call, version, 503);
     return { ...refused, head: { ...refused.head, retryAfter } };
   }
@@ -199,16 +199,16 @@
       const begin = (): void => {
         hasBegun = true;
         const body = pieces.read(() => cancel?.());
-        if (replica?.isDraining === true) this.fleet.reports.noteDraining(replica.entry.id, this.router);
+        if (replica?.isDraining === true) this.fleet.reports.recordDraining(replica.entry.id, this.router);
         resolve({ head: headOf(call, replica?.version ?? 1, replica ?? unlimited), body });
       };
       const cancel = replica?.engine.submit({
         priority: call.priority ?? 5,
         levels: levelsOf(call),
         answerTokens: this.fleet.answerTokens(call.request.id),
-        source: this.fleet.keeperAt(call.fetchFrom),
-        saveTo: this.fleet.keeperAt(call.saveTo),
-        onPiece: () =>
+        source: this.fleet.cacheAt(call.fetchFrom),
+        saveTo: this.fleet.cacheAt(call.saveTo),
+        onEvent: () =>
           this.clock.after(latency, () => {
             pieces.add();
             if (!hasBegun) begin();
--- a/bench/lab/batchEngine.ts
+++ b/bench/lab/batchEngine.ts
@@ -6,7 +6,7 @@
  */
 import { createPrefixCache } from "../model/prefixCache.ts";
 import type { EngineSpecification } from "./experiment.ts";
-import type { BatchJob, BatchState, BatchSurroundings, PartKeeper, Task } from "./batchTypes.ts";
+import type { BatchJob, BatchState, BatchEnvironment, CacheEndpoint, Task } from "./batchTypes.ts";
 import {
   admitWaiting,
   countComputed,
@@ -19,7 +19,7 @@
 } from "./batchState.ts";
 
 /** See {@link createBatchEngine}. */
-export interface BatchEngine extends PartKeeper {
+export interface BatchEngine extends CacheEndpoint {
   /** @returns A function that cancels the job; nothing if the engine is down. */
   readonly submit: (job: BatchJob) => (() => void) | undefined;
   /** Fails all work and loses the cache. @param isSilent - Callers hear nothing of it. */
@@ -44,8 +44,8 @@
   const chunks: Chunk[] = [];
   let left = most;
   for (const task of tasks) {
-    const tokens = Math.min(promptTokensOf(task) - task.done, left);
-    if (tokens > 0) chunks.push({ task, from: task.done, tokens });
+    const tokens = Math.min(promptTokensOf(task) - task.doneTokens, left);
+    if (tokens > 0) chunks.push({ task, from: task.doneTokens, tokens });
     left -= Math.max(0, tokens);
   }
   return chunks;
@@ -55,14 +55,14 @@
 export const createBatchEngine = (
   specification: EngineSpecification,
   dataCentre: string,
-  surroundings: BatchSurroundings,
+  surroundings: BatchEnvironment,
 ): BatchEngine => {
   const { clock } = surroundings;
   const state: BatchState = {
     ...surroundings,
     specification,
     cache: createPrefixCache(specification.memoryTokens),
-    link: { dataCentre, megabits: specification.linkMegabits, freeAt: 0 },
+    link: { dataCentre, megabitsPerSecond: specification.linkMegabits, freeAt: 0 },
     waiting: [],
     running: [],
   };
@@ -74,13 +74,13 @@
   const isRunning = (task: Task): boolean => state.running.includes(task);
 
   const makeToken = (task: Task): void => {
-    task.made += 1;
-    const isOver = task.made >= task.job.answerTokens;
-    if (task.made === 1) {
+    task.generatedTokens += 1;
+    const isOver = task.generatedTokens >= task.job.answerTokens;
+    if (task.generatedTokens === 1) {
       cache.grow(task.job.levels.at(-1)?.key ?? "", task.job.answerTokens);
       saveParts(state, task);
     }
-    if (task.made === 1 || isOver || task.made % pieceTokens === 0) task.job.onPiece();
+    if (task.generatedTokens === 1 || isOver || task.generatedTokens % pieceTokens === 0) task.job.onEvent();
     if (!isOver) return;
     removeTask(state, task);
     task.job.onEnd("finished");
@@ -90,7 +90,7 @@
     callOffStep = undefined;
     for (const { task, from, tokens } of chunks) {
       if (!isRunning(task)) continue;
-      task.done += tokens;
+      task.doneTokens += tokens;
       countComputed(state, task, from);
       pinDone(state, task);
     }
@@ -101,7 +101,7 @@
 
   const startStep = (): void => {
     const active = state.running.filter(({ isCopying }) => !isCopying);
-    const decoding = active.filter((task) => task.done >= promptTokensOf(task));
+    const decoding = active.filter((task) => task.doneTokens >= promptTokensOf(task));
     const chunks = planChunks(active, specification.chunkTokens);
     const computed = chunks.reduce((sum, { tokens }) => sum + tokens, 0);
     const { step, stepPerRequest, prefillRate } = specification;
--- a/bench/lab/batchState.ts
+++ b/bench/lab/batchState.ts
@@ -17,17 +17,17 @@
 export const removeTask = (state: BatchState, task: Task): void => {
   state.waiting = state.waiting.filter((each) => each !== task);
   state.running = state.running.filter((each) => each !== task);
-  for (const { key } of task.job.levels.slice(0, task.pinned)) state.cache.unpin(key);
-  task.pinned = 0;
+  for (const { key } of task.job.levels.slice(0, task.pinnedLevels)) state.cache.unpin(key);
+  task.pinnedLevels = 0;
 };
 
 /** Marks levels as used and there, up to what is done. */
-export const pinDone = ({ cache, seen, clock }: BatchState, task: Task): void => {
+export const pinDone = ({ cache, lastCachedAt: seen, clock }: BatchState, task: Task): void => {
   const { levels } = task.job;
-  while (task.pinned < levels.length && tokensOf(levels, task.pinned + 1) <= task.done) {
-    cache.pin(levels, task.pinned);
-    seen.set(levels[task.pinned]?.key ?? "", clock.monotonic());
-    task.pinned += 1;
+  while (task.pinnedLevels < levels.length && tokensOf(levels, task.pinnedLevels + 1) <= task.doneTokens) {
+    cache.pin(levels, task.pinnedLevels);
+    seen.set(levels[task.pinnedLevels]?.key ?? "", clock.monotonic());
+    task.pinnedLevels += 1;
   }
 };
 
@@ -48,7 +48,7 @@
   const { levels, source } = task.job;
   const shared = levels.slice(0, -1);
   const there = source === undefined ? 0 : source.cache.hitLevels(shared);
-  const tokens = tokensOf(shared, there) - task.done;
+  const tokens = tokensOf(shared, there) - task.doneTokens;
   if (source === undefined || source.link === link || tokens <= 0) return;
   const time = reserveCopy(clock, source.link, link, tokens * specification.bytesPerToken);
   if (time === undefined) return;
@@ -57,7 +57,7 @@
   clock.after(time, () => {
     task.isCopying = false;
     if (!state.running.includes(task)) return;
-    task.done = Math.max(task.done, tokensOf(shared, there));
+    task.doneTokens = Math.max(task.doneTokens, tokensOf(shared, there));
     pinDone(state, task);
     onCopied();
   });
@@ -75,7 +75,7 @@
     if (state.running.length > 0 && cache.pinnedTokens() + missing > specification.memoryTokens) return;
     state.waiting.shift();
     state.running.push(next);
-    next.done = tokensOf(levels, own);
+    next.doneTokens = tokensOf(levels, own);
     pinDone(state, next);
     startCopy(state, next, onCopied);
   }
@@ -87,19 +87,23 @@
   while (cache.pinnedTokens() > specification.memoryTokens && state.running.length > 1) {
     const last = state.running.reduce((worst, task) => (isAfter(task, worst) ? task : worst));
     removeTask(state, last);
-    last.done = 0;
+    last.doneTokens = 0;
     totals.preempted += 1;
     enqueue(state, last);
   }
 };
 
 /** Adds prompt tokens that were computed just now. */
-export const countComputed = ({ totals, seen, clock }: BatchState, task: Task, from: number): void => {
-  totals.computed += task.done - from;
+export const countComputed = (
+  { totals, lastCachedAt: seen, clock }: BatchState,
+  task: Task,
+  from: number,
+): void => {
+  totals.computed += task.doneTokens - from;
   for (const [index, { key, tokens }] of task.job.levels.slice(0, -1).entries()) {
     const begin = Math.max(from, tokensOf(task.job.levels, index));
     const isRecent = clock.monotonic() - (seen.get(key) ?? Number.NEGATIVE_INFINITY) < againWithin;
-    if (isRecent) totals.again += Math.max(0, Math.min(tokens, task.done) - begin);
+    if (isRecent) totals.recomputed += Math.max(0, Math.min(tokens, task.doneTokens) - begin);
   }
 };
 
--- a/bench/lab/batchTypes.ts
+++ b/bench/lab/batchTypes.ts
@@ -6,7 +6,7 @@
 import type { Link } from "./links.ts";
 
 /** Something that keeps parts and can be copied from. */
-export interface PartKeeper {
+export interface CacheEndpoint {
   readonly link: Link;
   readonly cache: PrefixCache;
 }
@@ -15,7 +15,7 @@
 export interface WorkTotals {
   computed: number;
   /** Shared tokens computed although some engine had them a short time ago. */
-  again: number;
+  recomputed: number;
   copied: number;
   preempted: number;
 }
@@ -27,19 +27,19 @@
   /** The last level is the request's own. */
   readonly levels: readonly PrefixLevel[];
   readonly answerTokens: number;
-  readonly source: PartKeeper | undefined;
-  readonly saveTo: PartKeeper | undefined;
+  readonly source: CacheEndpoint | undefined;
+  readonly saveTo: CacheEndpoint | undefined;
   /** Some tokens of the answer were made. */
-  readonly onPiece: () => void;
+  readonly onEvent: () => void;
   readonly onEnd: (ended: "finished" | "failed") => void;
 }
 
 /** What engines of one run share. */
-export interface BatchSurroundings {
+export interface BatchEnvironment {
   readonly clock: Clock;
   readonly totals: WorkTotals;
   /** By part: when any engine had it last. */
-  readonly seen: Map<string, number>;
+  readonly lastCachedAt: Map<string, number>;
 }
 
 /** A job with how far it has come. */
@@ -47,14 +47,14 @@
   readonly job: BatchJob;
   readonly sequence: number;
   /** Prompt tokens that are there. */
-  done: number;
-  pinned: number;
-  made: number;
+  doneTokens: number;
+  pinnedLevels: number;
+  generatedTokens: number;
   isCopying: boolean;
 }
 
 /** An engine's memory and queues; the engine alone changes them. */
-export interface BatchState extends BatchSurroundings {
+export interface BatchState extends BatchEnvironment {
   readonly specification: EngineSpecification;
   readonly cache: PrefixCache;
   readonly link: Link;
--- a/bench/lab/caller.ts
+++ b/bench/lab/caller.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a caller works with. */
-export interface CallerParts {
+export interface CallerDependencies {
   readonly clock: Clock;
   readonly fleet: LabFleet;
   /** @returns The router that a try reaches. */
@@ -42,7 +42,7 @@
   headers: [],
   body: Buffer.alloc(0),
   arrivedAt,
-  patience: left,
+  timeout: left,
   key: undefined,
   prompt,
   countedTokens: undefined,
@@ -50,7 +50,7 @@
 });
 
 /** Runs one caller to its end. */
-export const runCaller = async (parts: CallerParts, record: LabRecord): Promise<void> => {
+export const runCaller = async (parts: CallerDependencies, record: LabRecord): Promise<void> => {
   const { clock, fleet, pickRouter } = parts;
   const { arrival } = record;
   const deadline = arrival.at + arrival.kind.deadline;
@@ -60,7 +60,7 @@
   const tryOnce = async (): Promise<void> => {
     record.tries += 1;
     const id = `${arrival.id}.${record.tries}`;
-    fleet.noteAnswer(id, arrival.answerTokens);
+    fleet.setAnswerTokens(id, arrival.answerTokens);
     const now = clock.monotonic();
     const { body } = await pickRouter().forward(requestOf(arrival, id, now, deadline - now), leaving.signal);
     if (Buffer.isBuffer(body)) throw new TypeError("streams are answered by streams");
--- a/bench/lab/figures.ts
+++ b/bench/lab/figures.ts
@@ -1,7 +1,7 @@
 /** What runs of an experiment come to: shares of requests, worth and where it was lost, tokens. */
 import type { LabRecord } from "./caller.ts";
-import type { KeptLimit } from "./fleet.ts";
-import { allowedInWindow, mostInAnyWindow } from "../../tests/support/statedLimit.ts";
+import type { LimitPeriod } from "./fleet.ts";
+import { allowedInWindow, mostInAnyWindow } from "../../tests/support/limitAllowance.ts";
 import type { LabResult } from "./simulation.ts";
 
 /** Figures of one run. Shares are of requests that are owed an answer, 0 to 1; tokens are thousands. */
@@ -71,12 +71,12 @@
 /** From so long after a limit was first named what comes is judged, milliseconds. */
 const limitGrace = 3_000;
 
-const worstIntakeOf = ({ arrivals, perSecond, since, until }: KeptLimit): number => {
+const worstIntakeOf = ({ arrivals, perSecond, since, until }: LimitPeriod): number => {
   const counted = arrivals.filter((at) => at >= since + limitGrace && at < until);
   return mostInAnyWindow(counted) / allowedInWindow(perSecond);
 };
 
-const limitUseOf = (limits: readonly KeptLimit[]): number => {
+const limitUseOf = (limits: readonly LimitPeriod[]): number => {
   const came = limits.map(
     ({ arrivals, since, until }) => arrivals.filter((at) => at >= since + limitGrace && at < until).length,
   );
@@ -124,7 +124,7 @@
     worstWindow: worstWindowOf(owed),
     firstTokenP99: firstTokens[Math.floor(firstTokens.length * tail)] ?? 0,
     computed: totals.computed / thousand,
-    again: totals.again / thousand,
+    again: totals.recomputed / thousand,
     copied: totals.copied / thousand,
     preempted: totals.preempted,
     worstIntake: Math.max(0, ...limits.map(worstIntakeOf)),
--- a/bench/lab/fleet.ts
+++ b/bench/lab/fleet.ts
@@ -8,7 +8,7 @@
 import type { BatchEngine } from "./batchEngine.ts";
 import type { ReportLog } from "./reportLog.ts";
 import { createReportLog } from "./reportLog.ts";
-import type { PartKeeper, WorkTotals } from "./batchTypes.ts";
+import type { CacheEndpoint, WorkTotals } from "./batchTypes.ts";
 import { createBatchEngine } from "./batchEngine.ts";
 import type { Experiment } from "./experiment.ts";
 
@@ -48,13 +48,13 @@
 }
 
 /** Engines that turned everything away, and when that was over, milliseconds. */
-export interface PastRefusal {
+export interface RefusalPeriod {
   readonly engines: number;
   readonly until: number;
 }
 
 /** A limit that an engine had. */
-export interface KeptLimit extends LabLimit {
+export interface LimitPeriod extends LabLimit {
   readonly until: number;
   readonly arrivals: readonly number[];
 }
@@ -65,22 +65,22 @@
   readonly replicas: readonly LabReplica[];
   readonly totals: WorkTotals;
   readonly find: (id: string) => LabReplica | undefined;
-  readonly keeperAt: (address: string | undefined) => PartKeeper | undefined;
+  readonly cacheAt: (address: string | undefined) => CacheEndpoint | undefined;
   /** Tokens of the answer that a request gets, wherever it runs. */
   readonly answerTokens: (request: string) => number;
-  readonly noteAnswer: (request: string, tokens: number) => void;
+  readonly setAnswerTokens: (request: string, tokens: number) => void;
   readonly readStoreChanges: (since: number) => Promise<CacheChanges>;
   /** Takes engines down and brings them back. */
-  readonly strike: (count: number, isDark: boolean, seconds: number) => void;
+  readonly takeEnginesDown: (count: number, isDark: boolean, seconds: number) => void;
   /** Limits engines for a while. */
   readonly limit: (count: number, limit: Omit<LabLimit, "since">, seconds: number) => void;
   /** Limits that there were, with what came from all routers. */
-  readonly limits: readonly KeptLimit[];
+  readonly limits: readonly LimitPeriod[];
   /** Lets engines report draining, then ends them. */
   readonly drain: (count: number, seconds: number) => void;
   /** Lets engines turn everything away for a while. */
   readonly refuse: (count: number, refusal: LabRefusal, seconds: number) => void;
-  readonly refusals: readonly PastRefusal[];
+  readonly refusals: readonly RefusalPeriod[];
   readonly reports: ReportLog;
   /** @param onLoaded - An engine runs the new weights. */
   readonly loadWeights: (
@@ -88,7 +88,7 @@
     onChanging: (replica: LabReplica, until: number) => void,
     onLoaded: (replica: LabReplica) => void,
   ) => Promise<void>;
-  readonly strikeStore: (seconds: number) => void;
+  readonly takeStoreDown: (seconds: number) => void;
 }
 
 /** Engines that load weights at the same time. */
@@ -119,11 +119,11 @@
   const tell = ({ kind, key }: UnitEvent): void => {
     const separator = key.lastIndexOf(" ");
     const isKept = kind === "stored";
-    changes.push({ isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
+    changes.push({ isStored: isKept, salt: key.slice(0, separator), part: key.slice(separator + 1) });
   };
   const megabits = store?.linkMegabits ?? engines.linkMegabits;
-  const keeper: PartKeeper = {
-    link: { dataCentre: "centre-0", megabits, freeAt: 0 },
+  const keeper: CacheEndpoint = {
+    link: { dataCentre: "centre-0", megabitsPerSecond: megabits, freeAt: 0 },
     cache: createPrefixCache(store?.memoryTokens ?? 1, tell),
   };
   return {
@@ -148,7 +148,7 @@
 /** Creates the engines that an experiment names, spread over its data centres. */
 export const createFleet = (experiment: Experiment, clock: Clock): LabFleet => {
   const { engines, dataCentres } = experiment;
-  const totals: WorkTotals = { computed: 0, again: 0, copied: 0, preempted: 0 };
+  const totals: WorkTotals = { computed: 0, recomputed: 0, copied: 0, preempted: 0 };
   const surroundings = { clock, totals, seen: new Map<string, number>() };
   const store = createStore(experiment, clock);
   const answers = new Map<string, number>();
@@ -169,7 +169,7 @@
   const byId = new Map(replicas.map((replica) => [replica.entry.id, replica]));
   const byAddress = new Map(replicas.map((replica) => [replica.entry.address, replica]));
 
-  const limits: KeptLimit[] = [];
+  const limits: LimitPeriod[] = [];
   const limitEngines: LabFleet["limit"] = (count, limit, seconds) => {
     const since = clock.monotonic();
     const until = since + seconds * millisecondsPerSecond;
@@ -197,7 +197,7 @@
     }
   };
 
-  const refusals: PastRefusal[] = [];
+  const refusals: RefusalPeriod[] = [];
   const refuse: LabFleet["refuse"] = (count, refusal, seconds) => {
     const duration = seconds * millisecondsPerSecond;
     refusals.push({ engines: count, until: clock.monotonic() + duration });
@@ -214,17 +214,17 @@
     replicas,
     totals,
     find: (id) => byId.get(id),
-    keeperAt: (address) => {
+    cacheAt: (address) => {
       if (address === labNames.store) return store.isUp() ? store.keeper : undefined;
       const replica = byAddress.get(address ?? "");
       return replica?.state === "up" ? replica.engine : undefined;
     },
     answerTokens: (request) => answers.get(request) ?? 1,
-    noteAnswer: (request, tokens) => {
+    setAnswerTokens: (request, tokens) => {
       answers.set(request, tokens);
     },
     readStoreChanges: store.read,
-    strike: (count, isDark, seconds) => {
+    takeEnginesDown: (count, isDark, seconds) => {
       for (const replica of replicas.slice(0, count)) {
         replica.engine.crash(isDark);
         replica.state = isDark ? "dark" : "down";
@@ -255,6 +255,6 @@
         }
       }
     },
-    strikeStore: store.strike,
+    takeStoreDown: store.strike,
   };
 };
--- a/bench/lab/lab.ts
+++ b/bench/lab/lab.ts
@@ -96,7 +96,7 @@
       label: policy,
       values: drawn.map((figure) => spreadOf(runs, figure).mean * percent),
     })),
-    most: percent,
+    maximum: percent,
   };
 };
 
--- a/bench/lab/labRouter.ts
+++ b/bench/lab/labRouter.ts
@@ -33,7 +33,7 @@
 import type { Experiment } from "./experiment.ts";
 import type { LabFleet } from "./fleet.ts";
 import { labNames } from "./fleet.ts";
-import { LabReplicaClient } from "./labReplicaClient.ts";
+import { LabReplicaClient } from "./LabReplicaClient.ts";
 import { StorePosition } from "../../src/protocol/StorePosition.ts";
 import { defaultEpoch } from "../../src/protocol/storeEpoch.ts";
 
@@ -47,13 +47,13 @@
 }
 
 /** What a router is made of. */
-export interface LabRouterParts {
+export interface LabRouterDependencies {
   readonly experiment: Experiment;
   readonly policy: LoadPolicy;
   readonly clock: ManualClock;
   readonly fleet: LabFleet;
   readonly self: RouterEntry;
-  readonly all: readonly RouterEntry[];
+  readonly allRouters: readonly RouterEntry[];
   readonly link: DatagramLink;
   readonly random: () => number;
 }
@@ -114,8 +114,8 @@
 });
 
 /** Starts a router. */
-export const createLabRouter = (parts: LabRouterParts): LabRouter => {
-  const { experiment, policy, clock, fleet, self, all, link, random } = parts;
+export const createLabRouter = (parts: LabRouterDependencies): LabRouter => {
+  const { experiment, policy, clock, fleet, self, allRouters: all, link, random } = parts;
   const client = new LabReplicaClient(fleet, clock, self.name);
   const replicas = createReplicaTable();
   for (const { entry } of fleet.replicas) replicas.put(entry);
--- a/bench/lab/links.ts
+++ b/bench/lab/links.ts
@@ -4,7 +4,7 @@
 /** One end of copies. */
 export interface Link {
   readonly dataCentre: string;
-  readonly megabits: number;
+  readonly megabitsPerSecond: number;
   /** When it has carried what waits, simulated milliseconds. */
   freeAt: number;
 }
@@ -26,7 +26,7 @@
   const now = clock.monotonic();
   const begin = Math.max(now, from.freeAt, to.freeAt);
   if (begin - now > longestWait) return undefined;
-  const rate = Math.min(from.megabits, to.megabits) * bitsPerMegabitMillisecond;
+  const rate = Math.min(from.megabitsPerSecond, to.megabitsPerSecond) * bitsPerMegabitMillisecond;
   const distance = from.dataCentre === to.dataCentre ? 1 : farFactor;
   const end = begin + setup + ((bytes * bitsPerByte) / rate) * distance;
   from.freeAt = end;
--- a/bench/lab/reportLog.ts
+++ b/bench/lab/reportLog.ts
@@ -6,9 +6,9 @@
 
 /** See {@link createReportLog}. */
 export interface ReportLog {
-  readonly noteDraining: (engine: string, router: string) => void;
-  readonly noteBackoff: (engine: string, router: string, duration: number) => void;
-  readonly noteArrival: (engine: string, router: string) => void;
+  readonly recordDraining: (engine: string, router: string) => void;
+  readonly recordBackoff: (engine: string, router: string, duration: number) => void;
+  readonly recordArrival: (engine: string, router: string) => void;
   /** Arrivals from routers that an engine had told that it drains. */
   readonly afterDraining: () => number;
   /** The most arrivals from one router within one backoff. */
@@ -40,17 +40,17 @@
   };
 
   return {
-    noteDraining: (engine, router) => {
+    recordDraining: (engine, router) => {
       const key = keyOf(engine, router);
       if (!drainingSince.has(key)) drainingSince.set(key, clock.monotonic());
     },
-    noteBackoff: (engine, router, duration) => {
+    recordBackoff: (engine, router, duration) => {
       const key = keyOf(engine, router);
       const now = clock.monotonic();
       const backoff = { from: now + grace.backoff, until: now + duration, arrivals: 0 };
       backoffs.set(key, [...(backoffs.get(key) ?? []), backoff]);
     },
-    noteArrival: (engine, router) => {
+    recordArrival: (engine, router) => {
       const key = keyOf(engine, router);
       const now = clock.monotonic();
       const since = drainingSince.get(key);
--- a/bench/lab/simulation.ts
+++ b/bench/lab/simulation.ts
@@ -4,13 +4,13 @@
 import type { ManualClock } from "../../src/coordination/manualClock.ts";
 import { createManualClock } from "../../src/coordination/manualClock.ts";
 import type { RouterEntry } from "../../src/protocol/forwarding/types.ts";
-import { MemoryNetwork } from "../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../tests/support/MemoryNetwork.ts";
 import { createRandom } from "../model/random.ts";
 import type { WorkTotals } from "./batchTypes.ts";
 import type { LabRecord } from "./caller.ts";
 import { runCaller } from "./caller.ts";
 import type { Experiment, Fault } from "./experiment.ts";
-import type { KeptLimit, LabFleet } from "./fleet.ts";
+import type { LimitPeriod, LabFleet } from "./fleet.ts";
 import { createFleet, labNames } from "./fleet.ts";
 import type { LabRouter } from "./labRouter.ts";
 import { createLabRouter } from "./labRouter.ts";
@@ -20,7 +20,7 @@
 export interface LabResult {
   readonly records: readonly LabRecord[];
   readonly totals: Readonly<WorkTotals>;
-  readonly limits: readonly KeptLimit[];
+  readonly limits: readonly LimitPeriod[];
   readonly fleet: Pick<LabFleet, "replicas" | "refusals" | "reports">;
   /** Datagrams between routers. */
   readonly messages: number;
@@ -78,7 +78,7 @@
   routers: readonly LabRouter[],
 ): void => {
   if (fault.kind === "dark" || fault.kind === "crash") {
-    fleet.strike(fault.engines, fault.kind === "dark", fault.seconds);
+    fleet.takeEnginesDown(fault.engines, fault.kind === "dark", fault.seconds);
   } else if (fault.kind === "weights") changeWeights(experiment, clock, fleet, routers);
   else if (fault.kind === "limited") fleet.limit(fault.engines, fault, fault.seconds);
   else if (fault.kind === "draining") fleet.drain(fault.engines, fault.seconds);
@@ -86,7 +86,7 @@
     const { retryAfter } = fault;
     const asked = retryAfter === undefined ? undefined : retryAfter * millisecondsPerSecond;
     fleet.refuse(fault.engines, { retryAfter: asked }, fault.seconds);
-  } else if (fault.kind === "storeDown") fleet.strikeStore(fault.seconds);
+  } else if (fault.kind === "storeDown") fleet.takeStoreDown(fault.seconds);
 };
 
 /** Advances from timer to timer; promises settle in between. */
@@ -111,7 +111,7 @@
   const routers = all.map((self) => {
     const { uniform: random } = createRandom(seed, self.name);
     const link = network.open(self.port);
-    return createLabRouter({ experiment, policy, clock, fleet, self, all, link, random });
+    return createLabRouter({ experiment, policy, clock, fleet, self, allRouters: all, link, random });
   });
   const balancer = createRandom(seed, "balancer");
   const pickRouter = () => {
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -17,7 +17,7 @@
 import type { EngineDirectory } from "../src/state/engineDirectory.ts";
 import { createEngineDirectory } from "../src/state/engineDirectory.ts";
 import { MemoryMetrics } from "../src/state/MemoryMetrics.ts";
-import { configurationOf, createFakeLog, publisher } from "../tests/support/configuration.ts";
+import { configurationOf, createMemoryLog, publisher } from "../tests/support/configuration.ts";
 import type { Row } from "./report/table.ts";
 import { formatTable } from "./report/table.ts";
 import type { Bench } from "./types.ts";
@@ -171,7 +171,7 @@
 
 /** Publishes on a log that the data centre's readers follow. */
 const createPublisher = (nodes: readonly Node[]) => {
-  const log = createFakeLog();
+  const log = createMemoryLog();
 
   const readLog = (): void => {
     for (const { peers, history } of nodes) {
--- a/bench/model/arrivals.ts
+++ b/bench/model/arrivals.ts
@@ -5,7 +5,7 @@
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { PrefixLevel } from "../../src/protocol/types.ts";
 import { rampUp } from "./constants.ts";
-import { leastCost } from "./mixes.ts";
+import { warmPrefillTime } from "./mixes.ts";
 import type { ClassMix, Mix } from "./mixes.ts";
 import { createRandom, createWeightedIndex, zipfWeights } from "./random.ts";
 import type { Random } from "./random.ts";
@@ -53,7 +53,7 @@
 
 /** Requests a second at a utilisation. */
 export const requestRate = (mix: Mix, utilisation: number): number => {
-  const cost = mix.classes.reduce((sum, item) => sum + item.share * leastCost(mix, item), 0);
+  const cost = mix.classes.reduce((sum, item) => sum + item.share * warmPrefillTime(mix, item), 0);
   return (utilisation * countEngines(mix) * 1000) / cost;
 };
 
@@ -123,10 +123,10 @@
     const subject = pickSubject(stream, classIndex, at);
     const question = {
       key: levelKey(`${mix.name} ${organisation} ${stream.subjects ?? ""} ${sequence}`),
-      tokens: random.within(item.questionTokens),
+      tokens: random.integerIn(item.questionTokens),
     };
     const levels = createLevels(organisation, item, subject, question);
-    const outputTokens = random.within(item.outputTokens);
+    const outputTokens = random.integerIn(item.outputTokens);
     const promptTokens = levels.at(-1)?.tokens ?? 0;
     const router = random.index(routers);
     return {
--- a/bench/model/engineModel.ts
+++ b/bench/model/engineModel.ts
@@ -10,7 +10,7 @@
 import { describeLoad, usableTokens, viewQueue } from "./engineQueue.ts";
 import type { EngineState, QueueView, Task } from "./engineQueue.ts";
 import { createPrefixCache } from "./prefixCache.ts";
-import type { HeldUnit, UnitEvent } from "./prefixCache.ts";
+import type { CachedUnit, UnitEvent } from "./prefixCache.ts";
 import type { EngineJob, EngineParameters } from "./types.ts";
 
 /** Where an engine is and what it serves. */
@@ -32,9 +32,9 @@
   readonly restart: () => void;
   /** Tokens of the prompt's deepest level that is cached now. */
   readonly cachedTokens: (levels: readonly PrefixLevel[]) => number;
-  readonly holds: (key: string) => boolean;
+  readonly isCached: (key: string) => boolean;
   /** What the cache would lose for so many more tokens. */
-  readonly wouldEvict: (tokens: number) => readonly HeldUnit[];
+  readonly wouldEvict: (tokens: number) => readonly CachedUnit[];
   readonly queueView: (priority: number) => QueueView;
   /** Milliseconds spent computing prompts so far. */
   readonly prefillTime: () => number;
@@ -208,9 +208,9 @@
       up = true;
     },
     cachedTokens: (levels) => levels[cache.hitLevels(levels) - 1]?.tokens ?? 0,
-    holds: cache.has,
+    isCached: cache.has,
     wouldEvict: cache.wouldEvict,
-    queueView: (priority) => ({ ...viewQueue(state, priority), seatWait: seatWait() }),
+    queueView: (priority) => ({ ...viewQueue(state, priority), slotWait: seatWait() }),
     prefillTime: () => prefillTime,
   };
 };
--- a/bench/model/engineQueue.ts
+++ b/bench/model/engineQueue.ts
@@ -35,7 +35,7 @@
   /** Levels that will be cached once these have been computed. */
   readonly expectedKeys: ReadonlySet<string>;
   /** Milliseconds until a seat in the batch is free. */
-  readonly seatWait: number;
+  readonly slotWait: number;
 }
 
 /** At least the last token of a prompt is always computed. */
--- a/bench/model/fleet.ts
+++ b/bench/model/fleet.ts
@@ -11,8 +11,8 @@
   readonly get: (id: string) => EngineModel | undefined;
   readonly vms: readonly ListedVm[];
   /** Tokens of the prompt's deepest level that any live engine holds. */
-  readonly heldTokens: (levels: readonly PrefixLevel[]) => number;
-  readonly reaches: (from: string, to: string) => boolean;
+  readonly cachedAnywhereTokens: (levels: readonly PrefixLevel[]) => number;
+  readonly canReach: (from: string, to: string) => boolean;
   /** Cuts a data centre off from all others, or heals the network. */
   readonly cutOff: (dataCentre: string | undefined) => void;
 }
@@ -50,9 +50,9 @@
     engines,
     get: (id) => byId.get(id),
     vms: created.map(([pool, engine]) => listEngine(engine, pool)),
-    heldTokens: (levels) =>
+    cachedAnywhereTokens: (levels) =>
       engines.reduce((most, engine) => Math.max(most, engine.isUp() ? engine.cachedTokens(levels) : 0), 0),
-    reaches: (from, to) => from === to || (from !== alone && to !== alone),
+    canReach: (from, to) => from === to || (from !== alone && to !== alone),
     cutOff: (dataCentre) => {
       alone = dataCentre;
     },
--- a/bench/model/mixes.ts
+++ b/bench/model/mixes.ts
@@ -39,7 +39,7 @@
   /** Usual load: part of all engines' prompt computing time if every shared level were cached. */
   readonly utilisation: number;
   /** The class whose time to first token the deployment watches most. */
-  readonly watchedClass: string;
+  readonly primaryClass: string;
   /** First level of every prompt: the consortium's rules. */
   readonly rulesTokens: number;
   /** Second level: the member's own rules. */
@@ -83,7 +83,7 @@
   engine: levantEngine,
   routersPerDataCentre: 2,
   utilisation: 0.45,
-  watchedClass: "currency-check",
+  primaryClass: "currency-check",
   rulesTokens: 1000,
   memberTokens: 1000,
   classes: [
@@ -91,15 +91,15 @@
       className: "currency-check",
       share: 0.9,
       subject: levantCourses,
-      questionTokens: { least: 60, most: 200 },
-      outputTokens: { least: 4, most: 12 },
+      questionTokens: { minimum: 60, maximum: 200 },
+      outputTokens: { minimum: 4, maximum: 12 },
     },
     {
       className: "course-summary",
       share: 0.1,
       subject: levantCourses,
-      questionTokens: { least: 800, most: 2400 },
-      outputTokens: { least: 100, most: 300 },
+      questionTokens: { minimum: 800, maximum: 2400 },
+      outputTokens: { minimum: 100, maximum: 300 },
     },
   ],
 });
@@ -111,7 +111,7 @@
   engine: trinacriaEngine,
   routersPerDataCentre: 2,
   utilisation: 0.4,
-  watchedClass: "price-lookup",
+  primaryClass: "price-lookup",
   rulesTokens: 1500,
   memberTokens: 1500,
   classes: [
@@ -119,36 +119,36 @@
       className: "reconciliation",
       share: 0.15,
       subject: trinacriaSeasons,
-      questionTokens: { least: 1000, most: 3000 },
-      outputTokens: { least: 150, most: 400 },
+      questionTokens: { minimum: 1000, maximum: 3000 },
+      outputTokens: { minimum: 150, maximum: 400 },
     },
     {
       className: "line-tagging",
       share: 0.45,
       subject: { kind: "trim-family", count: 8, tokens: 800, exponent: 1 },
-      questionTokens: { least: 50, most: 150 },
-      outputTokens: { least: 6, most: 16 },
+      questionTokens: { minimum: 50, maximum: 150 },
+      outputTokens: { minimum: 6, maximum: 16 },
     },
     {
       className: "price-lookup",
       share: 0.4,
       subject: { kind: "price-list", count: 4, tokens: 1200, exponent: 1 },
-      questionTokens: { least: 30, most: 90 },
-      outputTokens: { least: 8, most: 24 },
+      questionTokens: { minimum: 30, maximum: 90 },
+      outputTokens: { minimum: 8, maximum: 24 },
     },
   ],
 });
 
 /** Milliseconds of an engine that one request of a class costs if all shared levels are cached. */
-export const leastCost = ({ engine }: Pick<Mix, "engine">, { questionTokens }: ClassMix): number =>
+export const warmPrefillTime = ({ engine }: Pick<Mix, "engine">, { questionTokens }: ClassMix): number =>
   engine.prefillOverhead + (meanOf(questionTokens) * 1000) / engine.prefillTokensPerSecond;
 
 /** The same mix with one class coming more often; the other classes come as often as before. */
 export const withSurge = (mix: Mix, className: string, factor: number): Mix => {
   const weigh = (item: ClassMix): number => item.share * (item.className === className ? factor : 1);
   const total = mix.classes.reduce((sum, item) => sum + weigh(item), 0);
-  const costBefore = mix.classes.reduce((sum, item) => sum + item.share * leastCost(mix, item), 0);
-  const cost = mix.classes.reduce((sum, item) => sum + weigh(item) * leastCost(mix, item), 0);
+  const costBefore = mix.classes.reduce((sum, item) => sum + item.share * warmPrefillTime(mix, item), 0);
+  const cost = mix.classes.reduce((sum, item) => sum + weigh(item) * warmPrefillTime(mix, item), 0);
   return {
     ...mix,
     classes: mix.classes.map((item) => ({ ...item, share: weigh(item) / total })),
--- a/bench/model/prefixCache.ts
+++ b/bench/model/prefixCache.ts
@@ -11,7 +11,7 @@
 }
 
 /** A unit as it is held. */
-export interface HeldUnit {
+export interface CachedUnit {
   readonly key: string;
   readonly tokens: number;
 }
@@ -30,7 +30,7 @@
   /** Forgets what is not pinned. */
   readonly dropUnpinned: () => void;
   /** The units that would have to go for so many more tokens. Changes nothing. */
-  readonly wouldEvict: (tokens: number) => readonly HeldUnit[];
+  readonly wouldEvict: (tokens: number) => readonly CachedUnit[];
   readonly usedTokens: () => number;
   /** Tokens that can't yield. */
   readonly pinnedTokens: () => number;
@@ -134,7 +134,7 @@
       }
     },
     wouldEvict: (tokens) => {
-      const evicted: HeldUnit[] = [];
+      const evicted: CachedUnit[] = [];
       let excess = used + tokens - capacity;
       for (const [key, unit] of units) {
         if (excess <= 0) break;
--- a/bench/model/random.ts
+++ b/bench/model/random.ts
@@ -6,8 +6,8 @@
 
 /** Bounds of a uniform draw of whole numbers, both included. */
 export interface Range {
-  readonly least: number;
-  readonly most: number;
+  readonly minimum: number;
+  readonly maximum: number;
 }
 
 /** One stream of random numbers. */
@@ -16,7 +16,7 @@
   readonly uniform: () => number;
   /** An exponentially distributed time with this mean. */
   readonly exponential: (mean: number) => number;
-  readonly within: (range: Range) => number;
+  readonly integerIn: (range: Range) => number;
   /** At least 0, less than `count`. */
   readonly index: (count: number) => number;
 }
@@ -33,13 +33,13 @@
   return {
     uniform,
     exponential: (mean) => -mean * Math.log(1 - uniform()),
-    within: ({ least, most }) => uniformInt(generator, least, most),
+    integerIn: ({ minimum: least, maximum: most }) => uniformInt(generator, least, most),
     index: (count) => uniformInt(generator, 0, count - 1),
   };
 };
 
 /** The mean of a uniform draw. */
-export const meanOf = ({ least, most }: Range): number => (least + most) / 2;
+export const meanOf = ({ minimum: least, maximum: most }: Range): number => (least + most) / 2;
 
 /**
  * Makes a draw of an index with given weights.
--- a/bench/model/requestTask.ts
+++ b/bench/model/runRequest.ts
@@ -24,7 +24,7 @@
 }
 
 /** What requests run in. */
-export interface RequestSurroundings {
+export interface RequestEnvironment {
   readonly clock: Clock;
   readonly fleet: Fleet;
   readonly index: ConfigurationIndex;
@@ -42,7 +42,7 @@
 type Ended = AttemptReport["ended"];
 
 interface AttemptParts {
-  readonly surroundings: RequestSurroundings;
+  readonly surroundings: RequestEnvironment;
   readonly router: RouterModel;
   readonly work: Work;
   readonly arrival: Arrival;
@@ -111,7 +111,7 @@
         cachedTokens = cached;
         record.startedTokens += work.promptTokens;
         record.cachedTokens += cached;
-        record.wastedTokens += Math.max(0, fleet.heldTokens(work.levels) - cached);
+        record.wastedTokens += Math.max(0, fleet.cachedAnywhereTokens(work.levels) - cached);
       },
       onFirstToken: () => clock.after(latency, onFirstToken),
       onEnd: (ended) => clock.after(latency, () => finish(ended)),
@@ -145,7 +145,7 @@
   };
 
   await pause(clock, latency);
-  if (engine === undefined || !fleet.reaches(router.dataCentre, engine.dataCentre)) {
+  if (engine === undefined || !fleet.canReach(router.dataCentre, engine.dataCentre)) {
     await pause(clock, unreachableTimeout, signal);
     assignment.release({ ended: "failed", incarnation: undefined, firstTokenAfter, usage: undefined });
     return signal.aborted ? "cancelled" : "failed";
@@ -182,7 +182,7 @@
  * @param sequence - Tells the requests of a run apart.
  */
 export const runRequest = async (
-  surroundings: RequestSurroundings,
+  surroundings: RequestEnvironment,
   router: RouterModel,
   arrival: Arrival,
   record: RequestRecord,
@@ -194,7 +194,7 @@
   const { signal } = caller;
   const callOff = clock.after(context.completionDeadline - clock.monotonic(), () => caller.abort());
   const excluded = new Set<string>();
-  record.heldTokens = surroundings.fleet.heldTokens(arrival.levels);
+  record.cachedAnywhereTokens = surroundings.fleet.cachedAnywhereTokens(arrival.levels);
   while (record.outcome === "open" && record.attempts < maximumAttempts) {
     const work = createWork(index, context, arrival, excluded, record.attempts > 0);
     const parts = { surroundings, router, work, arrival, record, signal };
--- a/bench/model/scenarios.ts
+++ b/bench/model/scenarios.ts
@@ -15,7 +15,7 @@
   readonly flood?: (mix: Mix) => Flood;
   readonly faults?: readonly TimedFault[];
   /** When it strikes, for scenarios from which a system recovers. */
-  readonly strikesAt?: number;
+  readonly disturbedAt?: number;
 }
 
 /** When something strikes, if it does. */
@@ -47,7 +47,7 @@
     name: "hot shift",
     summary: "the largest organisation turns to courses and seasons never seen before, at once",
     hotShiftAt: strike,
-    strikesAt: strike,
+    disturbedAt: strike,
   },
   eventLoss: { name: "10 % event loss", summary: "a tenth of all reports is lost", reports: { loss: 0.1 } },
   loadLag: { name: "2 s load lag", summary: "load reports are two seconds old", reports: { lag: 2000 } },
@@ -55,16 +55,16 @@
     name: "engine crash",
     summary: "one engine crashes and is back, empty, 2 s later",
     faults: [
-      { at: strike, strike: (faults) => faults.crashEngine(0) },
-      { at: strike + crashDowntime, strike: (faults) => faults.restartEngine(0) },
+      { at: strike, apply: (faults) => faults.crashEngine(0) },
+      { at: strike + crashDowntime, apply: (faults) => faults.restartEngine(0) },
     ],
-    strikesAt: strike,
+    disturbedAt: strike,
   },
   herdRestart: {
     name: "router herd restart",
     summary: "all routers lose what they believe at once",
-    faults: [{ at: strike, strike: (faults) => faults.restartRouters() }],
-    strikesAt: strike,
+    faults: [{ at: strike, apply: (faults) => faults.restartRouters() }],
+    disturbedAt: strike,
   },
   cutOff: {
     name: "data centre cut off",
@@ -72,11 +72,11 @@
     faults: [
       {
         at: strike,
-        strike: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
+        apply: (faults, mix) => faults.cutOff(mix.configuration.dataCentres[0]?.name ?? ""),
       },
-      { at: strike + cutDuration, strike: (faults) => faults.heal() },
+      { at: strike + cutDuration, apply: (faults) => faults.heal() },
     ],
-    strikesAt: strike,
+    disturbedAt: strike,
   },
   flood: {
     name: "flooding rival",
--- a/bench/model/simulation.ts
+++ b/bench/model/simulation.ts
@@ -12,8 +12,8 @@
 import type { Fleet } from "./fleet.ts";
 import type { Mix } from "./mixes.ts";
 import { createRandom } from "./random.ts";
-import { runRequest } from "./requestTask.ts";
-import type { OpenAttempt, RequestSurroundings, RouterModel } from "./requestTask.ts";
+import { runRequest } from "./runRequest.ts";
+import type { OpenAttempt, RequestEnvironment, RouterModel } from "./runRequest.ts";
 import type { Arrival, RequestRecord } from "./types.ts";
 
 /** How load reports reach routers. Milliseconds. */
@@ -38,7 +38,7 @@
 /** A fault at a simulated time, milliseconds. */
 export interface TimedFault {
   readonly at: number;
-  readonly strike: (faults: Faults, mix: Mix) => void;
+  readonly apply: (faults: Faults, mix: Mix) => void;
 }
 
 /** What a run is made of. */
@@ -115,7 +115,7 @@
       const load = engine.load();
       clock.after(reports.lag, () => {
         for (const { directory, dataCentre } of routers.all) {
-          const lost = random.uniform() < reports.loss || !fleet.reaches(dataCentre, engine.dataCentre);
+          const lost = random.uniform() < reports.loss || !fleet.canReach(dataCentre, engine.dataCentre);
           if (!lost) directory.applyLoad(engine.id, load, clock.monotonic());
         }
       });
@@ -135,7 +135,7 @@
   restartRouters: routers.restart,
   cutOff: (dataCentre) => {
     fleet.cutOff(dataCentre);
-    const cut = [...openAttempts].filter(({ from, to }) => !fleet.reaches(from, to));
+    const cut = [...openAttempts].filter(({ from, to }) => !fleet.canReach(from, to));
     clock.after(unreachableTimeout, () => {
       for (const attempt of cut) if (openAttempts.has(attempt)) attempt.fail();
     });
@@ -150,7 +150,7 @@
   assignedAfter: undefined,
   endedAfter: undefined,
   attempts: 0,
-  heldTokens: 0,
+  cachedAnywhereTokens: 0,
   startedTokens: 0,
   cachedTokens: 0,
   wastedTokens: 0,
@@ -168,7 +168,7 @@
 /** Lets every request arrive at its time. @returns What requests threw that they should not have. */
 const scheduleArrivals = (
   records: readonly RequestRecord[],
-  surroundings: RequestSurroundings,
+  surroundings: RequestEnvironment,
   routers: Routers,
 ): readonly unknown[] => {
   const thrown: unknown[] = [];
@@ -198,7 +198,7 @@
   const thrown = scheduleArrivals(records, { clock, fleet, index, openAttempts }, routers);
   startReports(parameters, clock, fleet, routers);
   const control = createFaults(clock, fleet, routers, openAttempts);
-  for (const { at, strike } of faults) clock.after(at, () => strike(control, mix));
+  for (const { at, apply: strike } of faults) clock.after(at, () => strike(control, mix));
 
   const prefillTime = (): number => fleet.engines.reduce((sum, engine) => sum + engine.prefillTime(), 0);
   await runUntil(clock, warmUp);
--- a/bench/model/types.ts
+++ b/bench/model/types.ts
@@ -55,7 +55,7 @@
   endedAfter: number | undefined;
   attempts: number;
   /** Prompt tokens that some live engine held when the request arrived. */
-  heldTokens: number;
+  cachedAnywhereTokens: number;
   /** Prompt tokens sent to engines that began on them, over all attempts. */
   startedTokens: number;
   cachedTokens: number;
--- a/bench/placement/page.ts
+++ b/bench/placement/page.ts
@@ -21,16 +21,16 @@
 const plots = "docs/measurements";
 
 const firstTokenChart = ({ mix, policies }: MixRuns): BarChart => ({
-  title: `${mix.name}, steady: time to first token of ${mix.watchedClass} (refused ones count as unbounded in p99 of all)`,
+  title: `${mix.name}, steady: time to first token of ${mix.primaryClass} (refused ones count as unbounded in p99 of all)`,
   unit: "ms",
-  most: 3000,
+  maximum: 3000,
   series: [
     { name: "p50 of answered", colour: "#7fb3d5" },
     { name: "p99 of answered", colour: "#2874a6" },
     { name: "p99 of all", colour: "#c0392b" },
   ],
   groups: policies.map(({ policy, runs }) => {
-    const found = runs.get(scenarios.steady.name)?.figures.classes[mix.watchedClass];
+    const found = runs.get(scenarios.steady.name)?.figures.classes[mix.primaryClass];
     return { label: policy, values: [found?.p50 ?? NaN, found?.p99 ?? NaN, found?.p99OfAll ?? NaN] };
   }),
 });
@@ -38,7 +38,7 @@
 const hitRateChart = ({ mix, policies }: MixRuns): BarChart => ({
   title: `${mix.name}, steady: prompt tokens taken from caches, and computed although some engine held them`,
   unit: "%",
-  most: 100,
+  maximum: 100,
   series: [
     { name: "hit rate", colour: "#1e8449" },
     { name: "wasted", colour: "#b9770e" },
--- a/bench/placement/placement.ts
+++ b/bench/placement/placement.ts
@@ -11,7 +11,7 @@
 import type { MixRuns } from "./page.ts";
 import { runPolicyTasks } from "./threads.ts";
 import { expectationRows, fairnessRows, scenarioRows } from "./tables.ts";
-import { policies, policyNames } from "../policies/all.ts";
+import { policies, policyNames } from "../policies/policies.ts";
 import { formatTable } from "../report/table.ts";
 import type { Bench, BenchOptions } from "../types.ts";
 
@@ -39,7 +39,7 @@
     mix.configuration.classes.some(({ name, kind }) => name === className && kind === "interactive");
   return checkExpectations({
     mix: mix.name,
-    watchedClass: mix.watchedClass,
+    watchedClass: mix.primaryClass,
     interactiveClasses: mix.classes.map(({ className }) => className).filter(isInteractive),
     ours: steady,
     leastLoaded,
--- a/bench/placement/runs.ts
+++ b/bench/placement/runs.ts
@@ -63,13 +63,13 @@
   const from = strikesAt + recoveryWindow.from;
   const until = strikesAt + recoveryWindow.until;
   const records = measuredRecords(results).filter(
-    ({ arrival: { at, className } }) => className === mix.watchedClass && at >= from && at < until,
+    ({ arrival: { at, className } }) => className === mix.primaryClass && at >= from && at < until,
   );
   return percentilesOf(records).p99OfAll;
 };
 
 const recoveryOf = (
-  { strikesAt }: Scenario,
+  { disturbedAt: strikesAt }: Scenario,
   results: readonly SimulationResult[],
   steady: readonly SimulationResult[],
   mix: Mix,
--- a/bench/placement/tables.ts
+++ b/bench/placement/tables.ts
@@ -24,7 +24,7 @@
     "unanswered %",
     "prefill busy %",
     "3–10 s after / steady",
-    `${mix.watchedClass} p99 of all ms`,
+    `${mix.primaryClass} p99 of all ms`,
     ...mix.classes.map(({ className }) => `${className} TTFT p50 / p99 / p99.9 ms`),
   ];
   const line = (policy: string, { figures, recovery }: ScenarioRun): Row => [
@@ -36,7 +36,7 @@
     formatShare(figures.unanswered),
     formatShare(figures.prefillShare, 0),
     recovery === undefined ? "-" : formatRatio(recovery),
-    formatMilliseconds(figures.classes[mix.watchedClass]?.p99OfAll ?? NaN),
+    formatMilliseconds(figures.classes[mix.primaryClass]?.p99OfAll ?? NaN),
     ...classCells(figures, mix),
   ];
   const rows = policies.flatMap(({ policy, runs }) => {
@@ -51,9 +51,9 @@
   const cells = ({ hitRate, refused, unanswered, classes }: Figures): readonly string[] => [
     formatShare(hitRate),
     formatShare(refused + unanswered),
-    formatMilliseconds(classes[mix.watchedClass]?.p99OfAll ?? NaN),
+    formatMilliseconds(classes[mix.primaryClass]?.p99OfAll ?? NaN),
   ];
-  const columns = ["rivals' hit %", "refused or unanswered %", `p99 of ${mix.watchedClass} ms`];
+  const columns = ["rivals' hit %", "refused or unanswered %", `p99 of ${mix.primaryClass} ms`];
   return [
     ["policy", ...columns, ...columns.map((column) => `${column}, flood`)],
     ...policies.map(({ policy, rivalsBefore, rivalsDuring }) => [
--- a/bench/placement/worker.ts
+++ b/bench/placement/worker.ts
@@ -1,7 +1,7 @@
 /** A thread that runs one policy after another, as it is told. */
 import { parentPort } from "node:worker_threads";
 import { createMixes } from "../model/mixes.ts";
-import { policies } from "../policies/all.ts";
+import { policies } from "../policies/policies.ts";
 import { runPolicy } from "./runs.ts";
 import type { PolicyRuns, RunPlan } from "./runs.ts";
 
--- a/bench/policies/PickingScheduler.ts
+++ b/bench/policies/ImmediateScheduler.ts
@@ -6,7 +6,7 @@
 const retryAfterSeconds = 1;
 
 /** A baseline that chooses at once, admits everything and never waits. */
-export abstract class PickingScheduler extends Scheduler {
+export abstract class ImmediateScheduler extends Scheduler {
   protected readonly directory: EngineDirectory;
 
   constructor(directory: EngineDirectory) {
--- a/bench/policies/Policy.ts
+++ b/bench/policies/Policy.ts
@@ -6,7 +6,7 @@
 import type { Fleet } from "../model/fleet.ts";
 
 /** What one router's scheduler is given. */
-export interface RouterSeat {
+export interface SchedulerDependencies {
   readonly name: string;
   readonly dataCentre: string;
   readonly clock: Clock;
@@ -22,5 +22,5 @@
 /** A way to choose. */
 export interface Policy {
   readonly name: string;
-  readonly createScheduler: (seat: RouterSeat) => Scheduler;
+  readonly createScheduler: (seat: SchedulerDependencies) => Scheduler;
 }
--- a/bench/policies/consistentHash.ts
+++ b/bench/policies/consistentHash.ts
@@ -2,10 +2,10 @@
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
-import { PickingScheduler, sharedPrefixOf } from "./PickingScheduler.ts";
+import { ImmediateScheduler, sharedPrefixOf } from "./ImmediateScheduler.ts";
 import type { Policy } from "./Policy.ts";
 
-class ConsistentHashScheduler extends PickingScheduler {
+class ConsistentHashScheduler extends ImmediateScheduler {
   protected override pick(work: Work, candidates: readonly EngineReplica[]): EngineReplica | undefined {
     const prefix = sharedPrefixOf(work);
     const ordered = candidates.map((engine) => ({ engine, order: hash64(`${prefix}\u0000${engine.id}`) }));
--- a/bench/policies/leastLoaded.ts
+++ b/bench/policies/leastLoaded.ts
@@ -2,11 +2,11 @@
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { hash64 } from "../../src/protocol/prefixLevels.ts";
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
-import { PickingScheduler, requestsAt, sharedPrefixOf } from "./PickingScheduler.ts";
+import { ImmediateScheduler, requestsAt, sharedPrefixOf } from "./ImmediateScheduler.ts";
 import type { Policy } from "./Policy.ts";
 
 /** Takes the least loaded live engine; ties go to the prompt's preferred one. */
-class LeastLoadedScheduler extends PickingScheduler {
+class LeastLoadedScheduler extends ImmediateScheduler {
   protected override pick(work: Work, candidates: readonly EngineReplica[]): EngineReplica | undefined {
     const prefix = sharedPrefixOf(work);
     const ranked = candidates.map((engine) => ({
--- a/bench/policies/omniscient.ts
+++ b/bench/policies/omniscient.ts
@@ -9,15 +9,15 @@
 import { latencies } from "../model/constants.ts";
 import type { EngineModel } from "../model/engineModel.ts";
 import type { QueueView } from "../model/engineQueue.ts";
-import { PickingScheduler } from "./PickingScheduler.ts";
-import type { Policy, RouterSeat } from "./Policy.ts";
+import { ImmediateScheduler } from "./ImmediateScheduler.ts";
+import type { Policy, SchedulerDependencies } from "./Policy.ts";
 
-class OmniscientScheduler extends PickingScheduler {
-  private readonly seat: RouterSeat;
+class OmniscientScheduler extends ImmediateScheduler {
+  private readonly seat: SchedulerDependencies;
   /** Levels that more than one prompt may have: all but each prompt's last. */
   private readonly shared = new Set<string>();
 
-  constructor(seat: RouterSeat) {
+  constructor(seat: SchedulerDependencies) {
     super(seat.directory);
     this.seat = seat;
   }
@@ -37,7 +37,7 @@
 
   private costAt(work: Work, { id, pool }: EngineReplica): number {
     const engine = this.seat.fleet.get(id);
-    if (engine?.isUp() !== true || !this.seat.fleet.reaches(this.seat.dataCentre, engine.dataCentre)) {
+    if (engine?.isUp() !== true || !this.seat.fleet.canReach(this.seat.dataCentre, engine.dataCentre)) {
       return Infinity;
     }
     const index = this.seat.configuration();
@@ -47,7 +47,7 @@
     const prefill = uncached * tokenTime;
     const loss = this.soleTokensLost(engine, uncached) * tokenTime;
     const latency = engine.dataCentre === this.seat.dataCentre ? latencies.within : latencies.between;
-    const firstToken = queue.seatWait + queue.pendingTokens * tokenTime + prefill + 2 * latency;
+    const firstToken = queue.slotWait + queue.pendingTokens * tokenTime + prefill + 2 * latency;
     return firstToken + loss + recomputationWeight(index, work) * (prefill + loss);
   }
 
@@ -56,7 +56,7 @@
     const others = this.seat.fleet.engines.filter((other) => other !== engine);
     return engine
       .wouldEvict(tokens)
-      .filter(({ key }) => this.shared.has(key) && !others.some((other) => other.holds(key)))
+      .filter(({ key }) => this.shared.has(key) && !others.some((other) => other.isCached(key)))
       .reduce((sum, unit) => sum + unit.tokens, 0);
   }
 }
--- a/bench/policies/prefixTree.ts
+++ b/bench/policies/prefixTree.ts
@@ -4,8 +4,8 @@
  */
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import type { EngineReplica } from "../../src/state/engineDirectory.ts";
-import { PickingScheduler, requestsAt } from "./PickingScheduler.ts";
-import type { Policy, RouterSeat } from "./Policy.ts";
+import { ImmediateScheduler, requestsAt } from "./ImmediateScheduler.ts";
+import type { Policy, SchedulerDependencies } from "./Policy.ts";
 
 /** Loads further apart than both are evened out before prefixes are looked at. */
 const tolerance = { requests: 8, factor: 1.5 } as const;
@@ -13,12 +13,12 @@
 /** Part of the prompt that must match for the match to be followed. */
 const leastMatch = 0.5;
 
-class PrefixTreeScheduler extends PickingScheduler {
+class PrefixTreeScheduler extends ImmediateScheduler {
   /** Levels sent to each engine with their tokens, the least recently sent first. */
   private readonly sent = new Map<string, Map<string, number>>();
-  private readonly seat: RouterSeat;
+  private readonly seat: SchedulerDependencies;
 
-  constructor(seat: RouterSeat) {
+  constructor(seat: SchedulerDependencies) {
     super(seat.directory);
     this.seat = seat;
   }
--- a/bench/policies/random.ts
+++ b/bench/policies/random.ts
@@ -3,13 +3,13 @@
 import type { Work } from "../../src/coordination/scheduling/Scheduler.ts";
 import { createRandom } from "../model/random.ts";
 import type { Random } from "../model/random.ts";
-import { PickingScheduler } from "./PickingScheduler.ts";
-import type { Policy, RouterSeat } from "./Policy.ts";
+import { ImmediateScheduler } from "./ImmediateScheduler.ts";
+import type { Policy, SchedulerDependencies } from "./Policy.ts";
 
-class RandomScheduler extends PickingScheduler {
+class RandomScheduler extends ImmediateScheduler {
   private readonly random: Random;
 
-  constructor({ directory, seed }: RouterSeat) {
+  constructor({ directory, seed }: SchedulerDependencies) {
     super(directory);
     this.random = createRandom(seed, "random policy");
   }
--- a/bench/report/barChart.ts
+++ b/bench/report/barChart.ts
@@ -19,7 +19,7 @@
   readonly series: readonly Series[];
   readonly groups: readonly BarGroup[];
   /** The value at the right end. */
-  readonly most: number;
+  readonly maximum: number;
 }
 
 const layout = { width: 760, left: 150, right: 70, top: 60, bar: 14, gap: 10 } as const;
@@ -31,7 +31,7 @@
 
 const drawBar = (chart: BarChart, value: number, y: number, colour: string): string => {
   const room = layout.width - layout.left - layout.right;
-  const part = Number.isFinite(value) ? Math.min(1, value / chart.most) : 1;
+  const part = Number.isFinite(value) ? Math.min(1, value / chart.maximum) : 1;
   const length = Math.max(1, Math.round(part * room));
   const label = Number.isFinite(value) ? `${value.toFixed(value < 10 ? 1 : 0)} ${chart.unit}` : "unbounded";
   const box = `<rect x="${layout.left}" y="${y}" width="${length}" height="${layout.bar - 2}" fill="${colour}"/>`;
--- a/bench/retries/SimulatedEngine.ts
+++ b/bench/retries/SimulatedEngine.ts
@@ -83,7 +83,7 @@
     await this.takeSlot(signal);
     try {
       const straggles = this.random.uniform() < world.stragglers;
-      await this.spend(this.random.within(world.prefill) + (straggles ? world.stragglerTime : 0), signal);
+      await this.spend(this.random.integerIn(world.prefill) + (straggles ? world.stragglerTime : 0), signal);
       if (this.condition === "breaking") throw brokenOff();
       yield [piece("first")];
       const rest = Math.max(0, world.tokens - delivered - 1);
--- a/bench/retries/constants.ts
+++ b/bench/retries/constants.ts
@@ -5,7 +5,7 @@
   slots: 4,
   /** Further requests that an engine accepts. */
   waiting: 64,
-  prefill: { least: 20, most: 80 },
+  prefill: { minimum: 20, maximum: 80 },
   tokens: 8,
   tokenTime: 20,
   duration: 60_000,
--- a/bench/router/load.ts
+++ b/bench/router/load.ts
@@ -2,8 +2,8 @@
 import type { IncomingMessage } from "node:http";
 import { Agent, request as httpRequest } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
-import { callHeaders, hosts, keys, promptHeadersOf } from "../../standIns/platform/system.ts";
-import type { RouterPlace } from "../../soak/platform/system.ts";
+import { callHeaders, hosts, keys, createPromptHeaders } from "../../standIns/platform/platformSystem.ts";
+import type { RouterSlot } from "../../soak/platform/soakSystem.ts";
 import type { Random } from "../model/random.ts";
 
 /** A kind of request. */
@@ -66,7 +66,7 @@
   const text = random.index(texts.count);
   return {
     ...common,
-    ...promptHeadersOf(
+    ...createPromptHeaders(
       [
         { id: "rules", tokens: commonTokens },
         { id: `${name}${text}`, tokens: texts.tokens },
@@ -77,7 +77,7 @@
   };
 };
 
-const sendOne = (place: RouterPlace, agent: Agent, id: string, random: Random): Promise<boolean> =>
+const sendOne = (place: RouterSlot, agent: Agent, id: string, random: Random): Promise<boolean> =>
   new Promise((resolve) => {
     const kind = pickKind(random);
     const method = kind.name === "read" ? "GET" : "POST";
@@ -94,7 +94,7 @@
 
 /** Sends requests to every router at a pace, and waits until they have ended. @param perSecond - To each router. */
 export const sendLoad = async (
-  routers: readonly RouterPlace[],
+  routers: readonly RouterSlot[],
   perSecond: number,
   seconds: number,
   random: Random,
--- a/bench/router/router.ts
+++ b/bench/router/router.ts
@@ -9,8 +9,8 @@
 import { join, resolve } from "node:path";
 import { pathToFileURL } from "node:url";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { RouterPlace, SoakSystem } from "../../soak/platform/system.ts";
-import { startSoakSystem } from "../../soak/platform/system.ts";
+import type { RouterSlot, SoakSystem } from "../../soak/platform/soakSystem.ts";
+import { startSoakSystem } from "../../soak/platform/soakSystem.ts";
 import { createRandom } from "../model/random.ts";
 import { formatTable } from "../report/table.ts";
 import type { Row } from "../report/table.ts";
@@ -46,7 +46,7 @@
 };
 
 /** @returns Milliseconds of processor time that a process has taken. */
-const readProcessorTime = async ({ process: started }: RouterPlace): Promise<number> => {
+const readProcessorTime = async ({ process: started }: RouterSlot): Promise<number> => {
   const text = await readFile(`/proc/${started?.processId ?? 0}/stat`, "utf8");
   const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[timeFields.user]) + Number(fields[timeFields.system]);
@@ -63,7 +63,7 @@
   let version = 1;
   const name = (): void => {
     version += 1;
-    system.nameWeights(version);
+    system.publishWeightsVersion(version);
   };
   name();
   const timer = setInterval(name, weightsInterval * 1_000);
--- a/bench/slopes/subject.ts
+++ b/bench/slopes/schedulerHarness.ts
@@ -24,7 +24,7 @@
 }
 
 /** A router's decisions, to be timed and weighed. */
-export interface Subject {
+export interface SchedulerHarness {
   readonly scheduler: Scheduler;
   readonly directory: EngineDirectory;
   /**
@@ -154,7 +154,7 @@
 };
 
 /** Makes a router's decisions at a size. */
-export const createSubject = (policy: Policy, size: Size): Subject => {
+export const createSchedulerHarness = (policy: Policy, size: Size): SchedulerHarness => {
   const clock = createManualClock();
   const mix = createLevantMix();
   const configuration = scaleConfiguration(mix.configuration, size);
--- a/bench/slopes/slopes.ts
+++ b/bench/slopes/slopes.ts
@@ -1,5 +1,5 @@
 /** `npm run bench -- slopes`: what a router's decisions cost in processor time and memory, by size. */
-import { policies, policyNames } from "../policies/all.ts";
+import { policies, policyNames } from "../policies/policies.ts";
 import type { Policy } from "../policies/Policy.ts";
 import { formatTable } from "../report/table.ts";
 import type { Bench, BenchOptions } from "../types.ts";
@@ -8,8 +8,8 @@
 import type { Point } from "./measure.ts";
 import { slopeRows } from "./report.ts";
 import type { SlopeReport, SlopeResult } from "./report.ts";
-import { createSubject } from "./subject.ts";
-import type { Size } from "./subject.ts";
+import { createSchedulerHarness } from "./schedulerHarness.ts";
+import type { Size } from "./schedulerHarness.ts";
 
 /** What is counted, and what the target of the first letter makes of it for one node. */
 interface Dimension {
@@ -51,7 +51,7 @@
 
 const timeAndWeigh = async (policy: Policy, size: Size, timed: number) => {
   const before = await heapInUse();
-  const subject = createSubject(policy, size);
+  const subject = createSchedulerHarness(policy, size);
   await subject.decide(decisionsToFill);
   const bytes = (await heapInUse()) - before;
   const microseconds = await timeCalls(timed, subject.decide);
@@ -79,7 +79,7 @@
 const measureDigests = async (policy: Policy, timed: number): Promise<readonly Point[]> => {
   const points: Point[] = [];
   for (const engines of [100, enginesOfDataCentre]) {
-    const subject = createSubject(policy, { ...usual, engines });
+    const subject = createSchedulerHarness(policy, { ...usual, engines });
     await subject.decide(decisionsToFill);
     const value = await timeCalls(timed, subject.takeDigests);
     points.push({ size: engines, value });
@@ -88,7 +88,7 @@
 };
 
 const measureHistory = async (policy: Policy): Promise<readonly Point[]> => {
-  const subject = createSubject(policy, usual);
+  const subject = createSchedulerHarness(policy, usual);
   await subject.decide(decisionsToFill);
   const before = await heapInUse();
   const points: Point[] = [];
--- a/bench/storeEpochs/storeEpochs.ts
+++ b/bench/storeEpochs/storeEpochs.ts
@@ -1,13 +1,13 @@
 /** What a return of the store from a copy costs it, and how long routers need: real routers in one process. */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  configuration,
+  createConfiguration,
   isReady,
   registeredRouters,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { Bench } from "../types.ts";
 
 /** Routers that share this process; more would measure the process. */
@@ -26,16 +26,16 @@
     bounds: { keyRevocation: 5_000, drain: 2_000, lease: 3_000 },
   });
   while (system.routers.length < routers) await system.startRouter();
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   await sleep(countedTime);
   const empty = new Map();
   const calm = countCalls(system);
   await sleep(countedTime);
   const before = countCalls(system) - calm;
-  await system.store.returnFrom(empty, awayTime);
+  await system.store.restoreFrom(empty, awayTime);
   const returnedAt = performance.now();
   const calls = countCalls(system);
-  system.publish(configuration(2));
+  system.publish(createConfiguration(2));
   for (const replica of [...system.desks, ...system.engines]) system.register(replica, { sequence: 2 });
   let registeredAfter = Number.NaN;
   while (performance.now() - returnedAt < countedTime) {
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -1,14 +1,21 @@
 /** `npm run demo -- --platform`: plays a short session against routers that proxy requests to the platform's stand-in. */
-import { call, hosts, keys, promptHeaders, startPlatformSystem, until } from "../standIns/platform/system.ts";
-import type { CallerAnswer, CallerCall } from "../standIns/platform/system.ts";
+import {
+  sendRequest,
+  hosts,
+  keys,
+  defaultPromptHeaders,
+  startPlatformSystem,
+  waitUntil,
+} from "../standIns/platform/platformSystem.ts";
+import type { CallerAnswer, RequestOptions } from "../standIns/platform/platformSystem.ts";
 
 interface Step {
   readonly title: string;
   readonly expected: number;
-  readonly request: CallerCall;
+  readonly request: RequestOptions;
 }
 
-const summarise = { host: hosts.model, path: "/ask/summary", headers: promptHeaders() } as const;
+const summarise = { host: hosts.model, path: "/ask/summary", headers: defaultPromptHeaders() } as const;
 
 const steps: readonly Step[] = [
   { title: "a look-up", expected: 200, request: { host: hosts.desk, path: "/read/1", method: "GET" } },
@@ -42,12 +49,12 @@
   printRow("request", "status", "answer");
   let isAsExpected = true;
   for (const [index, { title, expected, request }] of steps.entries()) {
-    const answer = await call(index % 2 === 0 ? system.router : second, request);
+    const answer = await sendRequest(index % 2 === 0 ? system.router : second, request);
     printRow(title, String(answer.status), firstLine(answer));
     isAsExpected &&= answer.status === expected;
   }
-  system.nameWeights(2);
-  await until(() => system.engines.every((engine) => engine.version() === 2));
+  system.publishWeightsVersion(2);
+  await waitUntil(() => system.engines.every((engine) => engine.version() === 2));
   const orders = system.engines.flatMap((engine) => engine.orders);
   printRow(
     "new weights named",
--- a/soak/checks.ts
+++ b/soak/checks.ts
@@ -3,7 +3,7 @@
 import type { Execution } from "../tests/processes/standInControl.ts";
 import type { SoakRecord, Violation } from "./types.ts";
 
-const isStream = ({ asked }: SoakRecord): boolean => !asked.path.startsWith("/services/");
+const isStream = ({ request: asked }: SoakRecord): boolean => !asked.path.startsWith("/services/");
 
 const checkRunsOnce = (executions: ReadonlyMap<string, number>): readonly Violation[] =>
   [...executions]
@@ -16,11 +16,14 @@
   executions: ReadonlyMap<string, number>,
 ): readonly Violation[] =>
   records
-    .filter(({ asked, tries }) => {
+    .filter(({ request: asked, tries }) => {
       const isRefused = tries.every(({ outcome }) => outcome === outcomes.notRun);
       return isRefused && asked.key !== undefined && (executions.get(asked.key) ?? 0) > 0;
     })
-    .map(({ asked }) => ({ promise: "not_run is true", detail: `${asked.key ?? ""} was refused and ran` }));
+    .map(({ request: asked }) => ({
+      promise: "not_run is true",
+      detail: `${asked.key ?? ""} was refused and ran`,
+    }));
 
 const checkAnswers = (records: readonly SoakRecord[]): readonly Violation[] =>
   records.flatMap((record) => {
@@ -30,7 +33,7 @@
     );
     return wrong.map(({ router, text }) => ({
       promise: "each caller gets the whole answer to its own request",
-      detail: `${router}: ${JSON.stringify(record.asked)}: got ${text.length} characters: ${text.slice(0, 200)}`,
+      detail: `${router}: ${JSON.stringify(record.request)}: got ${text.length} characters: ${text.slice(0, 200)}`,
     }));
   });
 
@@ -64,7 +67,9 @@
   for (const { idempotencyKey } of executions) {
     if (idempotencyKey !== undefined) counts.set(idempotencyKey, (counts.get(idempotencyKey) ?? 0) + 1);
   }
-  const keyed = new Map([...counts].filter(([key]) => records.some(({ asked }) => asked.key === key)));
+  const keyed = new Map(
+    [...counts].filter(([key]) => records.some(({ request: asked }) => asked.key === key)),
+  );
   return [
     ...checkRunsOnce(keyed),
     ...checkNotRun(records, keyed),
--- a/soak/disturbances.ts
+++ b/soak/faultInjector.ts
@@ -12,9 +12,9 @@
 const longestShutdown = 30_000;
 
 /** Disturbs a system. */
-export interface Disturber {
+export interface FaultInjector {
   /** Does one thing, chosen at random, and undoes it. */
-  readonly disturb: () => Promise<void>;
+  readonly injectFault: () => Promise<void>;
   /** Graceful shutdowns that did not end, or not well. Resolves when all have been waited for. */
   readonly findBadShutdowns: () => Promise<readonly Violation[]>;
   /** How often each thing was done. */
@@ -22,7 +22,7 @@
 }
 
 /** Makes a disturber. */
-export const createDisturber = (system: System, random: Random): Disturber => {
+export const createFaultInjector = (system: System, random: Random): FaultInjector => {
   const counts = new Map<string, number>();
   const busy = new Set<string>();
   const shutdowns: Promise<Violation | undefined>[] = [];
@@ -116,5 +116,5 @@
   const findBadShutdowns = async (): Promise<readonly Violation[]> =>
     (await Promise.all(shutdowns)).filter((violation) => violation !== undefined);
 
-  return { disturb, findBadShutdowns, counts };
+  return { injectFault: disturb, findBadShutdowns, counts };
 };
--- a/soak/load.ts
+++ b/soak/load.ts
@@ -46,7 +46,7 @@
       if (result.outcome !== outcomes.notRun && tries.length > maximumTries / 2) break;
       await sleep(retryPause);
     }
-    records.push({ asked, expected, tries });
+    records.push({ request: asked, expected, tries });
     await sleep(thinkingTime);
   };
 
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -9,7 +9,7 @@
 import { createCaller } from "../tests/processes/caller.ts";
 import { listExecutions, waitForEngines } from "../tests/processes/standInControl.ts";
 import { findViolations } from "./checks.ts";
-import { createDisturber } from "./disturbances.ts";
+import { createFaultInjector } from "./faultInjector.ts";
 import { soakQuestions, startLoad } from "./load.ts";
 import type { SoakRecord } from "./types.ts";
 
@@ -26,7 +26,7 @@
 
 const countLast = (records: readonly SoakRecord[]): Readonly<Record<string, number>> => {
   const counts: Record<string, number> = {};
-  for (const { asked, tries } of records) {
+  for (const { request: asked, tries } of records) {
     const kind = `${asked.key === undefined ? "idempotent" : "once"} ${tries.at(-1)?.outcome ?? ""}`;
     counts[kind] = (counts[kind] ?? 0) + 1;
   }
@@ -50,11 +50,11 @@
   let turn = 0;
   const pickRouter = (): string => urls()[(turn += 1) % urls().length] ?? "";
   const load = startLoad(caller, pickRouter, undisturbed);
-  const disturber = createDisturber(system, random);
+  const disturber = createFaultInjector(system, random);
   const until = performance.now() + seconds * 1_000;
   const disturbing = Array.from({ length: disturbances }, async () => {
     while (performance.now() < until) {
-      await disturber.disturb();
+      await disturber.injectFault();
       await sleep(pauseBetween);
     }
   });
--- a/soak/platform/callers.ts
+++ b/soak/platform/callers.ts
@@ -8,10 +8,10 @@
   drainingReplicaOf,
   hosts,
   keys,
-  promptHeaders,
-} from "../../standIns/platform/system.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
-import type { RouterPlace } from "./system.ts";
+  defaultPromptHeaders,
+} from "../../standIns/platform/platformSystem.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
+import type { RouterSlot } from "./soakSystem.ts";
 import type { CallerRecord, RequestName } from "./types.ts";
 
 /** Callers at work. */
@@ -43,17 +43,17 @@
   readonly leaves: boolean;
 }
 
-const headersOf = ({ id, name, key }: Ask, { name: router }: RouterPlace): Record<string, string> => ({
-  [throughHeader]: router,
+const headersOf = ({ id, name, key }: Ask, { name: router }: RouterSlot): Record<string, string> => ({
+  [routerHeader]: router,
   host: name === "read" || name === "post" ? hosts.desk : hosts.model,
   ...callHeaders(id, key, times.patience),
-  ...(name === "ask" || name === "tag" ? promptHeaders() : {}),
+  ...(name === "ask" || name === "tag" ? defaultPromptHeaders() : {}),
 });
 
 /** Sends one request. @returns How it ended; status 0 if there was no answer. */
 const send = (
   agent: Agent,
-  place: RouterPlace,
+  place: RouterSlot,
   ask: Ask,
 ): Promise<Pick<CallerRecord, "status" | "body" | "isCut" | "hasLeft" | "drainingReplica">> =>
   new Promise((resolve) => {
@@ -62,7 +62,13 @@
     let drainingReplica: string | undefined;
     const end = (status: number, isCut: boolean): void => {
       clearTimeout(timer);
-      resolve({ status, body: Buffer.concat(chunks).toString(), isCut, hasLeft, drainingReplica });
+      resolve({
+        status,
+        body: Buffer.concat(chunks).toString(),
+        isCut,
+        hasDisconnected: hasLeft,
+        drainingReplica,
+      });
     };
     const read = (response: IncomingMessage): void => {
       drainingReplica = drainingReplicaOf(response.headers);
@@ -82,7 +88,7 @@
     const timer = setTimeout(leave, ask.leaves ? times.leaveAfter : times.patience + times.leaveAfter);
   });
 
-const isReady = async ({ readinessUrl }: RouterPlace): Promise<boolean> => {
+const isReady = async ({ readinessUrl }: RouterSlot): Promise<boolean> => {
   try {
     const answer = await fetch(readinessUrl, { signal: AbortSignal.timeout(times.readinessInterval) });
     await answer.arrayBuffer();
@@ -94,16 +100,16 @@
 };
 
 /** Asks routers whether they are ready, and keeps those in rotation that are. */
-const followReadiness = (routers: readonly RouterPlace[], isRunning: () => boolean) => {
+const followReadiness = (routers: readonly RouterSlot[], isRunning: () => boolean) => {
   const misses = new Map<string, number>();
-  const follow = async (place: RouterPlace): Promise<void> => {
+  const follow = async (place: RouterSlot): Promise<void> => {
     while (isRunning()) {
       misses.set(place.name, (await isReady(place)) ? 0 : (misses.get(place.name) ?? 0) + 1);
       await sleep(times.readinessInterval);
     }
   };
   const done = Promise.all(routers.map(follow));
-  const inRotation = (): readonly RouterPlace[] => {
+  const inRotation = (): readonly RouterSlot[] => {
     const ready = routers.filter(({ name }) => (misses.get(name) ?? mostMisses) < mostMisses);
     return ready.length > 0 ? ready : routers;
   };
@@ -112,7 +118,7 @@
 
 /** Starts callers. @param spareKeys - Keys besides the usual ones, which the operator may take away. */
 export const startSoakCallers = (
-  routers: readonly RouterPlace[],
+  routers: readonly RouterSlot[],
   random: Random,
   spareKeys: readonly string[],
 ): SoakCallers => {
@@ -137,7 +143,7 @@
     };
   };
 
-  const callOnce = async (agent: Agent, place: RouterPlace): Promise<boolean> => {
+  const callOnce = async (agent: Agent, place: RouterSlot): Promise<boolean> => {
     const ask = nextAsk();
     const sentAt = performance.now();
     const result = await send(agent, place, ask);
--- a/soak/platform/checks.test.ts
+++ b/soak/platform/checks.test.ts
@@ -1,12 +1,12 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import type { Arrival, ReceivedOrder, Run } from "../../standIns/platform/replica.ts";
-import { saltHeaders } from "../../standIns/platform/system.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import type { Arrival, ReceivedOrder, ExecutedRequest } from "../../standIns/platform/replica.ts";
+import { saltHeaders } from "../../standIns/platform/platformSystem.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import { eventsPerStream, findPlatformViolations } from "./checks.ts";
 import { createPlan } from "./plan.ts";
 import { shrinkPlan } from "./shrink.ts";
-import type { CallerRecord, History, ReplicaRecord, StepRecord } from "./types.ts";
+import type { CallerRecord, SoakHistory, ReplicaRecord, StepRecord } from "./types.ts";
 
 const plainBody = (id: string): string => JSON.stringify({ id, body: "sent" });
 
@@ -25,12 +25,12 @@
   body: plainBody(id),
   sentBody: "sent",
   isCut: false,
-  hasLeft: false,
+  hasDisconnected: false,
   drainingReplica: undefined,
   ...fields,
 });
 
-const run = (id: string, fields: Partial<Run> = {}): Run => ({
+const run = (id: string, fields: Partial<ExecutedRequest> = {}): ExecutedRequest => ({
   id,
   method: "POST",
   target: "/post/",
@@ -52,7 +52,7 @@
 });
 
 const arrival = (router: string, at: number, fields: Partial<Arrival> = {}): Arrival => ({
-  headers: { [throughHeader]: router },
+  headers: { [routerHeader]: router },
   at,
   refusedAt: undefined,
   retryAfter: undefined,
@@ -65,7 +65,7 @@
   runs: [],
   arrivals: [],
   orders: [],
-  leftAt: undefined,
+  drainingSince: undefined,
   ...fields,
 });
 
@@ -74,19 +74,19 @@
   caller(`late-${index}`, { sentAt: 50_000, endedAt: 50_050 }),
 );
 
-const history = (fields: Partial<History>): History => ({
+const history = (fields: Partial<SoakHistory>): SoakHistory => ({
   replicas: [],
   steps: [],
-  ends: [],
-  operator: { keysTaken: [], weights: [] },
+  shutdowns: [],
+  operator: { revokedKeys: [], weights: [] },
   proofAges: [0, 300],
   bounds: { keyRevocation: 2_000, drain: 800, weights: 6_000 },
-  quietAt: 20_000,
+  lastStepEndedAt: 20_000,
   ...fields,
   callers: [...(fields.callers ?? []), ...recovered],
 });
 
-const promisesBroken = (fields: Partial<History>): readonly string[] =>
+const promisesBroken = (fields: Partial<SoakHistory>): readonly string[] =>
   findPlatformViolations(history(fields)).map(({ promise }) => promise);
 
 describe("the checks of the platform's soak", () => {
@@ -125,7 +125,7 @@
   });
 
   it("find what ran with a key long after it was taken away, and refusals of keys that are there", () => {
-    const operator = { keysTaken: [{ key: "gone", at: 1_000 }], weights: [] };
+    const operator = { revokedKeys: [{ key: "gone", at: 1_000 }], weights: [] };
     const callers = [
       caller("a", { key: "gone", sentAt: 3_500 }),
       caller("b", { key: "gone", sentAt: 2_500 }),
@@ -140,7 +140,7 @@
   });
 
   it("find work at a replica that has left, unless routers could not know", () => {
-    const replicas = [replica({ leftAt: 1_000, runs: [run("a", { at: 2_500 })] })];
+    const replicas = [replica({ drainingSince: 1_000, runs: [run("a", { at: 2_500 })] })];
     const blind: StepRecord = { kind: "storeCut", from: 900, until: 2_000, router: "router-0" };
     expect(promisesBroken({ replicas }).length).toEqual(1);
     expect(promisesBroken({ replicas, steps: [blind] })).toEqual([]);
@@ -154,7 +154,7 @@
   });
 
   it("find old weights after the bound, and walls that are broken", () => {
-    const operator = { keysTaken: [], weights: [{ version: 2, at: 1_000 }] };
+    const operator = { revokedKeys: [], weights: [{ version: 2, at: 1_000 }] };
     const late = run("a", { at: 8_000, weightsVersion: 1 });
     expect(promisesBroken({ operator, replicas: [replica({ runs: [late] })] }).length).toEqual(1);
     const salt = saltHeaders("m/1/");
@@ -191,8 +191,10 @@
   it("find ends that fail or cut what had been read, and callers that are not served again", () => {
     const cut = caller("a", { status: 0, isCut: true, sentAt: 900, endedAt: 1_100 });
     const ends = [{ router: "router-0", askedAt: 1_000, code: 0 }];
-    expect(promisesBroken({ callers: [cut], ends })).toEqual(["a planned end loses no request"]);
-    expect(promisesBroken({ ends: [{ router: "r", askedAt: 1_000, code: undefined }] }).length).toEqual(1);
+    expect(promisesBroken({ callers: [cut], shutdowns: ends })).toEqual(["a planned end loses no request"]);
+    expect(promisesBroken({ shutdowns: [{ router: "r", askedAt: 1_000, code: undefined }] }).length).toEqual(
+      1,
+    );
     const refused = recovered.map((record) => ({ ...record, id: `${record.id} again`, status: 503 }));
     expect(promisesBroken({ callers: refused })).toEqual(["all is served again after the last disturbance"]);
   });
--- a/soak/platform/checks.ts
+++ b/soak/platform/checks.ts
@@ -1,9 +1,9 @@
 /** What must hold whatever went wrong, on what callers and replicas saw. */
 import type { Arrival, ReceivedOrder } from "../../standIns/platform/replica.ts";
-import { cacheSaltOf } from "../../standIns/platform/system.ts";
-import { throughHeader } from "../../tests/support/limitedReplicas.ts";
+import { cacheSaltOf } from "../../standIns/platform/platformSystem.ts";
+import { routerHeader } from "../../tests/support/limitedReplicas.ts";
 import type { Violation } from "../types.ts";
-import type { CallerRecord, History, ReplicaRecord, RequestName, StepRecord } from "./types.ts";
+import type { CallerRecord, SoakHistory, ReplicaRecord, RequestName, StepRecord } from "./types.ts";
 
 /** Events of every stream of the stand-in's engines in a run. */
 export const eventsPerStream = 8;
@@ -53,7 +53,7 @@
   return numbers.map((number) => `id: ${number}\ndata: ${record.id} ${number}\n\n`).join("");
 };
 
-const answersAreWhole = ({ callers }: History): readonly Violation[] =>
+const answersAreWhole = ({ callers }: SoakHistory): readonly Violation[] =>
   callers
     .filter(
       (record) => record.status === successStatus && !record.isCut && record.body !== expectedBody(record),
@@ -68,7 +68,7 @@
 
 const eventEnd = "\n\n";
 
-const cutAnswersBeginWell = ({ callers }: History): readonly Violation[] =>
+const cutAnswersBeginWell = ({ callers }: SoakHistory): readonly Violation[] =>
   callers
     .filter((record) => record.status === successStatus && record.isCut)
     .filter((record) => isStream(record) && !expectedBody(record).startsWith(wholeEvents(record.body)))
@@ -77,7 +77,7 @@
       detail: `${id} at ${router}: ${body.slice(0, 120)}`,
     }));
 
-const runsAtMostOnce = ({ callers, replicas }: History): readonly Violation[] => {
+const runsAtMostOnce = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
   const counts = runCounts(replicas);
   return callers
     .filter(({ id, name }) => runsOnce.has(name) && (counts.get(id) ?? 0) > 1)
@@ -87,7 +87,7 @@
     }));
 };
 
-const refusalsAreTrue = ({ callers, replicas }: History): readonly Violation[] => {
+const refusalsAreTrue = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
   const counts = runCounts(replicas);
   return callers
     .filter(({ id, name, status }) => runsOnce.has(name) && promises.has(status) && counts.has(id))
@@ -97,8 +97,8 @@
     }));
 };
 
-const nothingIsBlamed = ({ callers, operator }: History): readonly Violation[] => {
-  const taken = new Set(operator.keysTaken.map(({ key }) => key));
+const nothingIsBlamed = ({ callers, operator }: SoakHistory): readonly Violation[] => {
+  const taken = new Set(operator.revokedKeys.map(({ key }) => key));
   return callers
     .filter(({ key, status }) => blames.has(status) && !taken.has(key))
     .map(({ id, status, router }) => ({
@@ -107,9 +107,9 @@
     }));
 };
 
-const takenKeysEnd = ({ callers, replicas, operator, bounds }: History): readonly Violation[] => {
+const takenKeysEnd = ({ callers, replicas, operator, bounds }: SoakHistory): readonly Violation[] => {
   const counts = runCounts(replicas);
-  const takenAt = new Map(operator.keysTaken.map(({ key, at }) => [key, at]));
+  const takenAt = new Map(operator.revokedKeys.map(({ key, at }) => [key, at]));
   return callers
     .filter(({ id, key, sentAt }) => {
       const at = takenAt.get(key);
@@ -125,8 +125,8 @@
 const isBlinded = (steps: readonly StepRecord[], since: number, at: number): boolean =>
   steps.some(({ kind, from, until }) => blinding.has(kind) && from < at && until + aftermath > since);
 
-const leavingIsRespected = ({ replicas, steps, bounds }: History): readonly Violation[] =>
-  replicas.flatMap(({ id, runs, leftAt }) => {
+const leavingIsRespected = ({ replicas, steps, bounds }: SoakHistory): readonly Violation[] =>
+  replicas.flatMap(({ id, runs, drainingSince: leftAt }) => {
     if (leftAt === undefined) return [];
     return runs
       .filter(({ at }) => at > leftAt + bounds.drain + slack && !isBlinded(steps, leftAt, at))
@@ -136,7 +136,7 @@
       }));
   });
 
-const routerOf = ({ headers }: Arrival): string => String(headers[throughHeader]);
+const routerOf = ({ headers }: Arrival): string => String(headers[routerHeader]);
 
 /** Whether a router lost what it knew, or could not act on it, between two moments. */
 const isRouterStruck = (steps: readonly StepRecord[], router: string, since: number, at: number): boolean =>
@@ -159,7 +159,7 @@
   "replicaMuted",
 ]);
 
-const drainingIsRespected = ({ callers, replicas, steps, bounds }: History): readonly Violation[] =>
+const drainingIsRespected = ({ callers, replicas, steps, bounds }: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, arrivals }) => {
     const reports = callers.filter(({ drainingReplica }) => drainingReplica === id);
     return arrivals.flatMap((arrival) => {
@@ -179,7 +179,7 @@
 const backoffGrace = 500;
 const mostInBackoff = 2;
 
-const backoffIsRespected = ({ replicas, steps }: History): readonly Violation[] =>
+const backoffIsRespected = ({ replicas, steps }: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, arrivals }) =>
     arrivals.flatMap((refused) => {
       const { refusedAt, retryAfter } = refused;
@@ -221,7 +221,7 @@
   return found;
 };
 
-const oldWeightsEnd = ({ replicas, steps, operator, bounds }: History): readonly Violation[] =>
+const oldWeightsEnd = ({ replicas, steps, operator, bounds }: SoakHistory): readonly Violation[] =>
   replicas.flatMap(({ id, runs }) =>
     runs
       .filter(({ weightsVersion, at }) => {
@@ -235,7 +235,7 @@
       })),
   );
 
-const wallsHold = ({ callers, replicas }: History): readonly Violation[] => {
+const wallsHold = ({ callers, replicas }: SoakHistory): readonly Violation[] => {
   const organisationOf = new Map(callers.map(({ id, organisation }) => [id, organisation]));
   const users = new Map<string, Set<string>>();
   for (const run of replicas.flatMap(({ runs }) => runs)) {
@@ -252,7 +252,7 @@
 /** The organisation of the stand-in's configuration that shares nothing. */
 const isolatedOrganisation = "two";
 
-const endsAreOrderly = ({ ends }: History): readonly Violation[] =>
+const endsAreOrderly = ({ shutdowns: ends }: SoakHistory): readonly Violation[] =>
   ends
     .filter(({ code }) => code !== 0)
     .map(({ router, code }) => ({
@@ -261,11 +261,12 @@
     }));
 
 /** Requests that a router had read when it was asked to end, and cut although nothing else was wrong. */
-const endsLoseNothing = ({ callers, ends, steps }: History): readonly Violation[] =>
+const endsLoseNothing = ({ callers, shutdowns: ends, steps }: SoakHistory): readonly Violation[] =>
   ends.flatMap(({ router, askedAt }) =>
     callers
       .filter(
-        ({ router: at, status, isCut, hasLeft }) => at === router && !hasLeft && (status === 0 || isCut),
+        ({ router: at, status, isCut, hasDisconnected: hasLeft }) =>
+          at === router && !hasLeft && (status === 0 || isCut),
       )
       .filter(({ sentAt, endedAt }) => sentAt < askedAt && endedAt > askedAt)
       .filter(({ sentAt, endedAt }) => !isDisturbed(steps, sentAt, endedAt))
@@ -288,8 +289,8 @@
 const leastServedAfterwards = 0.9;
 const fewestForShare = 20;
 
-const recovers = ({ callers, operator, quietAt }: History): readonly Violation[] => {
-  const taken = new Set(operator.keysTaken.map(({ key }) => key));
+const recovers = ({ callers, operator, lastStepEndedAt: quietAt }: SoakHistory): readonly Violation[] => {
+  const taken = new Set(operator.revokedKeys.map(({ key }) => key));
   const after = callers.filter(({ sentAt, key }) => sentAt > quietAt + aftermath && !taken.has(key));
   const served = after.filter(({ status, isCut }) => status === successStatus && !isCut).length;
   if (after.length >= fewestForShare && served >= after.length * leastServedAfterwards) return [];
@@ -301,7 +302,7 @@
   ];
 };
 
-const proofsAreOfThePast = ({ proofAges }: History): readonly Violation[] =>
+const proofsAreOfThePast = ({ proofAges }: SoakHistory): readonly Violation[] =>
   proofAges
     .filter((age) => age < 0)
     .map((age) => ({
@@ -310,7 +311,7 @@
     }));
 
 /** @returns All that is wrong. */
-export const findPlatformViolations = (history: History): readonly Violation[] => [
+export const findPlatformViolations = (history: SoakHistory): readonly Violation[] => [
   ...answersAreWhole(history),
   ...cutAnswersBeginWell(history),
   ...runsAtMostOnce(history),
--- a/soak/platform/disturber.ts
+++ b/soak/platform/faultInjector.ts
@@ -1,20 +1,20 @@
 /** Carries out the steps of a plan, each undone after its time, and notes what it struck. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Behaviour, ReportHeaders } from "../../standIns/platform/replica.ts";
-import { drainingReport, keys } from "../../standIns/platform/system.ts";
+import { drainingReport, keys } from "../../standIns/platform/platformSystem.ts";
 import type { LoopbackProxy, ProxyMode } from "./loopbackProxy.ts";
 import type { Step, StepKind } from "./plan.ts";
-import { bounds } from "./system.ts";
-import type { ReplicaPlace, RouterPlace, SoakSystem } from "./system.ts";
-import type { EndRecord, OperatorRecords, StepRecord } from "./types.ts";
+import { bounds } from "./soakSystem.ts";
+import type { ReplicaSlot, RouterSlot, SoakSystem } from "./soakSystem.ts";
+import type { ShutdownRecord, OperatorActions, StepRecord } from "./types.ts";
 
-/** See {@link createDisturber}. */
-export interface Disturber {
+/** See {@link createFaultInjector}. */
+export interface FaultInjector {
   /** Carries out a step and undoes it. */
   readonly carryOut: (step: Step) => Promise<void>;
   readonly steps: readonly StepRecord[];
-  readonly ends: readonly EndRecord[];
-  readonly operator: OperatorRecords;
+  readonly shutdowns: readonly ShutdownRecord[];
+  readonly operator: OperatorActions;
 }
 
 /** Far longer than the grace time: a router that takes longer doesn't end. */
@@ -49,7 +49,7 @@
 };
 
 const failStore = async (
-  place: RouterPlace | undefined,
+  place: RouterSlot | undefined,
   fault: "isBusy" | "isSilent",
   duration: number,
 ): Promise<void> => {
@@ -59,25 +59,25 @@
   place.store.faults[fault] = false;
 };
 
-const misbehave = (place: ReplicaPlace | undefined, target: number): void => {
+const misbehave = (place: ReplicaSlot | undefined, target: number): void => {
   const first = Math.floor(target * 1_000);
   const known = place?.service === "desk" ? misbehaviours.desk : misbehaviours.engines;
   const behaviours = Array.from(
     { length: badAnswers },
     (_, index) => known[(first + index * 7) % known.length] ?? "fail",
   );
-  place?.replica.behave(...behaviours);
+  place?.replica.setBehaviours(...behaviours);
 };
 
 /** What becomes of routers' processes. */
-const createFates = (system: SoakSystem, ends: EndRecord[]) => {
-  const restart = async (place: RouterPlace): Promise<void> => {
+const createFates = (system: SoakSystem, ends: ShutdownRecord[]) => {
+  const restart = async (place: RouterSlot): Promise<void> => {
     await sleep(restartDelay);
     await system.startRouter(place);
     place.isBusy = false;
   };
 
-  const kill = async (place: RouterPlace | undefined): Promise<void> => {
+  const kill = async (place: RouterSlot | undefined): Promise<void> => {
     if (place?.process === undefined) return;
     place.isBusy = true;
     place.process.kill("SIGKILL");
@@ -85,7 +85,7 @@
     await restart(place);
   };
 
-  const end = async (place: RouterPlace | undefined): Promise<void> => {
+  const end = async (place: RouterSlot | undefined): Promise<void> => {
     if (place?.process === undefined) return;
     place.isBusy = true;
     const askedAt = performance.now();
@@ -106,7 +106,7 @@
     await Promise.all(all);
   };
 
-  const freeze = async (place: RouterPlace | undefined, duration: number): Promise<void> => {
+  const freeze = async (place: RouterSlot | undefined, duration: number): Promise<void> => {
     if (place?.process === undefined) return;
     place.isBusy = true;
     place.process.kill("SIGSTOP");
@@ -124,7 +124,7 @@
   return async ({ duration, target }: Step): Promise<void> => {
     if (isReturning) return;
     isReturning = true;
-    await system.returnStore(duration, longestAway * target);
+    await system.restoreStore(duration, longestAway * target);
     await sleep(rewriteDelay);
     writeAgain();
     isReturning = false;
@@ -132,9 +132,9 @@
 };
 
 /** @param spareKeys - Keys that the operator may take away, first to last. */
-export const createDisturber = (system: SoakSystem, spareKeys: readonly string[]): Disturber => {
+export const createFaultInjector = (system: SoakSystem, spareKeys: readonly string[]): FaultInjector => {
   const steps: StepRecord[] = [];
-  const ends: EndRecord[] = [];
+  const ends: ShutdownRecord[] = [];
   const keysTaken: { readonly key: string; readonly at: number }[] = [];
   const weights: { readonly version: number; readonly at: number }[] = [];
   let version = 1;
@@ -144,66 +144,68 @@
   const pick = <T>(items: readonly T[], target: number): T | undefined =>
     items[Math.min(items.length - 1, Math.floor(target * items.length))];
 
-  const pickRouter = (target: number): RouterPlace | undefined =>
+  const pickRouter = (target: number): RouterSlot | undefined =>
     pick(
       system.routers.filter(({ isBusy, process }) => !isBusy && process !== undefined),
       target,
     );
 
-  const pickReplica = (target: number): ReplicaPlace | undefined =>
+  const pickReplica = (target: number): ReplicaSlot | undefined =>
     pick(
-      system.replicas.filter(({ leftAt, isReporting }) => leftAt === undefined && !isReporting),
+      system.replicas.filter(
+        ({ drainingSince: leftAt, isReporting }) => leftAt === undefined && !isReporting,
+      ),
       target,
     );
 
   /** Other replicas of its service that take requests. */
-  const countOthers = (place: ReplicaPlace): number =>
+  const countOthers = (place: ReplicaSlot): number =>
     system.replicas.filter(
       (other) =>
         other !== place &&
         other.service === place.service &&
-        other.leftAt === undefined &&
+        other.drainingSince === undefined &&
         !other.isReporting,
     ).length;
 
-  const leave = async (place: ReplicaPlace | undefined): Promise<void> => {
+  const leave = async (place: ReplicaSlot | undefined): Promise<void> => {
     if (place === undefined || countOthers(place) < fewestReplicas) return;
     system.register(place, "draining");
-    place.leftAt = performance.now();
+    place.drainingSince = performance.now();
     await sleep(bounds.drain * 2);
     system.register(place, undefined);
   };
 
   /** Its answers say so long before the registry does. */
-  const reportDraining = async (place: ReplicaPlace | undefined, duration: number): Promise<void> => {
+  const reportDraining = async (place: ReplicaSlot | undefined, duration: number): Promise<void> => {
     if (place === undefined || countOthers(place) < fewestReplicas) return;
     place.isReporting = true;
-    place.replica.report(drainingReport);
+    place.replica.setReportHeaders(drainingReport);
     await sleep(duration);
     await leave(place);
   };
 
   const askForBackoff = async (
-    place: ReplicaPlace | undefined,
+    place: ReplicaSlot | undefined,
     duration: number,
     target: number,
   ): Promise<void> => {
     if (place === undefined || countOthers(place) < fewestReplicas) return;
     place.isReporting = true;
     const seconds = String(backoffSeconds.least + (backoffSeconds.most - backoffSeconds.least) * target);
-    place.replica.report((behaviour): ReportHeaders =>
+    place.replica.setReportHeaders((behaviour): ReportHeaders =>
       behaviour === "shed" ? { "retry-after": seconds } : {},
     );
-    place.replica.behave(...Array.from({ length: mostRefused }, () => "shed" as const));
+    place.replica.setBehaviours(...Array.from({ length: mostRefused }, () => "shed" as const));
     await sleep(duration);
-    place.replica.behave();
-    place.replica.report({});
+    place.replica.setBehaviours();
+    place.replica.setReportHeaders({});
     place.isReporting = false;
   };
 
   const publish = (fields: Readonly<Record<string, unknown>> = {}): void => {
     version += 1 + (version % 3);
-    system.publish(version, { ...fields, tenants: tenantsWith(keysLeft) });
+    system.publish(version, { ...fields, tenants: createTenants(keysLeft) });
   };
 
   const takeKey = (): void => {
@@ -216,24 +218,24 @@
 
   const nameWeights = (): void => {
     const newest = (weights.at(-1)?.version ?? 1) + 1;
-    system.nameWeights(newest);
+    system.publishWeightsVersion(newest);
     weights.push({ version: newest, at: performance.now() });
   };
 
   const returnStore = createReturns(system, () => {
-    system.publish(version, { tenants: tenantsWith(keysLeft) });
+    system.publish(version, { tenants: createTenants(keysLeft) });
     const newest = weights.at(-1);
-    if (newest !== undefined) system.nameWeights(newest.version);
+    if (newest !== undefined) system.publishWeightsVersion(newest.version);
   });
 
-  const changeSettings = async (place: RouterPlace | undefined, target: number): Promise<void> => {
+  const changeSettings = async (place: RouterSlot | undefined, target: number): Promise<void> => {
     if (place === undefined) return;
     await system.writeSettings(place, bounds.retryReserve + Math.floor(target * 10));
     place.process?.kill("SIGHUP");
   };
 
   const ways: Readonly<
-    Record<StepKind, (step: Step, router: RouterPlace | undefined) => Promise<void> | void>
+    Record<StepKind, (step: Step, router: RouterSlot | undefined) => Promise<void> | void>
   > = {
     killRouter: (_, router) => kill(router),
     endRouter: (_, router) => end(router),
@@ -268,8 +270,8 @@
 
   return {
     steps,
-    ends,
-    operator: { keysTaken, weights },
+    shutdowns: ends,
+    operator: { revokedKeys: keysTaken, weights },
     carryOut: async (step) => {
       const router = pickRouter(step.target);
       const from = performance.now();
@@ -280,7 +282,7 @@
 };
 
 /** The organisations of the stand-in's configuration, the first with keys that may be taken away. */
-export const tenantsWith = (spareKeys: readonly string[]) => [
+export const createTenants = (spareKeys: readonly string[]) => [
   { name: "one", apiKeys: [keys.known, ...spareKeys], priority: 1, isolated: false },
   { name: "two", apiKeys: [keys.isolated], priority: 1, isolated: true },
 ];
--- a/soak/platform/main.ts
+++ b/soak/platform/main.ts
@@ -7,11 +7,17 @@
 import { join } from "node:path";
 import { parseArgs } from "node:util";
 import type { Step } from "./plan.ts";
-import { allStepKinds, createPlan, returningStepKinds, describePlan, usualStepKinds } from "./plan.ts";
-import type { SoakOutcome } from "./run.ts";
-import { runSoak } from "./run.ts";
+import {
+  replicaReportStepKinds,
+  createPlan,
+  storeRestoreStepKinds,
+  describePlan,
+  defaultStepKinds,
+} from "./plan.ts";
+import type { SoakOutcome } from "./runSoak.ts";
+import { runSoak } from "./runSoak.ts";
 import { shrinkPlan } from "./shrink.ts";
-import type { SystemSize } from "./system.ts";
+import type { SystemSize } from "./soakSystem.ts";
 
 const shownViolations = 10;
 
@@ -40,8 +46,8 @@
 const firstSeed = Number(values.seed ?? Date.now() % 1_000_000);
 
 const planOf = (seed: number): readonly Step[] => {
-  const reporting = values.reports ? allStepKinds : usualStepKinds;
-  const kinds = values.returns ? returningStepKinds : reporting;
+  const reporting = values.reports ? replicaReportStepKinds : defaultStepKinds;
+  const kinds = values.returns ? storeRestoreStepKinds : reporting;
   const plan = createPlan(seed, Number(values.seconds), kinds);
   const only = values.only?.split(",").map(Number);
   return only === undefined ? plan : plan.filter((_, index) => only.includes(index));
--- a/soak/platform/plan.ts
+++ b/soak/platform/plan.ts
@@ -1,7 +1,7 @@
 /** The plan of a run: what happens when, the same for the same seed. */
 import { createRandom } from "../../bench/model/random.ts";
 
-export const usualStepKinds = [
+export const defaultStepKinds = [
   "killRouter",
   "endRouter",
   "endRoutersInTurn",
@@ -27,13 +27,17 @@
 ] as const;
 
 /** The usual ones, and replicas that report about themselves in their answers. */
-export const allStepKinds = [...usualStepKinds, "replicaReportsDraining", "replicaAsksForBackoff"] as const;
+export const replicaReportStepKinds = [
+  ...defaultStepKinds,
+  "replicaReportsDraining",
+  "replicaAsksForBackoff",
+] as const;
 
 /** All of these, and a store that returns from older copies of itself. */
-export const returningStepKinds = [...allStepKinds, "storeReturns", "storeReturns"] as const;
+export const storeRestoreStepKinds = [...replicaReportStepKinds, "storeReturns", "storeReturns"] as const;
 
 /** What may happen. */
-export type StepKind = (typeof returningStepKinds)[number];
+export type StepKind = (typeof storeRestoreStepKinds)[number];
 
 /** One thing that happens. */
 export interface Step {
@@ -58,7 +62,7 @@
 export const createPlan = (
   seed: number,
   seconds: number,
-  kinds: readonly StepKind[] = usualStepKinds,
+  kinds: readonly StepKind[] = defaultStepKinds,
 ): readonly Step[] => {
   const random = createRandom(seed, "platform-soak");
   const steps: Step[] = [];
--- a/soak/platform/run.ts
+++ b/soak/platform/runSoak.ts
@@ -5,11 +5,11 @@
 import type { Violation } from "../types.ts";
 import { startSoakCallers } from "./callers.ts";
 import { findPlatformViolations } from "./checks.ts";
-import { createDisturber, tenantsWith } from "./disturber.ts";
+import { createFaultInjector, createTenants } from "./faultInjector.ts";
 import type { Step } from "./plan.ts";
-import type { SystemSize } from "./system.ts";
-import { bounds, compiledProgram, startSoakSystem, suspendableProgram } from "./system.ts";
-import type { History } from "./types.ts";
+import type { SystemSize } from "./soakSystem.ts";
+import { bounds, compiledProgram, startSoakSystem, suspendableProgram } from "./soakSystem.ts";
+import type { SoakHistory } from "./types.ts";
 
 /** What one run is made of. */
 export interface SoakRun {
@@ -23,7 +23,7 @@
 /** What came of a run. */
 export interface SoakOutcome {
   readonly violations: readonly Violation[];
-  readonly history: History;
+  readonly history: SoakHistory;
   /** What the routers wrote, for whoever traces a violation. */
   readonly log: readonly string[];
 }
@@ -49,9 +49,9 @@
     process.pid + seed,
     isSuspending ? suspendableProgram : compiledProgram,
   );
-  system.publish(2, { tenants: tenantsWith(spareKeys) });
+  system.publish(2, { tenants: createTenants(spareKeys) });
   await sleep(warmUp);
-  const disturber = createDisturber(system, spareKeys);
+  const disturber = createFaultInjector(system, spareKeys);
   const callers = startSoakCallers(system.routers, createRandom(seed, "callers"), spareKeys);
   const startedAt = performance.now();
   await Promise.all(
@@ -63,9 +63,9 @@
   const quietAt = performance.now();
   await sleep(settleTime + lookTime);
   await callers.stop();
-  const history: History = {
+  const history: SoakHistory = {
     callers: callers.records,
-    replicas: system.replicas.map(({ replica, service, leftAt }) => ({
+    replicas: system.replicas.map(({ replica, service, drainingSince: leftAt }) => ({
       id: replica.id,
       service,
       runs: replica.runs,
@@ -74,11 +74,11 @@
       leftAt,
     })),
     steps: disturber.steps,
-    ends: disturber.ends,
+    shutdowns: disturber.shutdowns,
     operator: disturber.operator,
     proofAges: readProofAges(system.log),
     bounds,
-    quietAt,
+    lastStepEndedAt: quietAt,
   };
   return { violations: findPlatformViolations(history), history, log: [...system.log] };
 };
--- a/soak/platform/seeds.test.ts
+++ b/soak/platform/seeds.test.ts
@@ -1,8 +1,8 @@
 /** A short run of the soak, and every seed that has failed, each with what caused it. */
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { allStepKinds, createPlan, returningStepKinds, usualStepKinds } from "./plan.ts";
-import { runSoak } from "./run.ts";
+import { replicaReportStepKinds, createPlan, storeRestoreStepKinds, defaultStepKinds } from "./plan.ts";
+import { runSoak } from "./runSoak.ts";
 
 /** The size at which the seeds failed; the number of replicas decides which one a step strikes. */
 const size = { routers: 4, engines: 4, desks: 3 } as const;
@@ -33,11 +33,11 @@
     isReporting = false,
     isReturning = false,
   } of seeds) {
-    const reporting = isReporting ? allStepKinds : usualStepKinds;
+    const reporting = isReporting ? replicaReportStepKinds : defaultStepKinds;
     it(`keep the promises with seed ${seed}: ${cause}`, async () => {
       const { violations } = await runSoak({
         seed,
-        plan: createPlan(seed, seconds, isReturning ? returningStepKinds : reporting),
+        plan: createPlan(seed, seconds, isReturning ? storeRestoreStepKinds : reporting),
         size,
         isSuspending,
       });
--- a/soak/platform/system.ts
+++ b/soak/platform/soakSystem.ts
@@ -9,14 +9,14 @@
 import { startReplicaStandIn } from "../../standIns/platform/replica.ts";
 import type { StoreStandIn } from "../../standIns/platform/store.ts";
 import { startStoreStandIn } from "../../standIns/platform/store.ts";
-import type { StoreCopy } from "../../standIns/platform/topics.ts";
+import type { StoreBackup } from "../../standIns/platform/topics.ts";
 import {
-  configuration,
-  createWriters,
-  entryOf,
+  createConfiguration,
+  createStoreWriters,
+  createRegistryEntry,
   readinessPath,
   settingsVariable,
-} from "../../standIns/platform/system.ts";
+} from "../../standIns/platform/platformSystem.ts";
 import type { StartedProcess } from "../../standIns/startProcess.ts";
 import { startProcess } from "../../standIns/startProcess.ts";
 import { eventsPerStream } from "./checks.ts";
@@ -43,7 +43,7 @@
 } as const;
 
 /** One router: its place stays, processes come and go. */
-export interface RouterPlace {
+export interface RouterSlot {
   readonly name: string;
   readonly url: string;
   readonly readinessUrl: string;
@@ -57,11 +57,11 @@
 }
 
 /** One replica behind a proxy. */
-export interface ReplicaPlace {
+export interface ReplicaSlot {
   readonly replica: ReplicaStandIn;
   readonly service: string;
   readonly proxy: LoopbackProxy;
-  leftAt: number | undefined;
+  drainingSince: number | undefined;
   /** Its answers report draining or ask for backoff. */
   isReporting: boolean;
 }
@@ -69,21 +69,21 @@
 /** A running system. */
 export interface SoakSystem extends AsyncDisposable {
   readonly store: StoreStandIn;
-  readonly routers: readonly RouterPlace[];
-  readonly replicas: readonly ReplicaPlace[];
+  readonly routers: readonly RouterSlot[];
+  readonly replicas: readonly ReplicaSlot[];
   /** Starts a process in a router's place; resolves once it listens. */
-  readonly startRouter: (place: RouterPlace) => Promise<void>;
-  readonly register: (place: ReplicaPlace, state: "ready" | "draining" | undefined) => void;
+  readonly startRouter: (place: RouterSlot) => Promise<void>;
+  readonly register: (place: ReplicaSlot, state: "ready" | "draining" | undefined) => void;
   readonly publish: (version: number, fields?: Readonly<Record<string, unknown>>) => void;
-  readonly nameWeights: (version: number) => void;
+  readonly publishWeightsVersion: (version: number) => void;
   /**
    * The store is away for a time and returns from a copy; replicas then register again.
    *
    * @param age - How old the copy is at least, milliseconds.
    * @param away - Milliseconds.
    */
-  readonly returnStore: (age: number, away: number) => Promise<void>;
-  readonly writeSettings: (place: RouterPlace, retryReserve: number) => Promise<void>;
+  readonly restoreStore: (age: number, away: number) => Promise<void>;
+  readonly writeSettings: (place: RouterSlot, retryReserve: number) => Promise<void>;
   /** Lines that the routers have printed, the last ones. */
   readonly log: readonly string[];
 }
@@ -138,15 +138,12 @@
     bounds: { ...bounds, retryReserve },
   });
 
-const startReplicas = async (
-  size: SystemSize,
-  resources: ResourceStack,
-): Promise<readonly ReplicaPlace[]> => {
-  const places: ReplicaPlace[] = [];
+const startReplicas = async (size: SystemSize, resources: ResourceStack): Promise<readonly ReplicaSlot[]> => {
+  const places: ReplicaSlot[] = [];
   const add = async (service: string, replica: ReplicaStandIn): Promise<void> => {
     resources.use(replica);
     const proxy = resources.use(await startLoopbackProxy(replica.address));
-    places.push({ replica, service, proxy, leftAt: undefined, isReporting: false });
+    places.push({ replica, service, proxy, drainingSince: undefined, isReporting: false });
   };
   const events = { count: eventsPerStream, pause: 20 };
   for (let index = 0; index < size.engines; index += 1) {
@@ -173,31 +170,35 @@
   const resources = createResourceStack();
   const directory = await mkdtemp(join(tmpdir(), "pomelocleat-soak-"));
   const store = resources.use(await startStoreStandIn());
-  const writers = createWriters(store);
+  const writers = createStoreWriters(store);
   const replicas = await startReplicas(size, resources);
   const log: string[] = [];
 
-  const registered = new Map<ReplicaPlace, "ready" | "draining" | undefined>();
+  const registered = new Map<ReplicaSlot, "ready" | "draining" | undefined>();
   const register: SoakSystem["register"] = (place, state) => {
     registered.set(place, state);
     const { replica, service, proxy } = place;
     const address = proxy.address;
-    const entry = { ...entryOf(service, replica, replica.version()), address, state: state ?? "" };
+    const entry = {
+      ...createRegistryEntry(service, replica, replica.version()),
+      address,
+      state: state ?? "",
+    };
     writers.register(replica.id, state === undefined ? undefined : entry);
   };
-  writers.publish(configuration());
+  writers.publish(createConfiguration());
   for (const place of replicas) register(place, "ready");
 
   /** Replicas register again and again, with the weights that they run by then. */
   const beat = setInterval(() => {
-    for (const place of replicas) if (place.leftAt === undefined) register(place, "ready");
+    for (const place of replicas) if (place.drainingSince === undefined) register(place, "ready");
   }, heartbeatInterval);
   resources.defer(() => {
     clearInterval(beat);
     return undefined;
   });
 
-  const routers: RouterPlace[] = [];
+  const routers: RouterSlot[] = [];
   for (let index = 0; index < size.routers; index += 1) {
     const name = `router-${index}`;
     const address = addressOf(network, index);
@@ -217,9 +218,9 @@
     });
   }
 
-  const copies: { readonly at: number; readonly copy: StoreCopy }[] = [];
+  const copies: { readonly at: number; readonly copy: StoreBackup }[] = [];
   const copying = setInterval(() => {
-    copies.push({ at: performance.now(), copy: store.topics.copy() });
+    copies.push({ at: performance.now(), copy: store.topics.backUp() });
     copies.splice(0, copies.length - mostCopies);
   }, copyInterval);
   resources.defer(() => {
@@ -227,18 +228,18 @@
     return undefined;
   });
 
-  const returnStore: SoakSystem["returnStore"] = async (age, away) => {
+  const returnStore: SoakSystem["restoreStore"] = async (age, away) => {
     const before = performance.now() - age;
     const [oldest] = copies;
-    const { copy } = copies.findLast(({ at }) => at <= before) ?? oldest ?? { copy: store.topics.copy() };
+    const { copy } = copies.findLast(({ at }) => at <= before) ?? oldest ?? { copy: store.topics.backUp() };
     const ways = [store, ...routers.map((place) => place.store)];
     for (const way of ways) {
-      way.faults.isAway = true;
+      way.faults.isDown = true;
       way.closeConnections();
     }
     await sleep(away);
-    store.topics.returnFrom(copy);
-    for (const way of ways) way.faults.isAway = false;
+    store.topics.restore(copy);
+    for (const way of ways) way.faults.isDown = false;
     for (const [place, state] of registered) register(place, state);
   };
 
@@ -247,12 +248,12 @@
     if (log.length > mostLogLines) log.splice(0, mostLogLines / 2);
   };
 
-  const startRouter = async (place: RouterPlace): Promise<void> => {
+  const startRouter = async (place: RouterSlot): Promise<void> => {
     const environment = { [settingsVariable]: place.settingsFile };
     const { module, runtimeOptions } = program;
     place.process = await startProcess(module, [], { environment, onLine: keep, runtimeOptions });
   };
-  const stopRouter = async ({ process }: RouterPlace): Promise<void> => {
+  const stopRouter = async ({ process }: RouterSlot): Promise<void> => {
     await process?.[Symbol.asyncDispose]();
   };
   await Promise.all(routers.map(startRouter));
@@ -264,9 +265,9 @@
     log,
     startRouter,
     register,
-    publish: (version, fields) => writers.publish(configuration(version, fields)),
-    nameWeights: writers.nameWeights,
-    returnStore,
+    publish: (version, fields) => writers.publish(createConfiguration(version, fields)),
+    publishWeightsVersion: writers.publishWeightsVersion,
+    restoreStore: returnStore,
     writeSettings: (place, retryReserve) => {
       const address = new URL(place.url).hostname;
       return writeFile(
--- a/soak/platform/types.ts
+++ b/soak/platform/types.ts
@@ -1,5 +1,5 @@
 /** What a soak run on the platform's stand-in records, for the checks. Times are milliseconds on one clock. */
-import type { Arrival, ReceivedOrder, Run } from "../../standIns/platform/replica.ts";
+import type { Arrival, ReceivedOrder, ExecutedRequest } from "../../standIns/platform/replica.ts";
 import type { StepKind } from "./plan.ts";
 
 /** The ways in which callers ask; the configuration's routes have these names. */
@@ -22,18 +22,18 @@
   /** The replica whose answer it is, if the answer reports that the replica drains. */
   readonly drainingReplica: string | undefined;
   /** The caller went away by itself. */
-  readonly hasLeft: boolean;
+  readonly hasDisconnected: boolean;
 }
 
 /** What one replica did. */
 export interface ReplicaRecord {
   readonly id: string;
   readonly service: string;
-  readonly runs: readonly Run[];
+  readonly runs: readonly ExecutedRequest[];
   readonly arrivals: readonly Arrival[];
   readonly orders: readonly ReceivedOrder[];
   /** When the store accepted that it leaves. */
-  readonly leftAt: number | undefined;
+  readonly drainingSince: number | undefined;
 }
 
 /** One step of the plan as it was carried out. */
@@ -46,7 +46,7 @@
 }
 
 /** A process that was asked to end. */
-export interface EndRecord {
+export interface ShutdownRecord {
   readonly router: string;
   readonly askedAt: number;
   /** Nothing if it did not end. */
@@ -54,21 +54,21 @@
 }
 
 /** What the operator did. */
-export interface OperatorRecords {
-  readonly keysTaken: readonly { readonly key: string; readonly at: number }[];
+export interface OperatorActions {
+  readonly revokedKeys: readonly { readonly key: string; readonly at: number }[];
   readonly weights: readonly { readonly version: number; readonly at: number }[];
 }
 
 /** Everything that a run recorded. */
-export interface History {
+export interface SoakHistory {
   readonly callers: readonly CallerRecord[];
   readonly replicas: readonly ReplicaRecord[];
   readonly steps: readonly StepRecord[];
-  readonly ends: readonly EndRecord[];
-  readonly operator: OperatorRecords;
+  readonly shutdowns: readonly ShutdownRecord[];
+  readonly operator: OperatorActions;
   readonly bounds: { readonly keyRevocation: number; readonly drain: number; readonly weights: number };
   /** Ages of proofs of the configuration that routers wrote to their logs, milliseconds. */
   readonly proofAges: readonly number[];
   /** When the last step was over. */
-  readonly quietAt: number;
+  readonly lastStepEndedAt: number;
 }
--- a/src/commandLine/publishConfiguration.test.ts
+++ b/src/commandLine/publishConfiguration.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { configurationOf, createFakeLog } from "../../tests/support/configuration.ts";
+import { configurationOf, createMemoryLog } from "../../tests/support/configuration.ts";
 import { PlatformError, platformError } from "../protocol/errors.ts";
 import { LogService } from "../protocol/LogService.ts";
 import type { AppendedRecords, LogPage } from "../protocol/types.ts";
@@ -13,7 +13,7 @@
 
 /** A log in memory whose appends fail in the given order, and whose reads fail in a given range. */
 const createFaultyLog = (appendFaults: readonly Fault[], readFaults = 0, readsBeforeFaults = 0) => {
-  const records = createFakeLog();
+  const records = createMemoryLog();
   const faults = [...appendFaults];
   let reads = 0;
 
--- a/src/coordination/claims/logClaimLedger.test.ts
+++ b/src/coordination/claims/logClaimLedger.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { driveClock, FakeLog } from "../../../tests/support/fakeLog.ts";
+import { driveClock, FakeLogService } from "../../../tests/support/FakeLogService.ts";
 import type { RequestError } from "../../protocol/errors.ts";
 import type { RequestContext } from "../../protocol/types.ts";
 import { MemoryMetrics } from "../../state/MemoryMetrics.ts";
@@ -19,7 +19,7 @@
 
 const setUp = (routers: number) => {
   const clock = createManualClock(startOfTime);
-  const log = new FakeLog(clock);
+  const log = new FakeLogService(clock);
   const driver = driveClock(clock, log);
   const first = startLedger(log, clock);
   const second = startLedger(log, clock);
@@ -28,7 +28,7 @@
   return { clock, log, ledgers, first, second, [Symbol.asyncDispose]: () => driver[Symbol.asyncDispose]() };
 };
 
-const startLedger = (log: FakeLog, clock: Clock): LogClaimLedger =>
+const startLedger = (log: FakeLogService, clock: Clock): LogClaimLedger =>
   createLogClaimLedger({ log, clock, metrics: new MemoryMetrics(), retention: () => retention });
 
 const contextOf = (clock: Clock, idempotencyKey: string, organisation = "petra-wings"): RequestContext =>
@@ -170,7 +170,7 @@
   it("is checked against the log service's clock if the router's clock is wrong", async () => {
     await using system = setUp(1);
     const { clock, log, first } = system;
-    log.clockError = retention + 1_000;
+    log.clockOffset = retention + 1_000;
     expect(await resultOf(first.acquire(contextOf(clock, newKey(clock)), "same"))).toEqual(
       "outcome_unknown idempotency_key_too_old",
     );
@@ -182,10 +182,10 @@
     const context = contextOf(clock, newKey(clock));
     await first.acquire(context, "same");
     for (const age of [1, 2, 3]) {
-      log.clockError = age * indexSpan;
+      log.clockOffset = age * indexSpan;
       // Advances the index: 40 random keys, so that each of the four partitions very likely gets some.
       for (let index = 0; index < 40; index += 1) {
-        await first.acquire(contextOf(clock, newKey(clock, -log.clockError)), "x").catch(() => undefined);
+        await first.acquire(contextOf(clock, newKey(clock, -log.clockOffset)), "x").catch(() => undefined);
       }
     }
     const again = { ...context, completionDeadline: clock.monotonic() + 10_000 };
@@ -240,7 +240,7 @@
     log.delayAppends = 1;
     const claim = await claimOf(first.acquire(context, "same"));
     await claim.release();
-    log.arrive();
+    log.applyDelayedAppends();
     expect(await resultOf(second.acquire(context, "same"))).toEqual("claimed");
   });
 
@@ -311,12 +311,12 @@
         if (item.restart) ledgers[item.router] = startLedger(log, clock);
         pending.push(request(item));
         if (!item.together) await pending.at(-1);
-        if (item.arrive) log.arrive();
+        if (item.arrive) log.applyDelayedAppends();
       }
       log.isDown = false;
       log.readsFail = false;
       await Promise.all(pending);
-      log.arrive();
+      log.applyDelayedAppends();
       for (const key of [0, 1, 2]) {
         const last = { router: 0, key, ending: "completes" as const };
         await request({ ...last, fault: "none", arrive: false, restart: false, together: false });
--- a/src/coordination/coordinators/coordinatorQueries.ts
+++ b/src/coordination/coordinators/coordinatorQueries.ts
@@ -1,6 +1,10 @@
 /** Sends queries to coordinators and matches answers to them; answers that arrive after the timeout are dropped. */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { KeeperQuestion, LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type {
+  CoordinatorQuery,
+  LimitAnswer,
+  UsageLimitQuery,
+} from "../../protocol/forwarding/limitMessage.ts";
 import { encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
 import { createAdaptiveTimeout } from "../adaptiveTimeout.ts";
 import type { Clock } from "../clock.ts";
@@ -21,7 +25,7 @@
    *
    * @returns The answer of that router, or `undefined` if none arrives within the timeout.
    */
-  readonly query: (to: LiveRouter, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  readonly query: (to: LiveRouter, query: CoordinatorQuery) => Promise<LimitAnswer | undefined>;
   /** Asks for a heartbeat: any answer counts as one. */
   readonly probe: (to: LiveRouter) => void;
   /** Resolves the query that an answer belongs to. */
@@ -40,7 +44,7 @@
 const firstNumberBound = 2 ** 32;
 
 /** A query without an organisation asks for a heartbeat only. */
-const heartbeatQuery: LimitQuestion = {
+const heartbeatQuery: UsageLimitQuery = {
   kind: "question",
   number: 0,
   organisation: "",
--- a/src/coordination/coordinators/keyCoordination.ts
+++ b/src/coordination/coordinators/keyCoordination.ts
@@ -3,7 +3,7 @@
  * that precede this one. The limits of organisations and of replicas are enforced this way.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { KeeperQuestion, LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
+import type { CoordinatorQuery, LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
 import { decodeLimitMessage, encodeLimitMessage } from "../../protocol/forwarding/limitMessage.ts";
 import type { RouterEntry } from "../../protocol/forwarding/types.ts";
 import type { Clock } from "../clock.ts";
@@ -25,17 +25,17 @@
   readonly random: () => number;
 }
 
-type QueryOf<Kind extends KeeperQuestion["kind"]> = Extract<KeeperQuestion, { readonly kind: Kind }>;
+type QueryOf<Kind extends CoordinatorQuery["kind"]> = Extract<CoordinatorQuery, { readonly kind: Kind }>;
 
 /** Answers queries of one kind about the keys that this router coordinates; about others the verdict is `elsewhere`. */
-export interface CoordinatorRole<Kind extends KeeperQuestion["kind"]> {
+export interface CoordinatorRole<Kind extends CoordinatorQuery["kind"]> {
   readonly answer: (query: QueryOf<Kind>) => LimitAnswer;
   /** Called once every {@link roleCheckInterval}. */
   readonly poll: () => void;
 }
 
 /** By the kind of their queries. */
-export type CoordinatorRoles = { readonly [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> };
+export type CoordinatorRoles = { readonly [Kind in CoordinatorQuery["kind"]]?: CoordinatorRole<Kind> };
 
 /** The coordination of keys, from its creation until it is disposed of. */
 export interface KeyCoordination extends AsyncDisposable {
@@ -43,7 +43,7 @@
   /** From now on this router answers queries of these kinds. */
   readonly addRoles: (added: CoordinatorRoles) => void;
   /** @returns The answer of the key's coordinator; `undefined` if no router answers as such. */
-  readonly query: (key: string, query: KeeperQuestion) => Promise<LimitAnswer | undefined>;
+  readonly query: (key: string, query: CoordinatorQuery) => Promise<LimitAnswer | undefined>;
   /** @returns The number of routers that may be serving, this one included. */
   readonly countRouters: () => number;
 }
@@ -54,7 +54,7 @@
   number,
   verdict: "elsewhere",
   wait: 0,
-  room: 0,
+  remainingPercent: 0,
 });
 
 /** Starts to send and answer queries, until it is disposed of. */
@@ -67,9 +67,9 @@
   const queries = createCoordinatorQueries({ link, clock, random });
   /** By name of a router: the time until which it is not queried. */
   const skippedUntil = new Map<string, number>();
-  const roles: { [Kind in KeeperQuestion["kind"]]?: CoordinatorRole<Kind> } = {};
+  const roles: { [Kind in CoordinatorQuery["kind"]]?: CoordinatorRole<Kind> } = {};
 
-  const answerQuery = (query: KeeperQuestion): LimitAnswer => {
+  const answerQuery = (query: CoordinatorQuery): LimitAnswer => {
     const answer =
       query.kind === "question" ? roles.question?.answer(query) : roles.replicaQuestion?.answer(query);
     return answer ?? answerElsewhere(query.number);
--- a/src/coordination/crashes/LogRecordFeed.test.ts
+++ b/src/coordination/crashes/LogRecordFeed.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { FakeLog } from "../../../tests/support/fakeLog.ts";
+import { FakeLogService } from "../../../tests/support/FakeLogService.ts";
 import { positionAt } from "../../../tests/support/positions.ts";
 import { createManualClock } from "../manualClock.ts";
 import { LogRecordFeed } from "./LogRecordFeed.ts";
@@ -9,7 +9,7 @@
 
 describe("quarantine records in the log", () => {
   it("are the newest of each key that was not dropped, and skip unreadable records", async () => {
-    const log = new FakeLog(createManualClock(0));
+    const log = new FakeLogService(createManualClock(0));
     const feed = new LogRecordFeed(log, stream);
     await feed.put("first", { trials: 0, trial: "" });
     await feed.put("second", { trials: 0, trial: "" });
--- a/src/coordination/crashes/crashMonitor.test.ts
+++ b/src/coordination/crashes/crashMonitor.test.ts
@@ -2,7 +2,7 @@
 import { setImmediate as settled } from "node:timers/promises";
 import { expect } from "earl";
 import { engineEntry } from "../../../tests/support/forwardingFixture.ts";
-import type { ConnectionTrial } from "../../protocol/forwarding/ReplicaClient.ts";
+import type { ConnectionProbeResult } from "../../protocol/forwarding/ReplicaClient.ts";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { createManualClock } from "../manualClock.ts";
 import { crashProbeDelay } from "./constants.ts";
@@ -18,7 +18,7 @@
   replicas.put(engineEntry("a"));
   const replica = replicas.get("a");
   if (replica === undefined) throw new Error("a replica is missing");
-  const state: { trial: ConnectionTrial; tries: number } = { trial: "refused", tries: 0 };
+  const state: { trial: ConnectionProbeResult; tries: number } = { trial: "refused", tries: 0 };
   const crashes: ReplicaCrash[] = [];
   const monitor = createCrashMonitor({
     replicas,
--- a/src/coordination/crashes/quarantine.test.ts
+++ b/src/coordination/crashes/quarantine.test.ts
@@ -50,18 +50,18 @@
     routers.crash(0, "a", [deadly]);
     routers.crash(1, "b", [deadly]);
     await routers.advance(propagationTime);
-    expect(routers.heldAt(deadly)).toEqual([]);
+    expect(routers.quarantinedAt(deadly)).toEqual([]);
     routers.crash(2, "c", [deadly]);
     await routers.advance(propagationTime);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4]);
   });
 
   it("is sent to none from the third crash on, even before the cause is decided", async () => {
     const routers = createQuarantineRouters(2);
     for (const replica of ["a", "b", "c"]) routers.crash(0, replica, [deadly]);
-    expect(routers.heldAt(deadly)).toEqual([1]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1]);
     await routers.advance(crashBatchInterval + 10);
-    expect(routers.heldAt(deadly)).toEqual([1, 2]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2]);
   });
 
   it("counts a crash once, however many routers report it and however often", async () => {
@@ -69,7 +69,7 @@
     for (let index = 0; index < 4; index += 1) routers.crash(index, "a", [deadly, deadly]);
     routers.crash(0, "b", [deadly]);
     await routers.advance(2_000);
-    expect(routers.heldAt(deadly)).toEqual([]);
+    expect(routers.quarantinedAt(deadly)).toEqual([]);
   });
 
   it("is quarantined by all routers although the first copy of each datagram is lost", async () => {
@@ -80,16 +80,16 @@
       await routers.advance(crashBatchInterval + 10);
       routers.network.isDown = false;
     }
-    expect(routers.heldAt(deadly)).toEqual([1]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1]);
     await routers.advance(1_000);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3]);
   });
 
   it("is refused at once, with the time of a retry", async () => {
     const routers = createQuarantineRouters(2);
     await crashThree(routers);
     const before = routers.clock.monotonic();
-    const { wait } = await routers.ask(0, deadly);
+    const { wait } = await routers.admit(0, deadly);
     expect(routers.clock.monotonic() - before <= 20).toEqual(true);
     expect(wait !== undefined && wait > 0 && wait <= trialDelays.first).toEqual(true);
   });
@@ -99,7 +99,7 @@
     await crashThree(routers);
     routers.clock.advanceTo(routers.clock.monotonic() + quarantineDuration);
     await routers.advance(2_500);
-    expect(routers.heldAt(deadly)).toEqual([]);
+    expect(routers.quarantinedAt(deadly)).toEqual([]);
     expect(routers.records.log.at(-1)?.value).toEqual(undefined);
   });
 });
@@ -113,31 +113,31 @@
       if (crash % 2 === 1) routers.at((crash + 1) % 4).quarantine.noteAnswered(requestOf("popular"));
       await routers.advance(30);
     }
-    expect(routers.heldAt("popular")).toEqual([]);
+    expect(routers.quarantinedAt("popular")).toEqual([]);
   });
 
   it("are not quarantined for crashes that have another cause, though in flight at all of them", async () => {
     const routers = createQuarantineRouters(4);
     await crashThree(routers, ["stream", deadly], ["stream"]);
-    expect([routers.heldAt("stream"), routers.heldAt(deadly)]).toEqual([[], [1, 2, 3, 4]]);
+    expect([routers.quarantinedAt("stream"), routers.quarantinedAt(deadly)]).toEqual([[], [1, 2, 3, 4]]);
   });
 
   it("are released by one trial if quarantined by chance, and the cause is quarantined at the next crash", async () => {
     const routers = createQuarantineRouters(4);
     // Nothing distinguishes the two, so the first one named is taken for the cause.
     await crashThree(routers, ["popular", deadly]);
-    expect([routers.heldAt("popular"), routers.heldAt(deadly)]).toEqual([[1, 2, 3, 4], []]);
+    expect([routers.quarantinedAt("popular"), routers.quarantinedAt(deadly)]).toEqual([[1, 2, 3, 4], []]);
     await routers.advance(trialDelays.first);
-    const { request, wait } = await routers.ask(3, "popular");
+    const { request, wait } = await routers.admit(3, "popular");
     expect(wait).toEqual(undefined);
     expect(routers.at(3).quarantine.isQuarantined(request)).toEqual(false);
-    expect(routers.heldAt("popular")).toEqual([1, 2, 3, 4]);
+    expect(routers.quarantinedAt("popular")).toEqual([1, 2, 3, 4]);
     routers.at(3).quarantine.noteAnswered(request);
     await routers.advance(propagationTime);
-    expect(routers.heldAt("popular")).toEqual([]);
+    expect(routers.quarantinedAt("popular")).toEqual([]);
     routers.crash(0, "next", [deadly]);
     await routers.advance(propagationTime);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4]);
     expect(routers.records.log.at(-1)?.key === undefined).toEqual(false);
   });
 });
@@ -146,10 +146,10 @@
   it("are both quarantined, the second at the next crash without the first", async () => {
     const routers = createQuarantineRouters(3);
     await crashThree(routers, [deadly, "deadly too"]);
-    expect([routers.heldAt(deadly), routers.heldAt("deadly too")]).toEqual([[1, 2, 3], []]);
+    expect([routers.quarantinedAt(deadly), routers.quarantinedAt("deadly too")]).toEqual([[1, 2, 3], []]);
     routers.crash(1, "next", ["deadly too"]);
     await routers.advance(propagationTime);
-    expect(routers.heldAt("deadly too")).toEqual([1, 2, 3]);
+    expect(routers.quarantinedAt("deadly too")).toEqual([1, 2, 3]);
   });
 
   it("are both quarantined at their third crash if each crashes other replicas", async () => {
@@ -159,7 +159,7 @@
       routers.crash(1, `b-${crash}`, ["deadly too"]);
     }
     await routers.advance(propagationTime);
-    expect([routers.heldAt(deadly), routers.heldAt("deadly too")]).toEqual([
+    expect([routers.quarantinedAt(deadly), routers.quarantinedAt("deadly too")]).toEqual([
       [1, 2, 3],
       [1, 2, 3],
     ]);
@@ -173,7 +173,7 @@
     let trials = 0;
     for (let round = 0; round < 40; round += 1) {
       await routers.advance(trialDelays.next / 8);
-      const asked = await Promise.all([0, 1, 2, 3].map((index) => routers.ask(index, deadly)));
+      const asked = await Promise.all([0, 1, 2, 3].map((index) => routers.admit(index, deadly)));
       const passed = asked.findIndex(({ wait }) => wait === undefined);
       if (passed < 0) continue;
       expect(asked.filter(({ wait }) => wait === undefined).length).toEqual(1);
@@ -191,22 +191,22 @@
     await crashThree(routers);
     for (const delay of [trialDelays.first, trialDelays.next]) {
       await routers.advance(delay);
-      const { request, wait } = await routers.ask(0, deadly);
+      const { request, wait } = await routers.admit(0, deadly);
       expect(wait).toEqual(undefined);
       routers.at(0).quarantine.noteFailed(request);
     }
     for (const router of [...routers.routers]) await routers.stop(router);
     routers.start(3);
     await routers.advance(trialDelays.next * 2);
-    expect(((await routers.ask(0, deadly)).wait ?? 0) > trialDelays.next).toEqual(true);
+    expect(((await routers.admit(0, deadly)).wait ?? 0) > trialDelays.next).toEqual(true);
   });
 
   it("are not made while the store is unreachable", async () => {
     const routers = createQuarantineRouters(2);
     await crashThree(routers);
-    routers.records.cutOff.add(1).add(2);
+    routers.records.cutOffPorts.add(1).add(2);
     await routers.advance(trialDelays.first);
-    expect(((await routers.ask(0, deadly)).wait ?? 0) > 0).toEqual(true);
+    expect(((await routers.admit(0, deadly)).wait ?? 0) > 0).toEqual(true);
   });
 });
 
@@ -216,16 +216,16 @@
     await crashThree(routers);
     const later = routers.start(4);
     await routers.advance(20);
-    expect([later.quarantine.isReady(), routers.heldAt(deadly)]).toEqual([true, [1, 2, 3, 4]]);
+    expect([later.quarantine.isReady(), routers.quarantinedAt(deadly)]).toEqual([true, [1, 2, 3, 4]]);
     for (const router of [...routers.routers]) await routers.stop(router);
     for (let port = 5; port <= 7; port += 1) routers.start(port);
     await routers.advance(20);
-    expect(routers.heldAt(deadly)).toEqual([5, 6, 7]);
+    expect(routers.quarantinedAt(deadly)).toEqual([5, 6, 7]);
   });
 
   it("don't serve before the first read of the store, but wait for it only until its timeout", async () => {
     const routers = createQuarantineRouters(1);
-    routers.records.cutOff.add(2);
+    routers.records.cutOffPorts.add(2);
     const later = routers.start(2);
     await routers.advance(100);
     expect(later.quarantine.isReady()).toEqual(false);
@@ -237,31 +237,31 @@
     const routers = createQuarantineRouters(6);
     await routers.advance(100);
     for (const port of [5, 6]) {
-      routers.apart.add(port);
-      routers.records.cutOff.add(port);
+      routers.isolatedPorts.add(port);
+      routers.records.cutOffPorts.add(port);
     }
     await crashThree(routers);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4]);
     await routers.advance(20_000);
-    routers.apart.clear();
-    routers.records.cutOff.clear();
+    routers.isolatedPorts.clear();
+    routers.records.cutOffPorts.clear();
     await routers.advance(requiredKnownWithin);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4, 5, 6]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4, 5, 6]);
   });
 
   it("quarantine what a data centre decided while it was cut off, once it is connected again", async () => {
     const routers = createQuarantineRouters(6);
     for (const port of [1, 2]) {
-      routers.apart.add(port);
-      routers.records.cutOff.add(port);
+      routers.isolatedPorts.add(port);
+      routers.records.cutOffPorts.add(port);
     }
     for (const replica of ["a", "b", "c"]) routers.crash(0, replica, [deadly]);
     await routers.advance(10_000);
-    expect(routers.heldAt(deadly)).toEqual([1, 2]);
-    routers.apart.clear();
-    routers.records.cutOff.clear();
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2]);
+    routers.isolatedPorts.clear();
+    routers.records.cutOffPorts.clear();
     await routers.advance(requiredKnownWithin);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4, 5, 6]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4, 5, 6]);
   });
 
   it("all release it once its record was dropped by hand and one router was restarted", async () => {
@@ -272,12 +272,12 @@
     await routers.stop(routers.at(2));
     routers.start(4);
     await routers.advance(requiredKnownWithin);
-    expect(routers.heldAt(deadly)).toEqual([]);
+    expect(routers.quarantinedAt(deadly)).toEqual([]);
   });
 
   it("read the store at a limited rate while a digest mismatch lasts", async () => {
     const routers = createQuarantineRouters(3);
-    routers.records.cutOff.add(1);
+    routers.records.cutOffPorts.add(1);
     for (const replica of ["a", "b", "c"]) routers.at(0).quarantine.noteCrash({ replica, suspects: [] });
     await routers.advance(digestMismatchGrace);
     const before = routers.records.reads;
@@ -299,7 +299,7 @@
     context.diagnostic(
       `${each.toFixed(1)} datagrams to each other router, ${routers.records.log.length} records`,
     );
-    expect(routers.heldAt(deadly).length).toEqual(20);
+    expect(routers.quarantinedAt(deadly).length).toEqual(20);
     // One message with the crashes and one with the decision, each sent twice.
     expect([each, routers.records.log.length]).toEqual([4, 1]);
   });
@@ -322,7 +322,7 @@
     );
     // Two with crashes, each sent twice; one announcement of the answer in all, and those that cross it on the way.
     expect(each <= 5).toEqual(true);
-    expect(routers.heldAt("popular")).toEqual([]);
+    expect(routers.quarantinedAt("popular")).toEqual([]);
   });
 });
 
@@ -338,13 +338,13 @@
     await crashThree(routers);
     await routers.advance(requiredKnownWithin * 4);
     expect(recordsOf(routers).length).toEqual(1);
-    routers.returnStore(0);
+    routers.restoreStore(0);
     await routers.advance(requiredKnownWithin * 2);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4]);
     expect(recordsOf(routers).length).toEqual(1);
     routers.start(5);
     await routers.advance(requiredKnownWithin);
-    expect(routers.heldAt(deadly)).toEqual([1, 2, 3, 4, 5]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1, 2, 3, 4, 5]);
   });
 
   // Guards against the copy listing a request again that has been answered since.
@@ -356,14 +356,14 @@
     routers.at(1).quarantine.noteAnswered(requestOf(deadly));
     await routers.advance(requiredKnownWithin);
     expect(recordsOf(routers)).toEqual([]);
-    routers.returnStore(length);
+    routers.restoreStore(length);
     await routers.advance(requiredKnownWithin * 2);
-    expect(routers.heldAt(deadly)).toEqual([]);
+    expect(routers.quarantinedAt(deadly)).toEqual([]);
     routers.crash(0, "other", ["another"]);
     routers.start(5);
     await routers.advance(requiredKnownWithin * 4);
     expect(recordsOf(routers)).toEqual([]);
-    expect(routers.heldAt(deadly).filter((port) => port !== 5)).toEqual([]);
+    expect(routers.quarantinedAt(deadly).filter((port) => port !== 5)).toEqual([]);
   });
 });
 
@@ -380,7 +380,7 @@
     collectGarbage();
     const grown = (process.memoryUsage().heapUsed - before) / 1_048_576;
     context.diagnostic(`120,000 distinct requests at 2,000 crashes: ${grown.toFixed(1)} MB more on the heap`);
-    expect(routers.heldAt(deadly)).toEqual([1]);
+    expect(routers.quarantinedAt(deadly)).toEqual([1]);
     expect(grown < maxHeapGrowth).toEqual(true);
   });
 });
--- a/src/coordination/forwarding/applyAnnouncedHolders.ts
+++ b/src/coordination/forwarding/applyAnnouncedHolders.ts
@@ -1,5 +1,5 @@
 /** Applies what messages announce about holders of prompt parts: replicas and cache stores. */
-import type { ReplicaKey, ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -25,7 +25,7 @@
 
 /** Records announced holders of prompt parts; holders that this router does not know yet are ignored. */
 export const applyAnnouncedHolders = (
-  announced: readonly ToldHolder[],
+  announced: readonly AnnouncedHolder[],
   { replicas, holders, cacheStores }: HolderDependencies,
 ): void => {
   const stores = cacheStores();
--- a/src/coordination/forwarding/applyPeerMessage.ts
+++ b/src/coordination/forwarding/applyPeerMessage.ts
@@ -1,5 +1,5 @@
 /** Applies messages of peers to this router's state, and drops what was announced by peers that are unreachable. */
-import type { ReplicaKey, RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, RouterMessage, AnnouncedWork } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import type { ReplicaWork } from "../../state/forwarding/replicaState.ts";
 import type { EpochSource } from "../../protocol/storeEpoch.ts";
@@ -28,7 +28,7 @@
 /** Replaces the work of a peer that is not live or shuts down. */
 const noWork = new Map<ReplicaKey, ReplicaWork>();
 
-const byReplica = (work: readonly ToldWork[]): ReadonlyMap<ReplicaKey, ReplicaWork> =>
+const byReplica = (work: readonly AnnouncedWork[]): ReadonlyMap<ReplicaKey, ReplicaWork> =>
   new Map(work.map(({ replica, requests, promptTokens }) => [replica, { requests, promptTokens }]));
 
 /** Drops the announced work of peers that are not live, and removes peers that can't be serving any more. */
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -172,7 +172,7 @@
       ),
     keysOf,
     wasUsed: (key) => entriesByPart.has(key),
-    noteStoreChange: (store, { isKept: isKeptByStore, salt, part }) => {
+    noteStoreChange: (store, { isStored: isKeptByStore, salt, part }) => {
       const key = keyOf(salt, part);
       if (isKeptByStore) noteReported(key, store);
       else entriesByPart.get(key)?.delete(store);
--- a/src/coordination/forwarding/cacheStoreFollower.test.ts
+++ b/src/coordination/forwarding/cacheStoreFollower.test.ts
@@ -22,7 +22,7 @@
 const answerOf = (incarnation: number, next: number, isKept = true): CacheChanges => ({
   incarnation,
   next,
-  changes: [{ isKept, salt: "s", part: "rules" }],
+  changes: [{ isStored: isKept, salt: "s", part: "rules" }],
 });
 
 const create = () => {
--- a/src/coordination/forwarding/configurationState.ts
+++ b/src/coordination/forwarding/configurationState.ts
@@ -5,7 +5,7 @@
  * one of this router, or one of a peer that has the same version. Times are milliseconds on this process's monotonic
  * clock.
  */
-import type { ToldTarget } from "../../protocol/forwarding/peerMessage.ts";
+import type { AnnouncedTarget } from "../../protocol/forwarding/peerMessage.ts";
 import type { OperatorRecord, FeedPage } from "../../protocol/forwarding/types.ts";
 import type { StoreEpoch } from "../../protocol/storeEpoch.ts";
 import { defaultEpoch } from "../../protocol/storeEpoch.ts";
@@ -39,7 +39,7 @@
    */
   readonly supersededBy: (model: string, version: number) => WantedWeights | undefined;
   /** @returns The newest wanted versions of each model, with how long this router has known of each. */
-  readonly wantedAges: () => readonly ToldTarget[];
+  readonly wantedAges: () => readonly AnnouncedTarget[];
   /**
    * Records for how long a peer has known that a version is wanted: this router may have started later.
    *
--- a/src/coordination/forwarding/enginePlacement.test.ts
+++ b/src/coordination/forwarding/enginePlacement.test.ts
@@ -182,7 +182,7 @@
     expect(keys.length).toEqual(2);
     holders.forget("a");
     for (const part of ["opening", "subject"]) {
-      holders.noteStoreChange(store.address, { isKept: true, salt: "m/1/", part });
+      holders.noteStoreChange(store.address, { isStored: true, salt: "m/1/", part });
     }
     const copied = choose(shared(200));
     expect([copied.fetchFrom, copied.sharedParts?.isSaved, copied.sharedParts?.wasUsed]).toEqual([
--- a/src/coordination/forwarding/forwardRun.ts
+++ b/src/coordination/forwarding/forwardRun.ts
@@ -75,7 +75,7 @@
   signal: AbortSignal,
 ): ForwardRun => {
   const { route } = admission;
-  const deadline = request.arrivedAt + Math.min(request.patience ?? noTimeout, route.timeout);
+  const deadline = request.arrivedAt + Math.min(request.timeout ?? noTimeout, route.timeout);
   const stopper = createStopper();
   const sentTo = new Set<string>();
   let unsent = 0;
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -175,8 +175,8 @@
       peer.at = from;
       peer.lastMessageAt = clock.monotonic();
       peer.proofAge = message.configuration?.age ?? Number.POSITIVE_INFINITY;
-      peer.hasSteppedDown = message.standsDown;
-      peer.isShuttingDown = message.ends;
+      peer.hasSteppedDown = message.hasSteppedDown;
+      peer.isShuttingDown = message.isShuttingDown;
       return peer;
     },
     isLive,
--- a/src/coordination/forwarding/proofModel.test.ts
+++ b/src/coordination/forwarding/proofModel.test.ts
@@ -9,7 +9,7 @@
 import fc from "fast-check";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { configurationOf, pageOf } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { createManualClock } from "../manualClock.ts";
 import type { ConfigurationState } from "./configurationState.ts";
--- a/src/coordination/forwarding/routerPeers.test.ts
+++ b/src/coordination/forwarding/routerPeers.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { configurationOf, engineEntry, pageOf } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { noQuarantine } from "../crashes/quarantine.ts";
 import { createManualClock } from "../manualClock.ts";
 import { messagesPerInterval, peerMessageIntervals } from "./constants.ts";
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -5,7 +5,7 @@
  * A router finds the others in the platform's store when it starts; they learn of it from its first message.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { RouterMessage, ToldWork } from "../../protocol/forwarding/peerMessage.ts";
+import type { RouterMessage, AnnouncedWork } from "../../protocol/forwarding/peerMessage.ts";
 import {
   decodeRouterMessage,
   encodeRouterMessage,
@@ -107,7 +107,7 @@
 });
 
 /** @returns The work of this router's own requests, by replica. */
-const ownWorkIn = (replicas: ReplicaTable): readonly ToldWork[] =>
+const ownWorkIn = (replicas: ReplicaTable): readonly AnnouncedWork[] =>
   replicas
     .all()
     .filter(({ requests }) => requests > 0)
@@ -200,15 +200,15 @@
       configuration: proofOf(configuration),
       work,
       ...updates.take(audience),
-      wanted: configuration.wantedAges(),
+      weightsTargets: configuration.wantedAges(),
       ...describeState(dependencies),
-      standsDown: !takesDuties(),
-      ends: isShuttingDown,
+      hasSteppedDown: !takesDuties(),
+      isShuttingDown: isShuttingDown,
     };
   };
 
   /** Where there are many routers, work is reported to the owners of replicas instead, and queried from them. */
-  const announcedWork = (): readonly ToldWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
+  const announcedWork = (): readonly AnnouncedWork[] => (peers.isLarge() ? [] : ownWorkIn(replicas));
 
   const sendTo = (group: PeerGroup): void => {
     const work = announcedWork();
--- a/src/coordination/forwarding/routerUpdates.ts
+++ b/src/coordination/forwarding/routerUpdates.ts
@@ -2,8 +2,8 @@
 import type {
   ReplicaKey,
   RouterMessage,
-  ToldHolder,
-  ToldWeights,
+  AnnouncedHolder,
+  AnnouncedWeights,
 } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import type { ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
@@ -45,11 +45,11 @@
 
 /** Creates an empty set of updates. */
 export const createRouterUpdates = (clock: Clock): RouterUpdates => {
-  const weights = createUpdates<ToldWeights>(clock, updateRepetitionTime);
+  const weights = createUpdates<AnnouncedWeights>(clock, updateRepetitionTime);
   const changing = createUpdates<number>(clock, updateRepetitionTime);
   const leaving = createUpdates<true>(clock, updateRepetitionTime);
   const limited = createUpdates<ReportedLimit>(clock, updateRepetitionTime);
-  const holders: Record<Audience, Map<string, ToldHolder>> = { near: new Map(), far: new Map() };
+  const holders: Record<Audience, Map<string, AnnouncedHolder>> = { near: new Map(), far: new Map() };
 
   return {
     addWeights: (replica, model, version) =>
@@ -74,9 +74,9 @@
         })),
         leaving: leaving.entries().map(([id]) => replicaKeyOf(id)),
         holders: announced,
-        limited: limited.entries().map(([id, word]) => ({
+        limited: limited.entries().map(([id, reportedLimit]) => ({
           replica: replicaKeyOf(id),
-          word: toReportedLimitMessage(word, now),
+          reportedLimit: toReportedLimitMessage(reportedLimit, now),
         })),
       };
     },
@@ -105,13 +105,13 @@
     if (replica !== undefined) replica.changingUntil = now + remaining;
   }
   applyAnnouncedHolders(message.holders, dependencies);
-  for (const { model, version, age } of message.wanted) {
+  for (const { model, version, age } of message.weightsTargets) {
     if (version > (configuration.wantedWeights(model)?.version ?? 0)) onNewerConfiguration();
     configuration.noteWantedAge(model, version, age);
   }
-  for (const { replica: key, word } of message.limited) {
+  for (const { replica: key, reportedLimit: reportedLimit } of message.limited) {
     const replica = replicas.getByKey(key);
-    if (replica !== undefined) noteAnnouncedLimit(replica, word, now);
+    if (replica !== undefined) noteAnnouncedLimit(replica, reportedLimit, now);
   }
   for (const key of message.leaving) {
     const id = idOf(key);
--- a/src/coordination/membership/configurationExchange.test.ts
+++ b/src/coordination/membership/configurationExchange.test.ts
@@ -1,7 +1,12 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { configurationOf, createFakeLog, publisher, readAll } from "../../../tests/support/configuration.ts";
-import type { FakeLog } from "../../../tests/support/configuration.ts";
+import {
+  configurationOf,
+  createMemoryLog,
+  publisher,
+  readAll,
+} from "../../../tests/support/configuration.ts";
+import type { MemoryLog } from "../../../tests/support/configuration.ts";
 import { createPeerNodes } from "../../../tests/support/peerNodes.ts";
 import type { PeerNode, PeerNodes } from "../../../tests/support/peerNodes.ts";
 import { createPublication, encodeConfigurationRecord } from "../../protocol/configuration/record.ts";
@@ -12,7 +17,7 @@
 const maxPropagationTime = 9_000;
 
 /** Publishes a configuration based on the log's latest one. @returns Its version. */
-const publish = (log: FakeLog, ...standings: readonly number[]): number => {
+const publish = (log: MemoryLog, ...standings: readonly number[]): number => {
   const reader = createConfigurationHistory();
   readAll(reader, log);
   const record = createPublication(configurationOf(...standings), reader.current(), publisher);
@@ -20,7 +25,7 @@
 };
 
 /** Lets a node read the log to its end, as its configuration follower does. */
-const readLog = (node: PeerNode, log: FakeLog): void => {
+const readLog = (node: PeerNode, log: MemoryLog): void => {
   const before = node.history.current()?.version;
   readAll(node.history, log);
   node.noteLogRead();
@@ -28,7 +33,7 @@
 };
 
 /** Advances the time; nodes that have to read the log do so, unless they are cut off from it. */
-const run = async (nodes: PeerNodes, log: FakeLog, cutOff: readonly string[], milliseconds: number) => {
+const run = async (nodes: PeerNodes, log: MemoryLog, cutOff: readonly string[], milliseconds: number) => {
   for (let passed = 0; passed < milliseconds; passed += 250) {
     await nodes.advance(250);
     for (const name of all) {
@@ -49,15 +54,15 @@
 
 interface StartedNodes extends AsyncDisposable {
   readonly nodes: PeerNodes;
-  readonly log: FakeLog;
+  readonly log: MemoryLog;
 }
 
 const start = async (): Promise<StartedNodes> => {
   const nodes = createPeerNodes();
   for (const name of local) nodes.start(name, "amman-north");
   for (const name of remote) nodes.start(name, "zarqa-hall");
-  nodes.announce();
-  const log = createFakeLog();
+  nodes.publishVmList();
+  const log = createMemoryLog();
   publish(log, 1);
   await run(nodes, log, [], 6_000);
   expect(versionsOf(nodes)).toEqual(everywhere(0));
--- a/src/coordination/membership/peerMembership.test.ts
+++ b/src/coordination/membership/peerMembership.test.ts
@@ -10,7 +10,7 @@
 const startNodes = async (...names: readonly string[]): Promise<PeerNodes> => {
   const nodes = createPeerNodes();
   for (const name of names) nodes.start(name);
-  nodes.announce();
+  nodes.publishVmList();
   await nodes.advance(2_000);
   return nodes;
 };
@@ -106,7 +106,7 @@
     const predecessor = nodes.node("b");
     await predecessor.controls[Symbol.asyncDispose]();
     nodes.start("b");
-    nodes.announce();
+    nodes.publishVmList();
     await nodes.advance(2_000);
     const { incarnation } = nodes.node("b").membership.self();
     expect(nodes.node("a").peers.get("b")?.incarnation).toEqual(incarnation);
@@ -151,7 +151,7 @@
     await nodes.advance(500);
     const late = nodes.start("c");
     late.engines.applyVms([engineVm("engine-1")]);
-    nodes.announce();
+    nodes.publishVmList();
     await nodes.advance(2_000);
     report(nodes, "engine-1", { running: 7 });
     await nodes.advance(500);
--- a/src/coordination/orders/deploymentOrders.test.ts
+++ b/src/coordination/orders/deploymentOrders.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { model, oldWeights, startRollOutSystem } from "../../../tests/support/rollOutSystem.ts";
+import { model, initialWeights, startRollOutSystem } from "../../../tests/support/rollOutSystem.ts";
 import type { RollOutSystem } from "../../../tests/support/rollOutSystem.ts";
 import type { EngineStandIn } from "../../../standIns/engine/types.ts";
 
@@ -21,7 +21,7 @@
 
 /** Publishes the old weights, starts a lease holder, and waits until it holds the lease. */
 const startHolding = async (system: RollOutSystem, name = "first") => {
-  system.publish(oldWeights);
+  system.publish(initialWeights);
   const holder = system.startHolder(name);
   await system.until(isHolding(holder));
   return holder;
@@ -91,9 +91,9 @@
   it("load the adapters in the configuration", async () => {
     await using system = await startRollOutSystem({ engines: 2 });
     await startHolding(system);
-    system.publish(oldWeights, [{ name: "first-aid", version: "3" }]);
+    system.publish(initialWeights, [{ name: "first-aid", version: "3" }]);
     const loaded = (engine: EngineStandIn): boolean => engine.load().adapters.includes("first-aid@3");
-    await system.until(() => system.engines.every(loaded) && allServe(system, oldWeights)());
+    await system.until(() => system.engines.every(loaded) && allServe(system, initialWeights)());
     expect(system.engines.map((engine) => engine.load().adapters)).toEqual([
       ["first-aid@3"],
       ["first-aid@3"],
@@ -116,7 +116,7 @@
     const second = system.startHolder("second");
     system.publish(newWeights);
     await system.until(() => system.engines.some((engine) => isServing(engine, newWeights)));
-    await first.cutFromLog();
+    await first.disconnectFromLog();
     await system.until(isHolding(second));
     const numbers = [first, second].map(({ orders }) => orders.rollOuts()[0]?.fencingNumber ?? -1);
     await first[Symbol.asyncDispose]();
@@ -155,8 +155,8 @@
     system.weightStore.faults.outage = true;
     system.publish(newWeights);
     await system.until(() => system.engines.some((engine) => kindsOf(engine).includes("admit")));
-    await system.until(allServe(system, oldWeights));
-    expect(allServe(system, oldWeights)()).toEqual(true);
+    await system.until(allServe(system, initialWeights));
+    expect(allServe(system, initialWeights)()).toEqual(true);
     system.weightStore.faults.outage = false;
     await system.until(allServe(system, newWeights));
     expect(allServe(system, newWeights)()).toEqual(true);
@@ -167,7 +167,7 @@
     const [selfLeaving, listedLeaving, ...others] = system.engines;
     if (selfLeaving === undefined || listedLeaving === undefined) return;
     selfLeaving.faults.leaving = true;
-    system.listLeaving(listedLeaving);
+    system.markLeaving(listedLeaving);
     await startHolding(system);
     system.publish(newWeights);
     await system.until(() => others.every((engine) => isServing(engine, newWeights)));
--- a/src/coordination/replicaLimits/limitCoordinator.ts
+++ b/src/coordination/replicaLimits/limitCoordinator.ts
@@ -1,5 +1,5 @@
 /** The replica limits that this router coordinates: it grants requests to the replicas for all routers. */
-import type { LimitAnswer, LimitVerdict, ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type { LimitAnswer, LimitVerdict, ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { fromReportedSpan, fromReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import { createLogger } from "../../state/log.ts";
@@ -32,7 +32,10 @@
     if (limits.delete(id)) writeLog("limit_kept_no_more", { replica: id });
   };
 
-  const limitFor = ({ replica: id, word }: ReplicaQuestion): CoordinatedLimit | undefined => {
+  const limitFor = ({
+    replica: id,
+    reportedLimit: word,
+  }: ReplicaLimitQuery): CoordinatedLimit | undefined => {
     if (replicas.get(id) === undefined) return undefined;
     coordinators.monitor(id);
     if (!coordinators.isActing(id)) {
@@ -48,7 +51,7 @@
     return created;
   };
 
-  const observe = (limit: CoordinatedLimit, { word, unnamed }: ReplicaQuestion): void => {
+  const observe = (limit: CoordinatedLimit, { reportedLimit: word, unnamed }: ReplicaLimitQuery): void => {
     const now = clock.monotonic();
     limit.observeLimit(fromReportedLimitMessage(word, now));
     if (unnamed !== undefined) limit.observeNoLimit(fromReportedSpan(unnamed, now));
@@ -59,7 +62,7 @@
     number,
     verdict,
     wait: Math.ceil(wait),
-    room: 0,
+    remainingPercent: 0,
   });
 
   return {
--- a/src/coordination/replicaLimits/replicaLimits.test.ts
+++ b/src/coordination/replicaLimits/replicaLimits.test.ts
@@ -14,7 +14,7 @@
   system: Awaited<ReturnType<typeof createLimitRouters>>,
   perSecond: number,
 ): void => {
-  expect(system.worst() <= allowedIntake(perSecond)).toEqual(true);
+  expect(system.highestIntake() <= allowedIntake(perSecond)).toEqual(true);
 };
 
 /** Checks that most of what the limit allows is used in the next seconds. */
@@ -24,7 +24,7 @@
   seconds = 8,
 ): Promise<void> => {
   await system.flood(demand, seconds);
-  expect(system.lately(seconds * 1_000) >= 0.8 * perSecond * seconds - 1).toEqual(true);
+  expect(system.countRecentArrivals(seconds * 1_000) >= 0.8 * perSecond * seconds - 1).toEqual(true);
 };
 
 describe("limits that replicas report", () => {
@@ -38,7 +38,7 @@
   });
 
   it("are obeyed by routers that learn of them only from answers", async () => {
-    const system = await createLimitRouters({ routers: 9, limitAt: steady(1.6), isTold: false });
+    const system = await createLimitRouters({ routers: 9, limitAt: steady(1.6), announcesLimits: false });
     await system.flood(demand, 12);
     expectWithinLimit(system, 1.6);
   });
@@ -50,7 +50,7 @@
     });
     await system.flood(demand, 15);
     expectWithinLimit(system, 3);
-    expect(system.lately(8_000) > 4).toEqual(true);
+    expect(system.countRecentArrivals(8_000) > 4).toEqual(true);
   });
 
   it("are obeyed at once after they fall, and used after they rise", async () => {
@@ -61,7 +61,7 @@
     await system.flood(demand, 8);
     const fallenAt = system.clock.monotonic();
     await system.flood(demand, 11);
-    expect(system.worst(fallenAt + 500) <= allowedIntake(1)).toEqual(true);
+    expect(system.highestIntake(fallenAt + 500) <= allowedIntake(1)).toEqual(true);
     await system.flood(demand, 4);
     await expectUtilised(system, 6, 4);
   });
@@ -88,7 +88,7 @@
       await system.flood(demand, 10);
       await system.flood(demand, 15);
       await system.flood(demand, 2);
-      expect(system.lately(1_000) >= 0.9 * demand).toEqual(true);
+      expect(system.countRecentArrivals(1_000) >= 0.9 * demand).toEqual(true);
     }
   });
 
@@ -98,7 +98,7 @@
     await system.advance(60_000);
     const before = system.clock.monotonic();
     await system.flood(demand, 8);
-    expect(system.worst(before) <= allowedIntake(1)).toEqual(true);
+    expect(system.highestIntake(before) <= allowedIntake(1)).toEqual(true);
   });
 
   it("allow no larger burst after a pause than the replica may get", async () => {
@@ -118,7 +118,7 @@
     expectWithinLimit(system, 0);
     await system.flood(demand, 60);
     await system.flood(demand, 2);
-    expect(system.lately(1_000) >= 0.9 * demand).toEqual(true);
+    expect(system.countRecentArrivals(1_000) >= 0.9 * demand).toEqual(true);
   });
 
   it("hold for requests that were sent before the first report, and for bursts right after it", async () => {
@@ -146,7 +146,7 @@
     await system.advance(2_500);
     const fallenAt = system.clock.monotonic();
     await system.flood(demand, 10);
-    expect(system.worst(fallenAt) <= allowedIntake(0.8)).toEqual(true);
+    expect(system.highestIntake(fallenAt) <= allowedIntake(0.8)).toEqual(true);
   });
 
   it("belong to one incarnation: a replica that restarts reports its own or none", async () => {
@@ -170,7 +170,7 @@
     await system.flood(demand, 4);
     await system.flood(demand, 10, 400);
     expectWithinLimit(system, 4);
-    expect(system.lately(8_000) >= 0.8 * 4 * 8).toEqual(true);
+    expect(system.countRecentArrivals(8_000) >= 0.8 * 4 * 8).toEqual(true);
   });
 });
 
@@ -179,10 +179,10 @@
     const system = await createLimitRouters({
       routers: 24,
       limitAt: steady(3),
-      beatInterval: 6_000,
+      heartbeatInterval: 6_000,
     });
     await system.flood(demand, 10);
-    system.network.lostOfEach = 4;
+    system.network.loseEveryNth = 4;
     await system.flood(demand, 20);
     expectWithinLimit(system, 3);
     await expectUtilised(system, 3 * 0.8);
@@ -192,10 +192,10 @@
     const system = await createLimitRouters({ routers: 9, limitAt: steady(4) });
     await system.flood(demand, 5);
     await system.flood(demand, 1, 900);
-    for (let index = 0; index < 9; index += 1) system.stall(index);
+    for (let index = 0; index < 9; index += 1) system.pauseProcess(index);
     await system.advance(6_000);
     const before = system.arrivals.length;
-    for (let index = 0; index < 9; index += 1) system.goOn(index);
+    for (let index = 0; index < 9; index += 1) system.resumeProcess(index);
     await system.advance(100);
     expect(system.arrivals.length - before <= 1).toEqual(true);
   });
@@ -209,14 +209,14 @@
     for (let index = 0; index < 9; index += 1) system.restart(index);
     const before = system.clock.monotonic();
     await system.flood(demand, 8);
-    expect(system.worst(before) <= allowedIntake(1.6)).toEqual(true);
+    expect(system.highestIntake(before) <= allowedIntake(1.6)).toEqual(true);
     await expectUtilised(system, 1.6);
   });
 
   it("are obeyed while the coordinator and its successor are lost, and used again afterwards", async () => {
     const system = await createLimitRouters({ routers: 12, limitAt: steady(3) });
     await system.flood(demand, 6);
-    const [first = 0, second = 0] = system.keepers();
+    const [first = 0, second = 0] = system.coordinators();
     system.network.freeze(first + 1);
     await system.flood(demand, 3);
     system.network.freeze(second + 1);
@@ -232,7 +232,7 @@
   it("are obeyed after a router with a grant was paused, and after the coordinator was", async () => {
     const system = await createLimitRouters({ routers: 9, limitAt: steady(2) });
     await system.flood(demand, 6);
-    const [first = 0] = system.keepers();
+    const [first = 0] = system.coordinators();
     for (const paused of [first, (first + 1) % 9]) {
       system.network.freeze(paused + 1);
       await system.flood(demand, 5);
@@ -245,7 +245,7 @@
   it("are obeyed after a VM was suspended together with its monotonic clock, also the coordinator's", async () => {
     const system = await createLimitRouters({ routers: 9, limitAt: steady(2) });
     await system.flood(demand, 6);
-    const [first = 0] = system.keepers();
+    const [first = 0] = system.coordinators();
     for (const suspended of [first, (first + 2) % 9, first]) {
       system.suspend(suspended);
       await system.flood(demand, 7);
@@ -259,11 +259,11 @@
     for (const dataCentreIndex of [0, 1]) {
       const system = await createLimitRouters({ routers: 12, limitAt: steady(2) });
       await system.flood(demand, 6);
-      system.network.cutOff = new Set(
+      system.network.isolatedPorts = new Set(
         system.routers.flatMap((_, index) => (index % 4 === dataCentreIndex ? [index + 1] : [])),
       );
       await system.flood(demand, 8);
-      system.network.cutOff = new Set();
+      system.network.isolatedPorts = new Set();
       await system.flood(demand, 8);
       expectWithinLimit(system, 2);
       await expectUtilised(system, 2);
@@ -272,7 +272,12 @@
 
   it("are obeyed with lost, duplicated and late datagrams", async () => {
     const system = await createLimitRouters({ routers: 9, limitAt: steady(1.6) });
-    Object.assign(system.network, { lostOfEach: 4, doubledOfEach: 3, lateOfEach: 7, lateBy: 900 });
+    Object.assign(system.network, {
+      loseEveryNth: 4,
+      duplicateEveryNth: 3,
+      delayEveryNth: 7,
+      extraDelay: 900,
+    });
     await system.flood(demand, 25);
     expectWithinLimit(system, 1.6);
     await expectUtilised(system, 1.6 * 0.6);
@@ -292,18 +297,19 @@
           const system = await createLimitRouters({ routers: 12, limitAt: steady(perSecond) });
           await system.flood(demand, 5);
           for (const { kind, router, seconds } of failures) {
-            const affected = router % 2 === 0 ? (system.keepers()[0] ?? 0) : router;
+            const affected = router % 2 === 0 ? (system.coordinators()[0] ?? 0) : router;
             if (kind === "freeze") system.network.freeze(affected + 1);
             if (kind === "suspend") system.suspend(affected);
             if (kind === "restart") system.restart(affected);
-            if (kind === "cut") system.network.cutOff = new Set([affected + 1, ((affected + 4) % 12) + 1]);
-            if (kind === "loss") system.network.lostOfEach = 3;
-            if (kind === "late") Object.assign(system.network, { lateOfEach: 3, lateBy: 1_500 });
+            if (kind === "cut")
+              system.network.isolatedPorts = new Set([affected + 1, ((affected + 4) % 12) + 1]);
+            if (kind === "loss") system.network.loseEveryNth = 3;
+            if (kind === "late") Object.assign(system.network, { delayEveryNth: 3, extraDelay: 1_500 });
             await system.flood(demand, seconds);
             system.resume(affected);
             system.network.thaw(affected + 1);
-            system.network.cutOff = new Set();
-            Object.assign(system.network, { lostOfEach: 0, lateOfEach: 0 });
+            system.network.isolatedPorts = new Set();
+            Object.assign(system.network, { loseEveryNth: 0, delayEveryNth: 0 });
           }
           await system.flood(demand, 4);
           expectWithinLimit(system, perSecond);
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -7,7 +7,7 @@
  * among them. If routers only notified one another afterwards, they would have sent many times the limit by then.
  * Replicas without a limit cost nothing.
  */
-import type { ReplicaQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type { ReplicaLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { AnswerSpan, ReportedLimit } from "../../state/forwarding/reportedLimit.ts";
 import { supersedes, toReportedSpan, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -91,12 +91,12 @@
   const createQuery = (
     { entry }: ReplicaState,
     reported: ReportedLimit,
-    fields: Pick<ReplicaQuestion, "unnamed" | "isAsked" | "patience">,
-  ): ReplicaQuestion => ({
+    fields: Pick<ReplicaLimitQuery, "unnamed" | "isAsked" | "patience">,
+  ): ReplicaLimitQuery => ({
     kind: "replicaQuestion",
     number: 0,
     replica: entry.id,
-    word: toReportedLimitMessage(reported, clock.monotonic()),
+    reportedLimit: toReportedLimitMessage(reported, clock.monotonic()),
     ...fields,
   });
 
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -2,13 +2,13 @@
 import type {
   AnswerMessage,
   AskMessage,
-  ReplicaReport,
+  ReplicaLoadReport,
   WorkMessage,
   WorkReport,
 } from "../../protocol/forwarding/ownerMessage.ts";
-import type { ReplicaKey, ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { ReplicaKey, AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
-import type { ToldWord } from "../../protocol/forwarding/toldWord.ts";
+import type { ReportedLimitMessage } from "../../protocol/forwarding/reportedLimitMessage.ts";
 import type { CacheStore } from "../../protocol/forwarding/types.ts";
 import { noteAnnouncedLimit, toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
 import type { ReplicaTable } from "../../state/forwarding/replicaTable.ts";
@@ -51,7 +51,7 @@
 /**
  * @returns The replica's limit; `undefined` if it was last seen long ago: the asker gets it from the replica itself.
  */
-const recentLimitOf = ({ limit }: ReplicaState, now: number): ToldWord | undefined =>
+const recentLimitOf = ({ limit }: ReplicaState, now: number): ReportedLimitMessage | undefined =>
   limit === undefined || now - limit.receivedAt > announcedLimitMaxAge
     ? undefined
     : toReportedLimitMessage(limit, now);
@@ -99,7 +99,7 @@
   };
   let cancel = clock.after(reportLifetime / 2, expireReports);
 
-  const reportOn = (state: ReplicaState, asker: string): ReplicaReport => {
+  const reportOn = (state: ReplicaState, asker: string): ReplicaLoadReport => {
     // Answers of an earlier owner would otherwise be passed on forever, and keep all routers away from the replica.
     replicas.noteWorkAt(ownerAnswersSource, replicaKeyOf(state.entry.id), noWork);
     const work = workExcluding(state, reportSourceOf(asker));
@@ -124,7 +124,7 @@
         const state = replicas.getByKey(key);
         return state === undefined ? [] : [reportOn(state, name)];
       }),
-      holders: wanted.flatMap((part): readonly ToldHolder[] =>
+      holders: wanted.flatMap((part): readonly AnnouncedHolder[] =>
         holders
           .holdersOf(part)
           .slice(0, maxHoldersPerPart)
--- a/src/coordination/replicaOwners/replicaOwners.test.ts
+++ b/src/coordination/replicaOwners/replicaOwners.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { engineEntry } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { createReplicaTable } from "../../state/forwarding/replicaTable.ts";
 import { totalRequests } from "../../state/forwarding/replicaState.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
@@ -236,14 +236,14 @@
           } else if (each.kind === "freeze") network.freeze(router.self.port);
           else if (each.kind === "thaw") network.thaw(router.self.port);
           else if (each.kind === "delay") network.delay = each.delay;
-          else if (each.kind === "loss") network.lostOfEach = each.every;
-          else if (each.kind === "noLoss") network.lostOfEach = 0;
+          else if (each.kind === "loss") network.loseEveryNth = each.every;
+          else if (each.kind === "noLoss") network.loseEveryNth = 0;
           else if (each.kind === "run") await run(each.milliseconds);
           // Lets immediate answers arrive before the clock advances.
           await settled();
         }
         // After the faults end, the owners know each request once, and none that has ended.
-        network.lostOfEach = 0;
+        network.loseEveryNth = 0;
         network.delay = 1;
         for (const { self } of routers) network.thaw(self.port);
         await run(unreachableOwnerTimes.longest + 2 * reportLifetime);
--- a/src/coordination/replicaOwners/workReports.ts
+++ b/src/coordination/replicaOwners/workReports.ts
@@ -5,7 +5,7 @@
 import type { WorkMessage, WorkReport } from "../../protocol/forwarding/ownerMessage.ts";
 import { encodeOwnerMessage } from "../../protocol/forwarding/ownerMessage.ts";
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
-import type { ToldHolder } from "../../protocol/forwarding/peerMessage.ts";
+import type { AnnouncedHolder } from "../../protocol/forwarding/peerMessage.ts";
 import { replicaKeyOf } from "../../protocol/forwarding/peerMessage.ts";
 import { isBackingOff } from "../replicaReports/backoff.ts";
 import { toReportedLimitMessage } from "../../state/forwarding/reportedLimit.ts";
@@ -43,7 +43,7 @@
 
 interface Pending {
   readonly replica: ReplicaState;
-  readonly holders: ToldHolder[];
+  readonly holders: AnnouncedHolder[];
 }
 
 const createReport = (replica: ReplicaState, now: number): WorkReport => ({
--- a/src/coordination/requests/completionRunner.test.ts
+++ b/src/coordination/requests/completionRunner.test.ts
@@ -5,8 +5,8 @@
 import type { UpstreamFault } from "../../protocol/errors.ts";
 import {
   createRunnerFixture,
-  lastPiece,
-  textPiece,
+  lastFrame,
+  textFrame,
   untilAborted,
 } from "../../../tests/support/runnerFixture.ts";
 import type { EngineScript } from "../../../tests/support/runnerFixture.ts";
@@ -23,8 +23,8 @@
 
 const answerCompletely: EngineScript = async function* ({ delivered }) {
   await Promise.resolve();
-  for (const word of wordsAfter(delivered.text)) yield [textPiece(word)];
-  yield [lastPiece];
+  for (const word of wordsAfter(delivered.text)) yield [textFrame(word)];
+  yield [lastFrame];
 };
 
 const failWith = (fault: UpstreamFault) => upstreamError("scripted", fault, "streaming");
@@ -47,7 +47,7 @@
             return;
           }
           await Promise.resolve();
-          const pieces = wordsAfter(call.delivered.text).slice(0, plan.pieces).map(textPiece);
+          const pieces = wordsAfter(call.delivered.text).slice(0, plan.pieces).map(textFrame);
           for (let start = 0; start < pieces.length; start += plan.perBatch) {
             yield pieces.slice(start, start + plan.perBatch);
           }
@@ -55,7 +55,7 @@
         });
         const view = await fixture.finish(fixture.read());
         expect(wholeText.startsWith(view.text)).toEqual(true);
-        const ends = view.pieces.filter(({ finishReason }) => finishReason !== undefined).length;
+        const ends = view.frames.filter(({ finishReason }) => finishReason !== undefined).length;
         if (view.failure === undefined) expect([view.text, ends]).toEqual([wholeText, 1]);
         else expect([view.failure.outcome, ends]).toEqual(["failed", 0]);
       }),
@@ -66,7 +66,7 @@
   it("does not continue an answer with tool calls on another engine", async () => {
     const fixture = createRunnerFixture(async function* () {
       await Promise.resolve();
-      yield [{ ...textPiece(""), extra: { tool_calls: [{ index: 0, id: "call" }] } }];
+      yield [{ ...textFrame(""), extra: { tool_calls: [{ index: 0, id: "call" }] } }];
       throw failWith("closed_early");
     });
     const view = await fixture.finish(fixture.read());
--- a/src/coordination/scheduling/PredictiveScheduler.test.ts
+++ b/src/coordination/scheduling/PredictiveScheduler.test.ts
@@ -4,16 +4,16 @@
 import {
   createSchedulingFixture,
   finished,
-  settle,
+  settlePromises,
   textOf,
 } from "../../../tests/support/schedulingFixture.ts";
-import type { Begun } from "../../../tests/support/schedulingFixture.ts";
+import type { AssignmentProgress } from "../../../tests/support/schedulingFixture.ts";
 import type { Assignment } from "./Scheduler.ts";
 
-const codeOf = ({ refusal }: Begun): string | undefined => refusal?.failure.code;
-const isWaiting = ({ assignment, refusal }: Begun): boolean =>
+const codeOf = ({ refusal }: AssignmentProgress): string | undefined => refusal?.failure.code;
+const isWaiting = ({ assignment, refusal }: AssignmentProgress): boolean =>
   assignment === undefined && refusal === undefined;
-const assignmentsOf = (group: readonly Begun[]): readonly Assignment[] =>
+const assignmentsOf = (group: readonly AssignmentProgress[]): readonly Assignment[] =>
   group.flatMap(({ assignment }) => assignment ?? []);
 
 const answerOf = (assignment: Assignment, cachedTokens = 0) =>
@@ -95,11 +95,11 @@
     const only = await assign(createWork({ excluded: ["engine-3"] }));
     expect(only.engine.id).toEqual("engine-4");
     const none = begin(createWork({ excluded: ["engine-1", "engine-3", "engine-4"] }));
-    await settle();
+    await settlePromises();
     expect(codeOf(none)).toEqual("no_engine");
     const suspectOnly = begin(createWork({ excluded: ["engine-3", "engine-4"] }));
     clock.advanceTo(2_000);
-    await settle();
+    await settlePromises();
     expect(codeOf(suspectOnly)).toEqual("no_engine");
   });
 
@@ -107,29 +107,29 @@
     const { begin, clock, createWork, directory, report } = createSchedulingFixture({ engines: 1 });
     directory.markFailed("engine-0", 0);
     const early = begin(createWork());
-    await settle();
+    await settlePromises();
     expect(isWaiting(early)).toEqual(true);
     clock.advanceTo(900);
     report("engine-0");
     clock.advanceTo(950);
-    await settle();
+    await settlePromises();
     expect(early.assignment?.engine.id).toEqual("engine-0");
     directory.markFailed("engine-0", 950);
     const late = begin(createWork());
     clock.advanceTo(1_900);
-    await settle();
+    await settlePromises();
     expect(isWaiting(late)).toEqual(true);
     clock.advanceTo(2_000);
-    await settle();
+    await settlePromises();
     expect(codeOf(late)).toEqual("no_engine");
   });
 
   it("spreads a hot prefix over more engines before any of them is full", async () => {
     const { begin, createWork, clock } = createSchedulingFixture({ engines: 8, maximumRunning: 8 });
-    const requests: Begun[] = [];
+    const requests: AssignmentProgress[] = [];
     for (let question = 0; question < 400; question += 1) {
       requests.push(begin(createWork()));
-      await settle();
+      await settlePromises();
       clock.advanceTo(clock.monotonic() + 20);
       for (const assignment of assignmentsOf(requests)) assignment.markFirstToken();
       const [ended] = requests.length > 20 ? assignmentsOf(requests.splice(0, 1)) : [];
@@ -147,7 +147,7 @@
     report("engine-0", { running: 4, waiting: 3, pendingPromptTokens: 50_000 });
     const urgent = begin(createWork({ requestClass: "price-lookup" }));
     const batch = begin(createWork({ requestClass: "reconciliation" }));
-    await settle();
+    await settlePromises();
     expect(codeOf(urgent)).toEqual("overloaded");
     expect(urgent.refusal?.failure.outcome).toEqual("not_run");
     expect(urgent.refusal?.failure.retryAfterSeconds).toEqual(5);
@@ -161,14 +161,14 @@
     const queued = begin(createWork());
     clock.advanceTo(100);
     const urgent = begin(createWork({ requestClass: "price-lookup" }));
-    await settle();
+    await settlePromises();
     if (isWaiting(urgent)) clock.advanceTo(700);
-    await settle();
+    await settlePromises();
     expect(codeOf(urgent)).toEqual("overloaded");
     expect(isWaiting(queued)).toEqual(true);
     slotHolder.release(answerOf(slotHolder));
     clock.advanceTo(clock.monotonic() + 1);
-    await settle();
+    await settlePromises();
     expect(queued.assignment?.engine.id).toEqual("engine-0");
   });
 
@@ -181,7 +181,7 @@
     const caller = new AbortController();
     const waiting = begin(createWork(), caller.signal);
     caller.abort();
-    await settle();
+    await settlePromises();
     expect(codeOf(waiting)).toEqual("caller_gone");
     slotHolder.release(answerOf(slotHolder));
     clock.advanceTo(100);
@@ -199,7 +199,7 @@
       slotHolder.markFirstToken();
       slotHolder.release(answerOf(slotHolder, 2_000));
       clock.advanceTo(clock.monotonic() + 1);
-      await settle();
+      await settlePromises();
       const granted = [interactive, batch].map((group) => assignmentsOf(group).length);
       expect(granted).toEqual([Math.min(3, round + 1), Math.max(0, round - 2)]);
       const latest = round < 3 ? interactive[round] : batch[round - 3];
@@ -222,7 +222,7 @@
       slotHolder.markFirstToken();
       slotHolder.release(answerOf(slotHolder));
       clock.advanceTo(clock.monotonic() + 1);
-      await settle();
+      await settlePromises();
       slotHolder =
         assignmentsOf([...flood, ...noto]).find((assignment) => !assigned.has(assignment)) ?? slotHolder;
       assigned.add(slotHolder);
@@ -239,7 +239,7 @@
     report("engine-0", { running: 4, waiting: 3, pendingPromptTokens: 50_000 });
     const other = { ...long, segments: [textOf("other rules", 8_000), "question"] };
     const behind = begin(createWork(other));
-    await settle();
+    await settlePromises();
     expect(codeOf(behind)).toEqual("overloaded");
   });
 
@@ -266,7 +266,7 @@
   it("does not count waiting batch work against its organisation's interactive work", async () => {
     const { assign, begin, createWork } = createSchedulingFixture({ engines: 4, concurrentRequests: 4 });
     const batch = Array.from({ length: 10 }, () => begin(createWork({ requestClass: "reconciliation" })));
-    await settle();
+    await settlePromises();
     expect(assignmentsOf(batch).length).toEqual(3);
     expect(batch.filter(isWaiting).length).toEqual(7);
     expect((await assign(createWork())).engine.pool).toEqual("modelli");
@@ -277,12 +277,12 @@
     const first = await assign(createWork());
     await assign(createWork());
     const third = begin(createWork());
-    await settle();
+    await settlePromises();
     expect(codeOf(third)).toEqual("organisation_limit");
     first.release({ ...answerOf(first), ended: "failed", firstTokenAfter: undefined });
     const again = await assign(createWork({ excluded: [first.engine.id] }));
     const beyond = begin(createWork());
-    await settle();
+    await settlePromises();
     expect(codeOf(beyond)).toEqual("organisation_limit");
     again.release(answerOf(again));
     expect((await assign(createWork())).engine.pool).toEqual("modelli");
@@ -318,7 +318,7 @@
     const property = fc.asyncProperty(fc.array(step, { maxLength: 60, size: "max" }), async (steps) => {
       const system = createSchedulingFixture({ engines: 3, maximumRunning: 2 });
       const { clock, directory, scheduler } = system;
-      const requests: { readonly begun: Begun; readonly caller: AbortController }[] = [];
+      const requests: { readonly begun: AssignmentProgress; readonly caller: AbortController }[] = [];
       const released = new Set<Assignment>();
       const end = (assignment: Assignment, complete: boolean): void => {
         if (complete) assignment.markFirstToken();
@@ -339,7 +339,7 @@
         else if (action.kind === "wait") clock.advanceTo(clock.monotonic() + action.time);
         else if (action.kind === "report") system.report(`engine-${action.engine}`, action);
         else directory.markFailed(`engine-${action.engine}`, clock.monotonic());
-        await settle();
+        await settlePromises();
         for (const id of system.ids) {
           const own = running().filter(({ engine }) => engine.id === id).length;
           expect(directory.get(id)?.inFlight).toEqual(own);
@@ -349,7 +349,7 @@
       for (let round = 0; round < 200 && requests.some(({ begun }) => isWaiting(begun)); round += 1) {
         for (const assignment of running()) end(assignment, true);
         clock.advanceTo(clock.monotonic() + 50);
-        await settle();
+        await settlePromises();
       }
       expect(requests.filter(({ begun }) => isWaiting(begun)).length).toEqual(0);
       expect((scheduler.dump() as { readonly waiting: number }).waiting).toEqual(0);
--- a/src/coordination/storeReading/storeReading.test.ts
+++ b/src/coordination/storeReading/storeReading.test.ts
@@ -2,7 +2,7 @@
 import { setImmediate as settled } from "node:timers/promises";
 import { expect } from "earl";
 import * as fc from "fast-check";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import { pause } from "../clock.ts";
 import { createManualClock } from "../manualClock.ts";
 import type { Peer } from "../forwarding/peerTable.ts";
@@ -259,7 +259,7 @@
             else if (each.kind === "messageDelay") network.delay = each.delay;
             else if (each.kind === "storeDelay") store.delay = each.delay;
             else if (each.kind === "down") store.isDown = each.isDown;
-            else if (each.kind === "loss") network.lostOfEach = each.every;
+            else if (each.kind === "loss") network.loseEveryNth = each.every;
             else if (each.kind === "run") await run(each.milliseconds, observe);
             else {
               const router = routers[each.router];
--- a/src/coordination/usageLimits/usageCoordinator.ts
+++ b/src/coordination/usageLimits/usageCoordinator.ts
@@ -1,5 +1,5 @@
 /** The usage counts that this router coordinates: it grants what organisations' limits leave, for all routers. */
-import type { LimitAnswer, LimitQuestion } from "../../protocol/forwarding/limitMessage.ts";
+import type { LimitAnswer, UsageLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createLogger } from "../../state/log.ts";
 import type { Clock } from "../clock.ts";
@@ -20,7 +20,7 @@
 
 /** The coordinator of organisations' usage in one router. */
 export interface UsageCoordinator {
-  readonly answer: (query: Omit<LimitQuestion, "kind">) => LimitAnswer;
+  readonly answer: (query: Omit<UsageLimitQuery, "kind">) => LimitAnswer;
   /** Starts and ends counts as this router becomes or ceases to be their coordinator. */
   readonly poll: (organisations: Iterable<string>) => void;
 }
@@ -69,7 +69,7 @@
         number,
         verdict,
         wait: Math.ceil(wait ?? 0),
-        room: bucket.remainingPercent(parameters),
+        remainingPercent: bucket.remainingPercent(parameters),
       };
     },
     poll: (organisations) => {
--- a/src/coordination/usageLimits/usageLimits.test.ts
+++ b/src/coordination/usageLimits/usageLimits.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { bounds } from "../../../tests/support/forwardingFixture.ts";
-import { MemoryNetwork } from "../../../tests/support/memoryNetwork.ts";
+import { MemoryNetwork } from "../../../tests/support/MemoryNetwork.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createManualClock } from "../manualClock.ts";
 import { roleCheckInterval, takeoverTimeout } from "../coordinators/constants.ts";
@@ -328,11 +328,11 @@
           if (kind === "freeze") system.network.freeze(affected + 1);
           if (kind === "restart") system.restart(affected);
           if (kind === "down") system.network.isDown = true;
-          if (kind === "loss") system.network.lostOfEach = 5;
+          if (kind === "loss") system.network.loseEveryNth = 5;
           await flood(system, perSecond, 1_200, 3);
           system.network.thaw(affected + 1);
           system.network.isDown = false;
-          system.network.lostOfEach = 0;
+          system.network.loseEveryNth = 0;
         }
         expect(mostInWindow(system.forwarded) <= allowed(smallLimit, strictBounds)).toEqual(true);
       }),
--- a/src/coordination/usageLimits/usageLimits.ts
+++ b/src/coordination/usageLimits/usageLimits.ts
@@ -99,7 +99,7 @@
   /** Writes one log line when the coordinator becomes unreachable, and one when it answers again. */
   const noteAnswer = (organisation: string, answer: LimitAnswer | undefined): void => {
     const account = accountOf(organisation);
-    if (answer !== undefined) noteRemaining(account, answer.room, clock);
+    if (answer !== undefined) noteRemaining(account, answer.remainingPercent, clock);
     const isWithoutCoordinator = answer === undefined;
     if (isWithoutCoordinator !== account.isWithoutCoordinator)
       writeLog(isWithoutCoordinator ? "unasked" : "asked", { organisation });
