--- a/src/protocol/forwarding/ReplicaClient.ts
+++ b/src/protocol/forwarding/ReplicaClient.ts
@@ -15,7 +15,7 @@
 
 /** A call that has entered the gate. */
 export interface GuardedCall {
-  readonly mayLeave: () => boolean;
+  readonly maySend: () => boolean;
   /** Sends it; throws the gate's reason where the gate withheld it. */
   readonly run: <T>(send: () => Promise<T>) => Promise<T>;
   readonly observe: (report: ReplicaReport) => void;
@@ -28,7 +28,7 @@
  * - `refused`: its VM answers, and no process listens there.
  * - `silent`: nothing came back, from the replica or from the network before it.
  */
-export type ConnectionTrial = "made" | "refused" | "silent";
+export type ConnectionProbeResult = "made" | "refused" | "silent";
 
 /** The way to replicas; every path to them passes one gate. Methods throw `UpstreamError`. */
 export abstract class ReplicaClient implements AsyncDisposable {
@@ -46,8 +46,8 @@
    */
   async send(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
     const guarded = this.guard(call.replica, call.request.id);
-    const mayLeave = (): boolean => guarded.mayLeave() && call.mayLeave();
-    const answer = await guarded.run(() => this.transmit({ ...call, mayLeave }, signal));
+    const mayLeave = (): boolean => guarded.maySend() && call.maySend();
+    const answer = await guarded.run(() => this.transmit({ ...call, maySend: mayLeave }, signal));
     guarded.observe(answer.head);
     return answer;
   }
@@ -60,7 +60,7 @@
     const pass = this.gate.enter(replica, requestId);
     let withheld: UpstreamError | undefined;
     return {
-      mayLeave: () => {
+      maySend: () => {
         withheld = pass.withhold();
         return withheld === undefined;
       },
@@ -76,7 +76,7 @@
   }
 
   /** Tries to make a new connection within a time, milliseconds. */
-  abstract tryConnection(replica: ReplicaEntry, timeout: number): Promise<ConnectionTrial>;
+  abstract tryConnection(replica: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult>;
 
   /** Asks an engine for its state. */
   abstract readStatus(replica: ReplicaEntry, signal: AbortSignal): Promise<EngineStatus>;
--- a/src/protocol/forwarding/limitMessage.ts
+++ b/src/protocol/forwarding/limitMessage.ts
@@ -6,11 +6,11 @@
 import type { ByteReader } from "./byteReader.ts";
 import type { ByteWriter } from "./byteWriter.ts";
 import { createByteWriter } from "./byteWriter.ts";
-import type { ToldSpan, ToldWord } from "./toldWord.ts";
-import { readSpan, readWord, writeSpan, writeWord } from "./toldWord.ts";
+import type { ReportedSpan, ReportedLimitMessage } from "./reportedLimitMessage.ts";
+import { readSpan, readWord, writeSpan, writeWord } from "./reportedLimitMessage.ts";
 
 /** A router wants to pass on a request; without an organisation it only asks for a sign of life. */
-export interface LimitQuestion {
+export interface UsageLimitQuery {
   readonly kind: "question";
   readonly number: number;
   readonly organisation: string;
@@ -23,15 +23,15 @@
 }
 
 /** A router tells what a replica's answers named, and may want to send it a request. */
-export interface ReplicaQuestion {
+export interface ReplicaLimitQuery {
   readonly kind: "replicaQuestion";
   readonly number: number;
   /** The replica's id. */
   readonly replica: string;
   /** The limit that the router heard last. */
-  readonly word: ToldWord;
+  readonly reportedLimit: ReportedLimitMessage;
   /** When an answer was asked for and came that names no limit any more; nothing if there is none to tell of. */
-  readonly unnamed: ToldSpan | undefined;
+  readonly unnamed: ReportedSpan | undefined;
   /** Whether a request is to be sent. */
   readonly isAsked: boolean;
   /** How long the request may wait for its turn, milliseconds. */
@@ -54,22 +54,22 @@
   /** Where it was refused: milliseconds until there is room for the amount; where granted, until its turn. */
   readonly wait: number;
   /** How much of what may be used at once is left, in hundredths. */
-  readonly room: number;
+  readonly remainingPercent: number;
 }
 
 /** What a keeper is asked. */
-export type KeeperQuestion = LimitQuestion | ReplicaQuestion;
+export type CoordinatorQuery = UsageLimitQuery | ReplicaLimitQuery;
 
-export type LimitMessage = KeeperQuestion | LimitAnswer;
+export type LimitMessage = CoordinatorQuery | LimitAnswer;
 
 /** The first byte; other datagrams between routers begin with other ones. */
 const forms = { question: 0x41, answer: 0x42, replicaQuestion: 0x43 } as const;
 
 const verdicts: readonly LimitVerdict[] = ["granted", "refused", "elsewhere", "unlimited"];
 
-const writeReplicaQuestion = (writer: ByteWriter, question: ReplicaQuestion): void => {
+const writeReplicaQuestion = (writer: ByteWriter, question: ReplicaLimitQuery): void => {
   writer.text(question.replica);
-  writeWord(writer, question.word);
+  writeWord(writer, question.reportedLimit);
   writer.byte(question.unnamed === undefined ? 0 : 1);
   if (question.unnamed !== undefined) writeSpan(writer, question.unnamed);
   writer.byte(question.isAsked ? 1 : 0);
@@ -91,13 +91,13 @@
   } else {
     writer.byte(verdicts.indexOf(message.verdict));
     writer.count(message.wait);
-    writer.byte(message.room);
+    writer.byte(message.remainingPercent);
   }
   return writer.finish();
 };
 
 /** Object literals evaluate their fields in the order in which they are written, which is that of the bytes. */
-const readQuestion = (reader: ByteReader): LimitQuestion => ({
+const readQuestion = (reader: ByteReader): UsageLimitQuery => ({
   kind: "question",
   number: reader.count(),
   organisation: reader.text(),
@@ -106,11 +106,11 @@
   returned: reader.count(),
 });
 
-const readReplicaQuestion = (reader: ByteReader): ReplicaQuestion => ({
+const readReplicaQuestion = (reader: ByteReader): ReplicaLimitQuery => ({
   kind: "replicaQuestion",
   number: reader.count(),
   replica: reader.text(),
-  word: readWord(reader),
+  reportedLimit: readWord(reader),
   unnamed: reader.byte() === 1 ? readSpan(reader) : undefined,
   isAsked: reader.byte() === 1,
   patience: reader.count(),
@@ -127,7 +127,7 @@
   number: reader.count(),
   verdict: readVerdict(reader),
   wait: reader.count(),
-  room: reader.byte(),
+  remainingPercent: reader.byte(),
 });
 
 const readers = new Map<number, (reader: ByteReader) => LimitMessage>([
--- a/src/protocol/forwarding/ownerMessage.ts
+++ b/src/protocol/forwarding/ownerMessage.ts
@@ -6,9 +6,9 @@
 import { createByteReader } from "./byteReader.ts";
 import type { ByteWriter } from "./byteWriter.ts";
 import { createByteWriter } from "./byteWriter.ts";
-import type { ReplicaKey, ToldHolder } from "./peerMessage.ts";
-import type { ToldWord } from "./toldWord.ts";
-import { readOptionalWord, writeOptionalWord } from "./toldWord.ts";
+import type { ReplicaKey, AnnouncedHolder } from "./peerMessage.ts";
+import type { ReportedLimitMessage } from "./reportedLimitMessage.ts";
+import { readOptionalWord, writeOptionalWord } from "./reportedLimitMessage.ts";
 import { readHolders, writeHolders } from "./peerMessage.ts";
 
 /** All the work that a router has at one replica, and what it has seen of it. */
@@ -24,7 +24,7 @@
   /** It asked the router for backoff. */
   readonly isBackingOff: boolean;
   /** The limit that its answers named; nothing if the router knows of none. */
-  readonly limit: ToldWord | undefined;
+  readonly limit: ReportedLimitMessage | undefined;
 }
 
 /** A router tells an owner. */
@@ -37,7 +37,7 @@
   readonly sequence: number;
   readonly reports: readonly WorkReport[];
   /** Parts of prompts that replicas compute or keep. */
-  readonly holders: readonly ToldHolder[];
+  readonly holders: readonly AnnouncedHolder[];
 }
 
 /** A router asks an owner before it places a request. */
@@ -52,23 +52,23 @@
 }
 
 /** What an owner knows of a replica, without the asking router's own work. */
-export interface ReplicaReport {
+export interface ReplicaLoadReport {
   readonly replica: ReplicaKey;
   readonly requests: number;
   readonly promptTokens: readonly number[];
   /** Milliseconds for which others are to be preferred, since it failed or asked a router for backoff. */
   readonly ejectedFor: number;
   /** The limit that its answers named not long ago; nothing if the owner knows of none. */
-  readonly limit: ToldWord | undefined;
+  readonly limit: ReportedLimitMessage | undefined;
 }
 
 /** An owner answers. */
 export interface AnswerMessage {
   readonly kind: "answer";
   readonly number: number;
-  readonly reports: readonly ReplicaReport[];
+  readonly reports: readonly ReplicaLoadReport[];
   /** Where the parts that were asked for are kept or computed. */
-  readonly holders: readonly ToldHolder[];
+  readonly holders: readonly AnnouncedHolder[];
 }
 
 export type OwnerMessage = WorkMessage | AskMessage | AnswerMessage;
--- a/src/protocol/forwarding/peerMessage.test.ts
+++ b/src/protocol/forwarding/peerMessage.test.ts
@@ -25,7 +25,7 @@
   changing: fc.array(record({ replica: key, remaining: small })),
   leaving: fc.array(key),
   holders: fc.array(record({ part: fc.nat({ max: 2 ** 32 - 1 }), replica: key, isReady: fc.boolean() })),
-  wanted: fc.array(record({ model: text, version: count, age: small })),
+  weightsTargets: fc.array(record({ model: text, version: count, age: small })),
   limited: fc.array(
     record({
       replica: key,
@@ -35,8 +35,8 @@
   held: fc.nat({ max: 2 ** 32 - 1 }),
   storeEpoch: fc.nat({ max: 2 ** 32 - 1 }),
   recovering: fc.nat({ max: 2 ** 32 - 1 }),
-  standsDown: fc.boolean(),
-  ends: fc.boolean(),
+  hasSteppedDown: fc.boolean(),
+  isShuttingDown: fc.boolean(),
 });
 
 describe("messages between routers", () => {
@@ -84,13 +84,13 @@
       changing: [],
       leaving: [],
       holders: [],
-      wanted: [],
+      weightsTargets: [],
       limited: [],
       held: 0,
       storeEpoch: 0,
       recovering: 0,
-      standsDown: false,
-      ends: false,
+      hasSteppedDown: false,
+      isShuttingDown: false,
     };
     const row = { replica: replicaKeyOf("engine-1"), requests: 3, promptTokens: [0, 12_000] };
     const rows = Array.from({ length: 100 }, () => row);
--- a/src/protocol/forwarding/peerMessage.ts
+++ b/src/protocol/forwarding/peerMessage.ts
@@ -11,8 +11,8 @@
 import { createByteWriter } from "./byteWriter.ts";
 import { hash64 } from "../prefixLevels.ts";
 import type { StoreEpoch } from "../storeEpoch.ts";
-import type { ToldWord } from "./toldWord.ts";
-import { readWord, writeWord } from "./toldWord.ts";
+import type { ReportedLimitMessage } from "./reportedLimitMessage.ts";
+import { readWord, writeWord } from "./reportedLimitMessage.ts";
 
 /** Names a replica in messages: six bytes of its id's hash. Of 12,000 replicas no two share one but by 1 in 4 million. */
 export type ReplicaKey = number;
@@ -23,7 +23,7 @@
 export const replicaKeyOf = (id: string): ReplicaKey => Number(hash64(id) >> droppedBits);
 
 /** A sender's own work at one replica. */
-export interface ToldWork {
+export interface AnnouncedWork {
   readonly replica: ReplicaKey;
   readonly requests: number;
   /** By priority: prompt tokens of requests without a first token; what is missing at the end is 0. */
@@ -31,7 +31,7 @@
 }
 
 /** Weights that a replica runs. */
-export interface ToldWeights {
+export interface AnnouncedWeights {
   readonly replica: ReplicaKey;
   readonly model: string;
   readonly version: number;
@@ -47,11 +47,11 @@
 /** A limit that a replica names. */
 export interface ToldLimit {
   readonly replica: ReplicaKey;
-  readonly word: ToldWord;
+  readonly reportedLimit: ReportedLimitMessage;
 }
 
 /** A prompt part that a replica keeps or computes. */
-export interface ToldHolder {
+export interface AnnouncedHolder {
   /** 32 bits. */
   readonly part: number;
   readonly replica: ReplicaKey;
@@ -60,7 +60,7 @@
 }
 
 /** Writes who keeps prompt parts, in every message that tells of it. */
-export const writeHolders = (writer: ByteWriter, holders: readonly ToldHolder[]): void =>
+export const writeHolders = (writer: ByteWriter, holders: readonly AnnouncedHolder[]): void =>
   writer.list(holders, ({ part, replica, isReady }) => {
     writer.count(part);
     writer.key(replica);
@@ -68,11 +68,11 @@
   });
 
 /** @returns What {@link writeHolders} has written. */
-export const readHolders = (reader: ByteReader): readonly ToldHolder[] =>
+export const readHolders = (reader: ByteReader): readonly AnnouncedHolder[] =>
   reader.list(() => ({ part: reader.count(), replica: reader.key(), isReady: reader.byte() === 1 }));
 
 /** Weights that the operator wants. */
-export interface ToldTarget {
+export interface AnnouncedTarget {
   readonly model: string;
   readonly version: number;
   /** For how many milliseconds the sender has known of them. */
@@ -97,14 +97,14 @@
   /** The newest `sentAt` that the sender has from the receiver; nothing before the first message. */
   readonly echo: number | undefined;
   readonly configuration: ToldConfiguration | undefined;
-  readonly work: readonly ToldWork[];
-  readonly weights: readonly ToldWeights[];
+  readonly work: readonly AnnouncedWork[];
+  readonly weights: readonly AnnouncedWeights[];
   readonly changing: readonly ToldChange[];
   /** Replicas that leave. */
   readonly leaving: readonly ReplicaKey[];
   /** As far as the sender has just learned. */
-  readonly holders: readonly ToldHolder[];
-  readonly wanted: readonly ToldTarget[];
+  readonly holders: readonly AnnouncedHolder[];
+  readonly weightsTargets: readonly AnnouncedTarget[];
   /** Limits that the sender has just heard of. */
   readonly limited: readonly ToldLimit[];
   /** Digest of the requests that the sender holds back, 32 bits. */
@@ -114,8 +114,8 @@
   /** Milliseconds until reads of the store prove something again after its return from a copy. */
   readonly recovering: number;
   /** The sender takes no duties any more. */
-  readonly standsDown: boolean;
-  readonly ends: boolean;
+  readonly hasSteppedDown: boolean;
+  readonly isShuttingDown: boolean;
 }
 
 /** Messages of another form are not read. */
@@ -123,7 +123,12 @@
 
 const flags = { echo: 1, configuration: 2, standsDown: 4, ends: 8 } as const;
 
-const flagsOf = ({ echo, configuration, standsDown, ends }: RouterMessage): number =>
+const flagsOf = ({
+  echo,
+  configuration,
+  hasSteppedDown: standsDown,
+  isShuttingDown: ends,
+}: RouterMessage): number =>
   (echo === undefined ? 0 : flags.echo) |
   (configuration === undefined ? 0 : flags.configuration) |
   (standsDown ? flags.standsDown : 0) |
@@ -141,12 +146,12 @@
   });
   writer.list(message.leaving, writer.key);
   writeHolders(writer, message.holders);
-  writer.list(message.wanted, ({ model, version, age }) => {
+  writer.list(message.weightsTargets, ({ model, version, age }) => {
     writer.text(model);
     writer.count(version);
     writer.count(age);
   });
-  writer.list(message.limited, ({ replica, word }) => {
+  writer.list(message.limited, ({ replica, reportedLimit: word }) => {
     writer.key(replica);
     writeWord(writer, word);
   });
@@ -178,13 +183,13 @@
   return writer.finish();
 };
 
-const readWork = (reader: ByteReader): ToldWork => ({
+const readWork = (reader: ByteReader): AnnouncedWork => ({
   replica: reader.key(),
   requests: reader.count(),
   promptTokens: reader.list(reader.count),
 });
 
-const readTarget = (reader: ByteReader): ToldTarget => ({
+const readTarget = (reader: ByteReader): AnnouncedTarget => ({
   model: reader.text(),
   version: reader.count(),
   age: reader.count(),
@@ -206,13 +211,13 @@
     changing: reader.list(() => ({ replica: reader.key(), remaining: reader.count() })),
     leaving: reader.list(reader.key),
     holders: readHolders(reader),
-    wanted: reader.list(() => readTarget(reader)),
+    weightsTargets: reader.list(() => readTarget(reader)),
     limited: reader.list(() => ({ replica: reader.key(), word: readWord(reader) })),
     held: reader.count(),
     storeEpoch: reader.count(),
     recovering: reader.count(),
-    standsDown: has(flags.standsDown),
-    ends: has(flags.ends),
+    hasSteppedDown: has(flags.standsDown),
+    isShuttingDown: has(flags.ends),
   };
 };
 
--- a/src/protocol/forwarding/toldWord.ts
+++ b/src/protocol/forwarding/reportedLimitMessage.ts
@@ -3,45 +3,45 @@
 import type { ByteWriter } from "./byteWriter.ts";
 
 /** When an answer was asked for and when it came, milliseconds before the message. */
-export interface ToldSpan {
+export interface ReportedSpan {
   readonly askedAge: number;
-  readonly heardAge: number;
+  readonly receivedAge: number;
 }
 
 /** A limit that an answer named. */
-export interface ToldWord extends ToldSpan {
+export interface ReportedLimitMessage extends ReportedSpan {
   /** Thousandths of a request a second. */
   readonly perThousandSeconds: number;
 }
 
-export const writeSpan = (writer: ByteWriter, { askedAge, heardAge }: ToldSpan): void => {
+export const writeSpan = (writer: ByteWriter, { askedAge, receivedAge: heardAge }: ReportedSpan): void => {
   writer.count(askedAge);
   writer.count(heardAge);
 };
 
 /** Object literals evaluate their fields in the order in which they are written, which is that of the bytes. */
-export const readSpan = (reader: ByteReader): ToldSpan => ({
+export const readSpan = (reader: ByteReader): ReportedSpan => ({
   askedAge: reader.count(),
-  heardAge: reader.count(),
+  receivedAge: reader.count(),
 });
 
-export const writeWord = (writer: ByteWriter, word: ToldWord): void => {
+export const writeWord = (writer: ByteWriter, word: ReportedLimitMessage): void => {
   writer.count(word.perThousandSeconds);
   writeSpan(writer, word);
 };
 
 /** @returns What {@link writeWord} has written. */
-export const readWord = (reader: ByteReader): ToldWord => ({
+export const readWord = (reader: ByteReader): ReportedLimitMessage => ({
   perThousandSeconds: reader.count(),
   ...readSpan(reader),
 });
 
 /** Writes a word that may be missing. */
-export const writeOptionalWord = (writer: ByteWriter, word: ToldWord | undefined): void => {
+export const writeOptionalWord = (writer: ByteWriter, word: ReportedLimitMessage | undefined): void => {
   writer.byte(word === undefined ? 0 : 1);
   if (word !== undefined) writeWord(writer, word);
 };
 
 /** @returns What {@link writeOptionalWord} has written. */
-export const readOptionalWord = (reader: ByteReader): ToldWord | undefined =>
+export const readOptionalWord = (reader: ByteReader): ReportedLimitMessage | undefined =>
   reader.byte() === 1 ? readWord(reader) : undefined;
--- a/src/protocol/forwarding/types.ts
+++ b/src/protocol/forwarding/types.ts
@@ -64,7 +64,7 @@
 
 /** A prompt part that a store of prompt parts has taken in or dropped. */
 export interface CacheChange {
-  readonly isKept: boolean;
+  readonly isStored: boolean;
   readonly salt: string;
   readonly part: string;
 }
@@ -210,7 +210,7 @@
   /** Milliseconds on the monotonic clock. */
   readonly arrivedAt: number;
   /** How long the caller will wait; nothing if it didn't say. */
-  readonly patience: number | undefined;
+  readonly timeout: number | undefined;
   readonly key: string | undefined;
   readonly prompt: Prompt | undefined;
   /** Tokens of prompt and answer by which limits count it; nothing if the caller didn't say. */
@@ -239,7 +239,7 @@
   /** Continue after this event; nothing for a stream from its beginning. */
   readonly lastEventId: string | undefined;
   /** Asked right before the first byte leaves. */
-  readonly mayLeave: () => boolean;
+  readonly maySend: () => boolean;
 }
 
 /** A field of a report that was sent but could not be decoded. */
@@ -272,7 +272,7 @@
   readonly isMisdirected: boolean;
   readonly weightsVersion: number | undefined;
   /** The replica takes no further request on this connection. */
-  readonly closes: boolean;
+  readonly closesConnection: boolean;
 }
 
 /** An answer that a replica has begun. */
--- a/src/state/configurationHistory.property.test.ts
+++ b/src/state/configurationHistory.property.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import fc from "fast-check";
-import { configurationOf, createFakeLog, publisher, readAll } from "../../tests/support/configuration.ts";
+import { configurationOf, createMemoryLog, publisher, readAll } from "../../tests/support/configuration.ts";
 import {
   createPublication,
   createReplacement,
@@ -65,7 +65,7 @@
 
 /** Readers that publish to one log, and the expected state after each of its offsets. */
 const createWorld = () => {
-  const log = createFakeLog();
+  const log = createMemoryLog();
   const reference = createConfigurationHistory();
   const referenceAt = [identityOf(reference)];
   const readers = Array.from({ length: readerCount }, createConfigurationHistory);
--- a/src/state/configurationHistory.test.ts
+++ b/src/state/configurationHistory.test.ts
@@ -7,14 +7,14 @@
 } from "../protocol/configuration/record.ts";
 import { applyDifference, digestSections } from "../protocol/configuration/sections.ts";
 import type { Configuration } from "../protocol/configuration/schema.ts";
-import { configurationOf, createFakeLog, publisher, readAll } from "../../tests/support/configuration.ts";
-import type { FakeLog } from "../../tests/support/configuration.ts";
+import { configurationOf, createMemoryLog, publisher, readAll } from "../../tests/support/configuration.ts";
+import type { MemoryLog } from "../../tests/support/configuration.ts";
 import type { LogRecord } from "../protocol/types.ts";
 import { createConfigurationHistory } from "./configurationHistory.ts";
 import type { ConfigurationHistory } from "./configurationHistory.ts";
 
 const publishTo = (
-  log: FakeLog,
+  log: MemoryLog,
   seenBy: ConfigurationHistory,
   configuration: Configuration,
   publishedBy = "layla",
@@ -25,7 +25,7 @@
 
 /** A log with versions 0, 1 and 2, and a history that has read it. */
 const createFilledLog = () => {
-  const log = createFakeLog();
+  const log = createMemoryLog();
   const history = createConfigurationHistory();
   for (const standing of [1, 2, 3]) {
     publishTo(log, history, configurationOf(standing, 1));
--- a/src/state/forwarding/reportedLimit.ts
+++ b/src/state/forwarding/reportedLimit.ts
@@ -1,5 +1,5 @@
 /** The request limit that a replica reports in its responses: conversion to peer messages, and order of the reports. */
-import type { ToldSpan, ToldWord } from "../../protocol/forwarding/toldWord.ts";
+import type { ReportedSpan, ReportedLimitMessage } from "../../protocol/forwarding/reportedLimitMessage.ts";
 import type { ReplicaState } from "./replicaState.ts";
 
 /** When a request was sent and when the head of its response arrived, milliseconds on the monotonic clock. */
@@ -17,25 +17,28 @@
 const perThousand = 1_000;
 
 /** @returns The span as ages, for a message to other routers, whose clocks differ. */
-export const toReportedSpan = ({ askedAt, receivedAt }: AnswerSpan, now: number): ToldSpan => ({
+export const toReportedSpan = ({ askedAt, receivedAt }: AnswerSpan, now: number): ReportedSpan => ({
   askedAge: Math.max(0, Math.round(now - askedAt)),
-  heardAge: Math.max(0, Math.round(now - receivedAt)),
+  receivedAge: Math.max(0, Math.round(now - receivedAt)),
 });
 
 /** @returns The span of a message, on this router's clock. */
-export const fromReportedSpan = ({ askedAge, heardAge }: ToldSpan, now: number): AnswerSpan => ({
+export const fromReportedSpan = (
+  { askedAge, receivedAge: heardAge }: ReportedSpan,
+  now: number,
+): AnswerSpan => ({
   askedAt: now - askedAge,
   receivedAt: now - heardAge,
 });
 
 /** @returns The limit for a message to other routers. */
-export const toReportedLimitMessage = (limit: ReportedLimit, now: number): ToldWord => ({
+export const toReportedLimitMessage = (limit: ReportedLimit, now: number): ReportedLimitMessage => ({
   perThousandSeconds: Math.round(limit.perSecond * perThousand),
   ...toReportedSpan(limit, now),
 });
 
 /** @returns The limit of another router's message, on this router's clock. */
-export const fromReportedLimitMessage = (message: ToldWord, now: number): ReportedLimit => ({
+export const fromReportedLimitMessage = (message: ReportedLimitMessage, now: number): ReportedLimit => ({
   perSecond: message.perThousandSeconds / perThousand,
   ...fromReportedSpan(message, now),
 });
@@ -50,7 +53,11 @@
 };
 
 /** Applies the limit of a replica that another router announced, unless a newer one is known here. */
-export const noteAnnouncedLimit = (replica: ReplicaState, message: ToldWord, now: number): void => {
+export const noteAnnouncedLimit = (
+  replica: ReplicaState,
+  message: ReportedLimitMessage,
+  now: number,
+): void => {
   const limit = fromReportedLimitMessage(message, now);
   if (limit.receivedAt <= replica.limitEndedAt) return;
   if (replica.limit === undefined || limit.receivedAt > replica.limit.receivedAt) replica.limit = limit;
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -4,7 +4,7 @@
 import { upstreamError } from "../../protocol/errors.ts";
 import { collectBody } from "../../protocol/forwarding/collectBody.ts";
 import type { ForwardingWire } from "../../protocol/forwarding/ForwardingWire.ts";
-import type { ConnectionTrial } from "../../protocol/forwarding/ReplicaClient.ts";
+import type { ConnectionProbeResult } from "../../protocol/forwarding/ReplicaClient.ts";
 import { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { ReplicaAnswer, ReplicaCall, ReplicaEntry } from "../../protocol/forwarding/types.ts";
 import type { RawAnswer } from "./answerReader.ts";
@@ -57,7 +57,7 @@
   }
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
-    const { request, replica, mayLeave } = call;
+    const { request, replica, maySend: mayLeave } = call;
     const reader = createAnswerReader(mayLeave, signal, this.resetMonitor.isResetting);
     this.connectionPool(replica).dispatch(
       {
@@ -74,11 +74,11 @@
     return { head: this.wire.decodeAnswer(status, headers), body };
   }
 
-  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionTrial> {
+  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const [host, port] = address.split(":");
     return new Promise((resolve) => {
       const socket = connect({ host, port: Number(port), timeout });
-      const finish = (trial: ConnectionTrial): void => {
+      const finish = (trial: ConnectionProbeResult): void => {
         socket.destroy();
         resolve(trial);
       };
@@ -116,7 +116,7 @@
     const guarded = this.guard(replica, undefined);
     const observe = ({ status, headers }: RawAnswer): void =>
       guarded.observe(this.wire.decodeAnswer(status, headers));
-    return guarded.run(() => this.sendToHost(replica, call, signal, guarded.mayLeave, observe));
+    return guarded.run(() => this.sendToHost(replica, call, signal, guarded.maySend, observe));
   }
 
   /** Sends a control request to a host that need not be a replica, such as a cache store; it doesn't pass the gate. */
--- a/standIns/engine/engine.ts
+++ b/standIns/engine/engine.ts
@@ -3,7 +3,7 @@
 import { jsonAnswer, parseBody, startServer, type Answer, type Exchange } from "../httpServer.ts";
 import { streamAnswer, wholeAnswer, type AnswerContext } from "./answers.ts";
 import { createEngineCore } from "./engineCore.ts";
-import { createOrderTaker, orderSchema } from "./orders.ts";
+import { createOrderExecutor, orderSchema } from "./orders.ts";
 import { readChatRequest, readTextRequest, type ParsedRequest } from "./requests.ts";
 import { faultsSchema, settingsSchema, type EngineStandIn, type EngineStandInSettings } from "./types.ts";
 
@@ -39,7 +39,7 @@
   };
 
   const order = async ({ body }: Exchange): Promise<Answer> => {
-    await orders.take(parseBody(orderSchema, body));
+    await orders.execute(parseBody(orderSchema, body));
     return jsonAnswer({});
   };
 
@@ -86,7 +86,7 @@
     ],
   });
   const context: AnswerContext = { faults, closed: server.closed, crash };
-  const orders = createOrderTaker({ ...core, settings, closed: server.closed });
+  const orders = createOrderExecutor({ ...core, settings, closed: server.closed });
 
   return {
     ...server,
--- a/standIns/engine/engineCore.ts
+++ b/standIns/engine/engineCore.ts
@@ -5,14 +5,14 @@
 import { createHistory } from "../waiting.ts";
 import { createBlockCache, type BlockCache } from "./blockCache.ts";
 import { createGeneration, type Generation, type GenerationRequest } from "./generation.ts";
-import type { EngineCondition } from "./orders.ts";
+import type { EngineState } from "./orders.ts";
 import { createPrioritySemaphore } from "./prioritySemaphore.ts";
 import { blockTokens } from "./text.ts";
 import type { EngineSettings, EngineStandInFaults, Execution } from "./types.ts";
 
 /** What the engine's calls work on. */
 export interface EngineCore {
-  readonly condition: EngineCondition;
+  readonly condition: EngineState;
   readonly cache: () => BlockCache;
   readonly load: () => EngineLoad;
   /** The load as it was told so long ago. */
@@ -29,7 +29,7 @@
   readonly executions: () => readonly Execution[];
 }
 
-const startCondition = (settings: EngineSettings): EngineCondition => ({
+const startCondition = (settings: EngineSettings): EngineState => ({
   incarnation: randomUUID(),
   model: settings.model,
   weightsVersion: settings.weightsVersion,
@@ -40,7 +40,7 @@
   highestFencingNumber: -1,
 });
 
-const serves = ({ model, adapters }: EngineCondition, wanted: string): boolean => {
+const serves = ({ model, adapters }: EngineState, wanted: string): boolean => {
   const names = adapters.map((adapter) => adapter.split("@")[0] ?? "");
   return wanted === model || names.some((name) => wanted === name || wanted === `${model}:${name}`);
 };
--- a/standIns/engine/generation.ts
+++ b/standIns/engine/generation.ts
@@ -22,7 +22,7 @@
 }
 
 /** The engine as a generation meets it; a crash or load of weights makes a new one. */
-export interface GenerationHost {
+export interface GenerationDependencies {
   readonly settings: EngineSettings;
   readonly incarnation: string;
   readonly weightsVersion: string;
@@ -55,7 +55,7 @@
   JSON.stringify([cacheSalt, model, weightsVersion]);
 
 /** Creates a generation that has not started. */
-export const createGeneration = (request: GenerationRequest, host: GenerationHost): Generation => {
+export const createGeneration = (request: GenerationRequest, host: GenerationDependencies): Generation => {
   const { settings, cache, weightsVersion } = host;
   const { rendered, priority } = request;
   const promptTokens = countTokens(rendered);
--- a/standIns/engine/orders.ts
+++ b/standIns/engine/orders.ts
@@ -41,7 +41,7 @@
 });
 
 /** What orders change of an engine. */
-export interface EngineCondition {
+export interface EngineState {
   incarnation: string;
   model: string;
   weightsVersion: string;
@@ -53,14 +53,14 @@
 }
 
 /** The engine as orders meet it. */
-export interface OrderHost {
+export interface OrderDependencies {
   readonly settings: EngineSettings;
-  readonly condition: EngineCondition;
+  readonly condition: EngineState;
   readonly cache: () => BlockCache;
   readonly closed: AbortSignal;
   /** Breaks off all answers, as loading weights does. */
   readonly abortAnswers: () => void;
-  /** Called after each change of {@link OrderHost.condition}. */
+  /** Called after each change of {@link OrderDependencies.condition}. */
   readonly changed: () => void;
 }
 
@@ -81,15 +81,15 @@
 type ActionOf<Kind extends EngineOrderAction["kind"]> = Extract<EngineOrderAction, { kind: Kind }>;
 
 /** Takes the orders of one engine. */
-export interface OrderTaker {
+export interface OrderExecutor {
   /** Carries out one order, or throws a {@link RefusalError}. */
-  readonly take: (order: EngineOrder) => Promise<void>;
+  readonly execute: (order: EngineOrder) => Promise<void>;
   /** Every order taken, with what came of it. */
   readonly records: readonly OrderRecord[];
 }
 
-/** Creates an {@link OrderTaker}. */
-export const createOrderTaker = (host: OrderHost): OrderTaker => {
+/** Creates an {@link OrderExecutor}. */
+export const createOrderExecutor = (host: OrderDependencies): OrderExecutor => {
   const { settings, condition } = host;
   const records: OrderRecord[] = [];
   let previous = Promise.resolve();
@@ -200,5 +200,5 @@
     previous = taken.catch(() => undefined);
     return taken;
   };
-  return { take, records };
+  return { execute: take, records };
 };
--- a/standIns/platform/system.ts
+++ b/standIns/platform/platformSystem.ts
@@ -6,7 +6,7 @@
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
 import { startForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
 import type { ForwardingSettings } from "../../src/daemons/forwardingSettings.ts";
-import type { ReplicaSettings, ReplicaStandIn, ReportHeaders, Run } from "./replica.ts";
+import type { ReplicaSettings, ReplicaStandIn, ReportHeaders, ExecutedRequest } from "./replica.ts";
 import { startReplicaStandIn } from "./replica.ts";
 import type { StoreStandIn } from "./store.ts";
 import { startStoreStandIn } from "./store.ts";
@@ -30,7 +30,7 @@
 });
 
 /** The configuration that the operator publishes unless a test says otherwise. */
-export const configuration = (version = 1, fields: Readonly<Record<string, unknown>> = {}) => ({
+export const createConfiguration = (version = 1, fields: Readonly<Record<string, unknown>> = {}) => ({
   version,
   routes: [
     route("read", hosts.desk, { kind: "safe", service: "desk" }),
@@ -62,7 +62,7 @@
 });
 
 /** A replica as it registers. */
-export const entryOf = (service: string, { address }: ReplicaStandIn, version: number) => ({
+export const createRegistryEntry = (service: string, { address }: ReplicaStandIn, version: number) => ({
   service,
   address,
   zone: "here",
@@ -74,7 +74,7 @@
   sequence: 1,
 });
 
-type ReplicaFields = ReturnType<typeof entryOf>;
+type ReplicaFields = ReturnType<typeof createRegistryEntry>;
 
 /** How long the callers of tests wait, milliseconds. */
 const usualPatience = 3_000;
@@ -90,7 +90,7 @@
 }
 
 /** What a caller sends. */
-export interface CallerCall {
+export interface RequestOptions {
   readonly host: string;
   readonly path: string;
   readonly method?: string;
@@ -102,9 +102,10 @@
 }
 
 /** Writes to a store as the operator and the replicas do. */
-export const createWriters = (store: StoreStandIn) => ({
+export const createStoreWriters = (store: StoreStandIn) => ({
   publish: (value: unknown): void => store.put("keyed.op", "config", value),
-  nameWeights: (version: number): void => store.put("keyed.op", "version/m", { model: "m", version }),
+  publishWeightsVersion: (version: number): void =>
+    store.put("keyed.op", "version/m", { model: "m", version }),
   /** Without an entry the replica is gone. */
   register: (id: string, entry: ReplicaFields | undefined): void => store.put("keyed.servers", id, entry),
 });
@@ -122,7 +123,7 @@
 export const saltHeaders = (salt: string): Readonly<Record<string, string>> => ({ [saltHeader]: salt });
 
 /** @returns What a run's cached parts are kept under; nothing if the request said nothing of it. */
-export const cacheSaltOf = ({ headers }: Run): string | undefined => {
+export const cacheSaltOf = ({ headers }: ExecutedRequest): string | undefined => {
   const salt = headers[saltHeader];
   return typeof salt === "string" ? salt : undefined;
 };
@@ -136,7 +137,7 @@
 let nextId = 0;
 
 /** Sends one request on a connection of its own. */
-export const call = (router: ForwardingRouter, given: CallerCall): Promise<CallerAnswer> =>
+export const sendRequest = (router: ForwardingRouter, given: RequestOptions): Promise<CallerAnswer> =>
   new Promise((resolve) => {
     nextId += 1;
     const { host, path, method = "POST", id = `request-${nextId}`, key = keys.known, body = "" } = given;
@@ -168,14 +169,14 @@
   });
 
 /** A part of a prompt. */
-export interface CalledPart {
+export interface SentPromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
 /** The headers of a request to an engine with a prompt. @param answerTokens - The most that the answer may have. */
-export const promptHeadersOf = (
-  parts: readonly CalledPart[],
+export const createPromptHeaders = (
+  parts: readonly SentPromptPart[],
   answerTokens: number,
 ): Readonly<Record<string, string>> => {
   const tokens = parts.reduce((sum, part) => sum + part.tokens, 0);
@@ -187,8 +188,8 @@
 };
 
 /** The headers of a usual request to an engine. */
-export const promptHeaders = (part = "5c1e07a2"): Readonly<Record<string, string>> =>
-  promptHeadersOf(
+export const defaultPromptHeaders = (part = "5c1e07a2"): Readonly<Record<string, string>> =>
+  createPromptHeaders(
     [
       { id: part, tokens: 800 },
       { id: "91bd3f06", tokens: 410 },
@@ -215,7 +216,7 @@
   readonly router: ForwardingRouter;
   /** Publishes a configuration. */
   readonly publish: (value: unknown) => void;
-  readonly nameWeights: (version: number) => void;
+  readonly publishWeightsVersion: (version: number) => void;
   /** Writes a replica's registration; without fields the replica is gone. */
   readonly register: (replica: ReplicaStandIn, fields: Readonly<Record<string, unknown>> | undefined) => void;
   /** @param through - Another way to the store. */
@@ -257,7 +258,7 @@
 const anyPort = { address: "127.0.0.1", port: 0 };
 
 /** @returns Once something holds. */
-export const until = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
+export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
   while (!(await condition())) await sleep(10);
 };
 
@@ -271,7 +272,7 @@
 /** Starts a store, replicas and one router that is ready. */
 export const startPlatformSystem = async (settings: PlatformSystemSettings = {}): Promise<PlatformSystem> => {
   const store = await startStoreStandIn();
-  const writers = createWriters(store);
+  const writers = createStoreWriters(store);
   const desks = await startAll(settings.desks ?? 2, (index) => ({
     id: `desk-${index}`,
     ...settings.desk,
@@ -285,7 +286,7 @@
 
   const register = (replica: ReplicaStandIn, fields: Readonly<Record<string, unknown>> | undefined): void => {
     const service = desks.includes(replica) ? "desk" : "engines";
-    const entry = { ...entryOf(service, replica, replica.version()), ...fields };
+    const entry = { ...createRegistryEntry(service, replica, replica.version()), ...fields };
     writers.register(replica.id, fields === undefined ? undefined : entry);
   };
 
@@ -312,11 +313,11 @@
   };
 
   if (settings.isPublished !== false) {
-    writers.publish(configuration());
+    writers.publish(createConfiguration());
     for (const replica of [...desks, ...engines]) register(replica, {});
   }
   const router = await startRouter();
-  if (settings.isPublished !== false) await until(() => isReady(router));
+  if (settings.isPublished !== false) await waitUntil(() => isReady(router));
 
   return {
     store,
@@ -325,7 +326,7 @@
     routers,
     router,
     publish: writers.publish,
-    nameWeights: writers.nameWeights,
+    publishWeightsVersion: writers.publishWeightsVersion,
     register,
     startRouter,
     stopRouters,
--- a/standIns/platform/replica.ts
+++ b/standIns/platform/replica.ts
@@ -39,7 +39,7 @@
   | "hang";
 
 /** A request that was run. */
-export interface Run {
+export interface ExecutedRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
@@ -54,7 +54,7 @@
 }
 
 /** A request that came, whether it was run or refused. */
-export interface Arrival extends Pick<Run, "headers" | "at"> {
+export interface Arrival extends Pick<ExecutedRequest, "headers" | "at"> {
   /** When it was turned away, milliseconds on this process's monotonic clock; nothing if it was run. */
   refusedAt: number | undefined;
   /** `Retry-After` of that answer. */
@@ -89,7 +89,7 @@
   /** Every order is answered as if another one were being carried out. */
   readonly refusesOrders?: boolean;
   /** Requests under which the process ends as soon as it has begun to run them, or in the middle of their stream. */
-  readonly crashesOn?: (run: Run) => "never" | "begin" | "midway";
+  readonly crashesOn?: (run: ExecutedRequest) => "never" | "begin" | "midway";
 }
 
 /** A running replica. */
@@ -97,16 +97,16 @@
   readonly id: string;
   /** `IP:PORT`. */
   readonly address: string;
-  readonly runs: readonly Run[];
+  readonly runs: readonly ExecutedRequest[];
   readonly arrivals: readonly Arrival[];
   readonly orders: readonly ReceivedOrder[];
   readonly version: () => number;
   /** Behaviours of the next requests, first to last; then they are answered well. */
-  readonly behave: (...behaviours: readonly Behaviour[]) => void;
+  readonly setBehaviours: (...behaviours: readonly Behaviour[]) => void;
   /** What all answers from now on name as the limit; nothing ends it. */
-  readonly nameLimit: (text: string | (() => string | undefined) | undefined) => void;
+  readonly setReportedLimit: (text: string | (() => string | undefined) | undefined) => void;
   /** Headers of all answers from now on, whatever their status. */
-  readonly report: (headers: ReportHeaders | ((behaviour: Behaviour) => ReportHeaders)) => void;
+  readonly setReportHeaders: (headers: ReportHeaders | ((behaviour: Behaviour) => ReportHeaders)) => void;
   /** Ends as a killed process does: all connections are reset, and the port is closed. */
   readonly crash: () => void;
   readonly hasCrashed: () => boolean;
@@ -115,7 +115,7 @@
 /** Pauses between events from the beginning of a run until the crash that it causes. */
 const crashPauses = 2;
 
-const sealOf = (id: string, run: Run): string => `${id}.${run.id}`;
+const sealOf = (id: string, run: ExecutedRequest): string => `${id}.${run.id}`;
 
 const readBody = async (request: IncomingMessage): Promise<string> => {
   const chunks: Buffer[] = [];
@@ -123,7 +123,7 @@
   return Buffer.concat(chunks).toString();
 };
 
-const isStream = ({ headers }: Run): boolean => headers["x-model"] !== undefined;
+const isStream = ({ headers }: ExecutedRequest): boolean => headers["x-model"] !== undefined;
 
 const writeRaw = (response: ServerResponse, headers: readonly string[], body: string): void => {
   const head = ["HTTP/1.1 200 OK", ...headers, "", ""].join("\r\n");
@@ -140,7 +140,7 @@
   response.end(JSON.stringify(value));
 };
 
-const bodyOf = (run: Run): string => JSON.stringify({ id: run.id, body: run.body });
+const bodyOf = (run: ExecutedRequest): string => JSON.stringify({ id: run.id, body: run.body });
 
 /** Answers what has not been read; the id of the request is all that is needed. */
 const answerEarly = (replica: string, attempt: string, response: ServerResponse): void => {
@@ -157,7 +157,7 @@
 const misbehave = (
   replica: string,
   pause: number,
-  run: Run,
+  run: ExecutedRequest,
   response: ServerResponse,
   behaviour: Behaviour,
 ): void => {
@@ -201,7 +201,7 @@
 
 /** @returns Whether the request was for another replica or other weights, and was refused as such. */
 const refuseMisdirected = (
-  headers: Run["headers"],
+  headers: ExecutedRequest["headers"],
   own: { readonly id: string; readonly version: number },
   response: ServerResponse,
 ): boolean => {
@@ -237,10 +237,10 @@
 const createReports = () => {
   let limitText: () => string | undefined = () => undefined;
   let reported: (behaviour: Behaviour) => ReportHeaders = () => ({});
-  const nameLimit: ReplicaStandIn["nameLimit"] = (text) => {
+  const nameLimit: ReplicaStandIn["setReportedLimit"] = (text) => {
     limitText = typeof text === "function" ? text : () => text;
   };
-  const report: ReplicaStandIn["report"] = (headers) => {
+  const report: ReplicaStandIn["setReportHeaders"] = (headers) => {
     reported = typeof headers === "function" ? headers : () => headers;
   };
   return {
@@ -260,7 +260,7 @@
 export const startReplicaStandIn = async (settings: ReplicaSettings): Promise<ReplicaStandIn> => {
   const { id, model, events = { count: 5, pause: 5 }, loadTime = 30, refusesOrders = false } = settings;
   const { crashesOn = () => "never", serviceTime = 0 } = settings;
-  const runs: Run[] = [];
+  const runs: ExecutedRequest[] = [];
   const arrivals: Arrival[] = [];
   const orders: ReceivedOrder[] = [];
   let behaviours: Behaviour[] = [];
@@ -274,13 +274,17 @@
     resetAll();
   };
 
-  const headersOf = (run: Run): Record<string, string> => ({
+  const headersOf = (run: ExecutedRequest): Record<string, string> => ({
     "x-attempt-id": run.id,
     "x-replica-seal": sealOf(id, run),
     ...(model === undefined ? {} : { "x-weight-versions": String(version) }),
   });
 
-  const streamEvents = async (run: Run, response: ServerResponse, stopAfter: number): Promise<void> => {
+  const streamEvents = async (
+    run: ExecutedRequest,
+    response: ServerResponse,
+    stopAfter: number,
+  ): Promise<void> => {
     response.writeHead(200, { ...headersOf(run), "content-type": "text/event-stream" });
     const first = Number(run.headers["last-event-id"] ?? 0) + 1;
     for (let number = first; number <= events.count; number += 1) {
@@ -297,7 +301,7 @@
     response.end();
   };
 
-  const answerPlain = (run: Run, response: ServerResponse): void => {
+  const answerPlain = (run: ExecutedRequest, response: ServerResponse): void => {
     const body = bodyOf(run);
     response.writeHead(200, { ...headersOf(run), "content-length": Buffer.byteLength(body) });
     response.end(body);
@@ -325,7 +329,7 @@
       return;
     }
     const at = performance.now();
-    const made: Run = { ...asked, body, at, weightsVersion: version, wasCut: false };
+    const made: ExecutedRequest = { ...asked, body, at, weightsVersion: version, wasCut: false };
     runs.push(made);
     response.on("close", () => {
       made.wasCut = !response.writableFinished;
@@ -380,9 +384,9 @@
     arrivals,
     orders,
     version: () => version,
-    nameLimit: reports.nameLimit,
-    report: reports.report,
-    behave: (...next) => {
+    setReportedLimit: reports.nameLimit,
+    setReportHeaders: reports.report,
+    setBehaviours: (...next) => {
       behaviours = [...next];
     },
     [Symbol.asyncDispose]: () => {
--- a/standIns/platform/store.ts
+++ b/standIns/platform/store.ts
@@ -4,7 +4,7 @@
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { StoreCopy, Topics } from "./topics.ts";
+import type { StoreBackup, Topics } from "./topics.ts";
 import { createTopics, keyedRecord, splitRecords, valueOf } from "./topics.ts";
 
 /** What a test can switch on; each is off at first. */
@@ -12,15 +12,15 @@
   /** Every call is answered 503. */
   isBusy: boolean;
   /** No call is answered. */
-  isSilent: boolean;
+  isUnresponsive: boolean;
   /** The same, until the store returns from a copy. */
-  isAway: boolean;
+  isDown: boolean;
   /** The next appends are done, and their connections closed without an answer. */
   loseAppends: number;
   /** Answers are sent so long after the call was carried out, milliseconds. */
   answerDelay: number;
   /** Answers don't name the epoch. */
-  hidesEpoch: boolean;
+  omitsEpoch: boolean;
 }
 
 /** A running store. */
@@ -43,8 +43,8 @@
    * @param away - Milliseconds.
    * @param options - Whether calls that are under way are still answered.
    */
-  readonly returnFrom: (
-    copy: StoreCopy,
+  readonly restoreFrom: (
+    copy: StoreBackup,
     away: number,
     options?: { readonly keepsConnections: boolean },
   ) => Promise<void>;
@@ -90,11 +90,11 @@
 export const startStoreStandIn = async (topics = createTopics()): Promise<StoreStandIn> => {
   const faults: StoreFaults = {
     isBusy: false,
-    isSilent: false,
-    isAway: false,
+    isUnresponsive: false,
+    isDown: false,
     loseAppends: 0,
     answerDelay: 0,
-    hidesEpoch: false,
+    omitsEpoch: false,
   };
   const calls = new Map<string, number>();
   const reads = new Map<string, number>();
@@ -150,7 +150,7 @@
     const { pathname, searchParams } = new URL(request.url ?? "/", "http://store");
     calls.set(pathname, (calls.get(pathname) ?? 0) + 1);
     const body = await readBody(request);
-    if (faults.isSilent || faults.isAway) return;
+    if (faults.isUnresponsive || faults.isDown) return;
     const made = await carryOut(pathname, searchParams, body);
     const epoch = topics.epoch();
     if (faults.answerDelay > 0) await sleep(faults.answerDelay);
@@ -158,7 +158,7 @@
       response.destroy();
       return;
     }
-    const named = faults.hidesEpoch ? {} : { "store-era": String(epoch) };
+    const named = faults.omitsEpoch ? {} : { "store-era": String(epoch) };
     response.writeHead(made.status, { "content-type": "application/json", ...named });
     response.end(made.body);
   };
@@ -177,12 +177,12 @@
       topics.append(topic, [keyedRecord(key, value)]);
     },
     closeConnections: () => server.closeAllConnections(),
-    returnFrom: async (copy, away, options) => {
-      faults.isAway = true;
+    restoreFrom: async (copy, away, options) => {
+      faults.isDown = true;
       if (options?.keepsConnections !== true) server.closeAllConnections();
       await sleep(away);
-      topics.returnFrom(copy);
-      faults.isAway = false;
+      topics.restore(copy);
+      faults.isDown = false;
     },
     [Symbol.asyncDispose]: () => {
       server.close();
--- a/standIns/platform/topics.ts
+++ b/standIns/platform/topics.ts
@@ -6,22 +6,22 @@
   readonly bytes: Buffer;
 }
 
-interface TopicCopy {
+interface TopicBackup {
   readonly records: readonly StoredRecord[];
   readonly end: number;
   readonly keys: ReadonlyMap<string, StoredRecord>;
 }
 
 /** The store as it was at a moment, by topic. */
-export type StoreCopy = ReadonlyMap<string, TopicCopy>;
+export type StoreBackup = ReadonlyMap<string, TopicBackup>;
 
 /** See {@link createTopics}. */
 export interface Topics {
   /** Rises each time the store returns from a copy. */
   readonly epoch: () => number;
-  readonly copy: () => StoreCopy;
+  readonly backUp: () => StoreBackup;
   /** Loses everything that is not in a copy; offsets from its end on are given out again. */
-  readonly returnFrom: (copy: StoreCopy) => void;
+  readonly restore: (backUp: StoreBackup) => void;
   /** @returns The offset of the first record. */
   readonly append: (topic: string, records: readonly Buffer[]) => number;
   /** @returns The records from an offset on; nothing if they are no longer kept, or the topic ends before it. */
@@ -99,7 +99,7 @@
     return first;
   };
 
-  const copy = (): StoreCopy =>
+  const copy = (): StoreBackup =>
     new Map(
       [...topics].map(([name, { records, end, keys }]) => [
         name,
@@ -107,7 +107,7 @@
       ]),
     );
 
-  const returnFrom: Topics["returnFrom"] = (copied) => {
+  const returnFrom: Topics["restore"] = (copied) => {
     epoch += 1;
     for (const [name, topic] of topics) {
       const { records = [], end = 0, keys = [] } = copied.get(name) ?? {};
@@ -123,8 +123,8 @@
 
   return {
     epoch: () => epoch,
-    copy,
-    returnFrom,
+    backUp: copy,
+    restore: returnFrom,
     append,
     read: (name, from) => {
       const topic = topicOf(name);
--- a/tests/atMostOnce.test.ts
+++ b/tests/atMostOnce.test.ts
@@ -4,7 +4,7 @@
 import { expect } from "earl";
 import OpenAI from "openai";
 import { headers } from "../src/protocol/constants.ts";
-import { onceHeaders, startLocalSystem } from "./support/localSystem.ts";
+import { atMostOnceHeaders, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 
 const newKey = (): string => `${Date.now()}-${crypto.randomUUID()}`;
@@ -13,7 +13,7 @@
   const answer = await system.call("/services/records-desk/sign-offs", {
     router,
     body: { attendant },
-    headers: onceHeaders(key),
+    headers: atMostOnceHeaders(key),
   });
   const body = (await answer.json()) as { readonly error?: { readonly code: string } };
   const outcome = answer.headers.get(headers.outcome);
@@ -148,7 +148,7 @@
     try {
       await client.chat.completions.create(
         { model: "records-assistant", max_completion_tokens: 8, messages },
-        { headers: { ...onceHeaders(key), [headers.requestClass]: requestClass } },
+        { headers: { ...atMostOnceHeaders(key), [headers.requestClass]: requestClass } },
       );
       return "answered";
     } catch (error) {
--- a/tests/crashingRequests.test.ts
+++ b/tests/crashingRequests.test.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
 import type { EngineStandIn } from "../standIns/engine/types.ts";
-import { streamedQuestion as question } from "./support/eventStream.ts";
+import { streamedRequest as question } from "./support/eventStream.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 import { startLocalSystem } from "./support/localSystem.ts";
 
--- a/tests/notRun.test.ts
+++ b/tests/notRun.test.ts
@@ -5,7 +5,7 @@
 import fc from "fast-check";
 import { headers, outcomes } from "../src/protocol/constants.ts";
 import type { EngineStandIn } from "../standIns/engine/types.ts";
-import { failureOf, isWhole, readStream } from "./support/eventStream.ts";
+import { failureOf, isComplete, readStream } from "./support/eventStream.ts";
 import { operatorKey, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem } from "./support/localSystem.ts";
 
@@ -97,7 +97,7 @@
       return "finished";
     }
     const stream = await readStream(answer);
-    return isWhole(stream) ? "finished" : (failureOf(stream)?.outcome ?? "cut");
+    return isComplete(stream) ? "finished" : (failureOf(stream)?.outcome ?? "cut");
   } catch {
     return "left";
   }
--- a/tests/platform/crashingRequests.test.ts
+++ b/tests/platform/crashingRequests.test.ts
@@ -15,15 +15,15 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import type { CallerAnswer, CallerCall, PlatformSystem } from "../../standIns/platform/system.ts";
+import type { CallerAnswer, RequestOptions, PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  call,
+  sendRequest,
   hosts,
   isReady,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { CrashingReplicas } from "../support/crashingReplicas.ts";
 import { bodies, startCrashingReplicas } from "../support/crashingReplicas.ts";
 
@@ -33,17 +33,24 @@
 /** Between two tries of a caller, milliseconds: engines that crashed are back meanwhile. */
 const tryInterval = 120;
 
-const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
-const tag: CallerCall = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() };
+const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
+const tag: RequestOptions = {
+  host: hosts.model,
+  path: "/tag/2f",
+  body: "tag",
+  headers: defaultPromptHeaders(),
+};
 
 const startSystem = async (routers = 3) => {
   const system = await startPlatformSystem({ desks: 0, engines: 0 });
   while (system.routers.length < routers) await system.startRouter();
   const replicas = await startCrashingReplicas(system, { desks: 4, engines: 4 });
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
-  await until(async () => (await Promise.all(system.routers.map((each) => call(each, tag)))).every(isServed));
-  await until(async () =>
-    (await Promise.all(system.routers.map((each) => call(each, read)))).every(isServed),
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () =>
+    (await Promise.all(system.routers.map((each) => sendRequest(each, tag)))).every(isServed),
+  );
+  await waitUntil(async () =>
+    (await Promise.all(system.routers.map((each) => sendRequest(each, read)))).every(isServed),
   );
   return {
     system,
@@ -66,12 +73,12 @@
 /** Sends the same again and again, each time to the next router. */
 const repeat = async (
   system: PlatformSystem,
-  asked: CallerCall,
+  asked: RequestOptions,
   times: number,
 ): Promise<readonly CallerAnswer[]> => {
   const answers: CallerAnswer[] = [];
   for (let turn = 0; turn < times; turn += 1) {
-    answers.push(await call(routerOfTurn(system, turn), asked));
+    answers.push(await sendRequest(routerOfTurn(system, turn), asked));
     await sleep(tryInterval);
   }
   return answers;
@@ -112,8 +119,8 @@
 const isHeldBack = ({ status, body }: CallerAnswer): boolean => status === 503 && body.includes("held_back");
 
 /** Sends the same until it is refused as what it is. */
-const repeatUntilHeldBack = async (system: PlatformSystem, asked: CallerCall): Promise<void> => {
-  for (let turn = 0; !isHeldBack(await call(routerOfTurn(system, turn), asked)); turn += 1)
+const repeatUntilHeldBack = async (system: PlatformSystem, asked: RequestOptions): Promise<void> => {
+  for (let turn = 0; !isHeldBack(await sendRequest(routerOfTurn(system, turn), asked)); turn += 1)
     await sleep(tryInterval);
 };
 
@@ -121,12 +128,12 @@
 const expectHeldBackEverywhere = async (
   routers: readonly ForwardingRouter[],
   replicas: CrashingReplicas,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<void> => {
   const before = replicas.runsOf(asked.body ?? "").length;
   for (const router of routers) {
     const begunAt = performance.now();
-    const answer = await call(router, asked);
+    const answer = await sendRequest(router, asked);
     expect([isHeldBack(answer), performance.now() - begunAt < atOnce]).toEqual([true, true]);
     expect(Number(answer.headers["retry-after"]) > 0).toEqual(true);
   }
@@ -150,7 +157,7 @@
     const answers: CallerAnswer[] = [];
     const ask = async (router: ForwardingRouter): Promise<void> => {
       while (!over.signal.aborted) {
-        answers.push(await call(router, popular));
+        answers.push(await sendRequest(router, popular));
         await sleep(20);
       }
     };
@@ -164,7 +171,7 @@
     const served = answers.filter(isServed).length;
     const heldBack = answers.filter(isHeldBack).length;
     context.diagnostic(`${answers.length} popular requests: ${served} served, ${heldBack} held back`);
-    for (const router of system.routers) expect(isServed(await call(router, popular))).toEqual(true);
+    for (const router of system.routers) expect(isServed(await sendRequest(router, popular))).toEqual(true);
     expect(served > answers.length / 2).toEqual(true);
   });
 
@@ -176,7 +183,7 @@
     );
     expectBounded(context, replicas, bodies.deadly);
     expectBounded(context, replicas, bodies.deadlyToo);
-    await until(async () => isServed(await call(system.router, tag)));
+    await waitUntil(async () => isServed(await sendRequest(system.router, tag)));
   });
 });
 
@@ -186,16 +193,16 @@
     const { system, replicas } = started;
     const deadly = { ...tag, path: "/ask/2f", body: bodies.deadly };
     await repeatUntilHeldBack(system, deadly);
-    await until(() => system.store.topics.newest("keyed.quarantine").size > 0);
+    await waitUntil(() => system.store.topics.newest("keyed.quarantine").size > 0);
     endTrials(system);
     const later = await system.startRouter();
-    await until(() => isReady(later));
+    await waitUntil(() => isReady(later));
     await expectHeldBackEverywhere([later], replicas, deadly);
     await system.stopRouters();
     const again = await Promise.all([system.startRouter(), system.startRouter()]);
-    await until(async () => (await Promise.all(again.map(isReady))).every(Boolean));
+    await waitUntil(async () => (await Promise.all(again.map(isReady))).every(Boolean));
     await expectHeldBackEverywhere(again, replicas, deadly);
     // Whoever asks something else, or another caller that asks the same, is served.
-    await until(async () => isServed(await call(again[0], { ...tag, path: "/ask/2f" })));
+    await waitUntil(async () => isServed(await sendRequest(again[0], { ...tag, path: "/ask/2f" })));
   });
 });
--- a/tests/platform/replicaLimits.test.ts
+++ b/tests/platform/replicaLimits.test.ts
@@ -14,21 +14,30 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import type { Behaviour, ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
+import type {
+  RequestOptions,
+  PlatformSystem,
+  PlatformSystemSettings,
+} from "../../standIns/platform/platformSystem.ts";
 import {
-  call,
+  sendRequest,
   hosts,
   isReady,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { ReceivedAnswer } from "../support/limitedReplicas.ts";
 import { allowedIntake, sendSteadily, worstIntake } from "../support/limitedReplicas.ts";
 
-const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
-const tag: CallerCall = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() };
+const tag: RequestOptions = {
+  host: hosts.model,
+  path: "/tag/2f",
+  body: "tag",
+  headers: defaultPromptHeaders(),
+};
 
 const startSystem = async (
   replicas: Pick<PlatformSystemSettings, "desks" | "engines">,
@@ -36,10 +45,10 @@
 ): Promise<PlatformSystem> => {
   const system = await startPlatformSystem({ ...replicas, desk: { serviceTime: 30 } });
   while (system.routers.length < routers) await system.startRouter();
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   const first = replicas.desks === 0 ? tag : read;
-  await until(async () =>
-    (await Promise.all(system.routers.map((each) => call(each, first)))).every(
+  await waitUntil(async () =>
+    (await Promise.all(system.routers.map((each) => sendRequest(each, first)))).every(
       ({ status }) => status === 200,
     ),
   );
@@ -91,13 +100,13 @@
 
 /** Every answer of a replica goes on like this. */
 const behaveForLong = (replica: ReplicaStandIn | undefined, ...behaviours: readonly Behaviour[]): void =>
-  replica?.behave(...Array.from({ length: 400 }, () => behaviours).flat());
+  replica?.setBehaviours(...Array.from({ length: 400 }, () => behaviours).flat());
 
 describe("replicas that name a limit", () => {
   it("get no more than it allows from all routers together, and others take over", async (context) => {
     await using system = await startSystem({ desks: 10, engines: 0 });
     const limits = [1.6, 1.8, 0.4];
-    limits.forEach((limit, index) => system.desks[index]?.nameLimit(String(limit)));
+    limits.forEach((limit, index) => system.desks[index]?.setReportedLimit(String(limit)));
     const answers = await sendSteadily(system, read, { perSecond: 80, seconds: 10 });
     expectBounded(context, system.desks, limits, answers);
     expect(answers.every(isServed)).toEqual(true);
@@ -106,7 +115,7 @@
   it("make routers turn away at once what none of them may take", async (context) => {
     await using system = await startSystem({ desks: 10, engines: 0 });
     const limits = system.desks.map(() => 2);
-    system.desks.forEach((desk) => desk.nameLimit("2"));
+    system.desks.forEach((desk) => desk.setReportedLimit("2"));
     const answers = await sendSteadily(system, read, { perSecond: 80, seconds: 10 });
     expectBounded(context, system.desks, limits, answers);
     context.diagnostic(`${answers.filter(isServed).length} served of ${answers.length}`);
@@ -118,7 +127,7 @@
     const [failing, refusing] = system.desks;
     const [engine] = system.engines;
     if (failing === undefined || refusing === undefined || engine === undefined) throw new Error("Too few.");
-    for (const each of [failing, refusing, engine]) each.nameLimit("1.5");
+    for (const each of [failing, refusing, engine]) each.setReportedLimit("1.5");
     behaveForLong(failing, "fail");
     behaveForLong(refusing, "shed");
     const [plain, streams] = await Promise.all([
@@ -135,7 +144,7 @@
     const [desk, ...otherDesks] = system.desks;
     const [engine, ...otherEngines] = system.engines;
     if (desk === undefined || engine === undefined) throw new Error("Too few.");
-    for (const each of [desk, engine]) each.nameLimit("1");
+    for (const each of [desk, engine]) each.setReportedLimit("1");
     for (const each of otherDesks) behaveForLong(each, "fail", "well");
     for (const each of otherEngines) behaveForLong(each, "cut", "well");
     const [plain, streams] = await Promise.all([
@@ -148,7 +157,7 @@
 
   it("that are the only ones of their service are used as far as they go", async (context) => {
     await using system = await startSystem({ desks: 1, engines: 0 });
-    system.desks[0]?.nameLimit("4");
+    system.desks[0]?.setReportedLimit("4");
     const answers = await sendSteadily(system, read, { perSecond: 30, seconds: 9 });
     expectBounded(context, system.desks, [4], answers);
     expectTrueRefusals(answers);
@@ -160,15 +169,15 @@
 
   it("get no more than that from routers that start later, or all together", async (context) => {
     await using system = await startSystem({ desks: 4, engines: 0 }, 4);
-    system.desks[0]?.nameLimit("1.6");
+    system.desks[0]?.setReportedLimit("1.6");
     const before = await sendSteadily(system, read, { perSecond: 40, seconds: 4 });
     await system.startRouter();
-    await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+    await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
     const later = await sendSteadily(system, read, { perSecond: 40, seconds: 5 });
     expectBounded(context, system.desks, [1.6], [...before, ...later]);
     await system.stopRouters();
     for (let count = 0; count < 4; count += 1) await system.startRouter();
-    await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+    await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
     const begunAt = performance.now();
     const again = await sendSteadily(system, read, { perSecond: 40, seconds: 6 });
     const sinceThen = system.desks.map((desk) => ({
@@ -182,9 +191,9 @@
   it("are used like the others again once their answers name none", async () => {
     await using system = await startSystem({ desks: 3, engines: 0 }, 3);
     const [desk] = system.desks;
-    desk?.nameLimit("2");
+    desk?.setReportedLimit("2");
     await sendSteadily(system, read, { perSecond: 60, seconds: 3 });
-    desk?.nameLimit(undefined);
+    desk?.setReportedLimit(undefined);
     await sendSteadily(system, read, { perSecond: 60, seconds: 5 });
     const before = desk?.runs.length ?? 0;
     await sendSteadily(system, read, { perSecond: 60, seconds: 3 });
--- a/tests/platform/replicaReports.test.ts
+++ b/tests/platform/replicaReports.test.ts
@@ -2,22 +2,31 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import type { Behaviour, ReplicaStandIn, ReportHeaders } from "../../standIns/platform/replica.ts";
-import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
+import type {
+  RequestOptions,
+  PlatformSystem,
+  PlatformSystemSettings,
+} from "../../standIns/platform/platformSystem.ts";
 import {
   drainingReport,
   hosts,
   isReady,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 import type { ReceivedAnswer } from "../support/limitedReplicas.ts";
 import { allowedIntake, sendSteadily, worstIntake } from "../support/limitedReplicas.ts";
 import { arrivalsAfterDraining, arrivalsAfterFirst, worstInBackoff } from "../support/replicaReports.ts";
 
-const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+const read: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
-const tag: CallerCall = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() };
+const tag: RequestOptions = {
+  host: hosts.model,
+  path: "/tag/2f",
+  body: "tag",
+  headers: defaultPromptHeaders(),
+};
 
 /** Until a router that passed on an answer that reports draining must have stopped, milliseconds. */
 const drainBound = 600;
@@ -33,7 +42,7 @@
     bounds: { drain: drainBound, keyRevocation: 60_000 },
   });
   while (system.routers.length < routers) await system.startRouter();
-  await until(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   return system;
 };
 
@@ -47,7 +56,7 @@
 
 /** Every answer of a replica goes on like this. */
 const behaveAlways = (replica: ReplicaStandIn | undefined, behaviour: Behaviour): void =>
-  replica?.behave(...Array.from({ length: 2_000 }, () => behaviour));
+  replica?.setBehaviours(...Array.from({ length: 2_000 }, () => behaviour));
 
 const shedAlways = (replica: ReplicaStandIn | undefined): void => behaveAlways(replica, "shed");
 
@@ -75,9 +84,9 @@
       sendSteadily(system, read, { perSecond: 90, seconds: 1 }),
       sendSteadily(system, tag, { perSecond: 40, seconds: 1 }),
     ]);
-    system.store.faults.isSilent = true;
+    system.store.faults.isUnresponsive = true;
     const draining = [...system.desks.slice(0, 2), ...[...system.engines].sort(byRuns).slice(0, 1)];
-    draining.forEach((replica) => replica.report(drainingReport));
+    draining.forEach((replica) => replica.setReportHeaders(drainingReport));
     const [plain, streams] = await Promise.all([
       sendSteadily(system, read, { perSecond: 90, seconds: 4 }),
       sendSteadily(system, tag, { perSecond: 40, seconds: 4 }),
@@ -86,7 +95,7 @@
     expect(countAfterDraining(context, draining, answers)).toEqual([0, 0, 0]);
     expect(answers.every(isServed)).toEqual(true);
     // The registry returns with `ready` and heartbeats, which is older than what the replica said.
-    system.store.faults.isSilent = false;
+    system.store.faults.isUnresponsive = false;
     draining.forEach((replica) => system.register(replica, { sequence: 2 }));
     const [plainLater, streamsLater] = await Promise.all([
       sendSteadily(system, read, { perSecond: 90, seconds: 3 }),
@@ -105,7 +114,7 @@
     const [engine] = system.engines;
     if (failing === undefined || refusing === undefined || engine === undefined) throw new Error("Too few.");
     const draining = [failing, refusing, ...system.engines.slice(0, 2)];
-    draining.forEach((replica) => replica.report(drainingReport));
+    draining.forEach((replica) => replica.setReportHeaders(drainingReport));
     behaveAlways(failing, "fail");
     behaveAlways(refusing, "shed");
     behaveAlways(engine, "cut");
@@ -127,8 +136,8 @@
     const [leaving, staying] = system.engines;
     if (leaving === undefined || staying === undefined) throw new Error("Too few.");
     for (const each of system.engines) {
-      each.report(drainingReport);
-      each.behave("cut");
+      each.setReportHeaders(drainingReport);
+      each.setBehaviours("cut");
     }
     const [answer] = await sendSteadily(system, tag, { perSecond: 1, seconds: 1 });
     // Both have reported draining by now: the stream ends rather than going back to either.
@@ -140,15 +149,15 @@
     await using system = await startSystem({ desks: 2, engines: 0 }, 2);
     const [desk, other] = system.desks;
     if (desk === undefined || other === undefined) throw new Error("Too few.");
-    desk.report(drainingReport);
+    desk.setReportHeaders(drainingReport);
     await sendSteadily(system, read, { perSecond: 40, seconds: 2 });
-    desk.report({});
+    desk.setReportHeaders({});
     system.register(desk, { sequence: 2 });
     const before = desk.runs.length;
     await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
     expect(desk.runs.length).toEqual(before);
     system.register(desk, { born: 2 });
-    await until(async () => {
+    await waitUntil(async () => {
       await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
       return desk.runs.length > before;
     });
@@ -156,7 +165,7 @@
 
   it("makes routers reject at once where it is the only one of its service", async () => {
     await using system = await startSystem({ desks: 1, engines: 0 }, 2);
-    system.desks[0]?.report(drainingReport);
+    system.desks[0]?.setReportHeaders(drainingReport);
     await sendSteadily(system, read, { perSecond: 20, seconds: 1 });
     const answers = await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
     expectTrueRejections(answers, 0.5);
@@ -184,14 +193,14 @@
     const [always, half, alternating, unreadable] = system.desks;
     if (unreadable === undefined) throw new Error("Too few.");
     for (const each of [always, alternating, unreadable]) shedAlways(each);
-    half?.behave(...Array.from({ length: 1_000 }, () => ["shed", "well"] as const).flat());
-    always?.report({ "retry-after": "3" });
-    half?.report((behaviour): Record<string, string> =>
+    half?.setBehaviours(...Array.from({ length: 1_000 }, () => ["shed", "well"] as const).flat());
+    always?.setReportHeaders({ "retry-after": "3" });
+    half?.setReportHeaders((behaviour): Record<string, string> =>
       behaviour === "shed" ? { "retry-after": "1.5" } : {},
     );
     let turn = 0;
-    alternating?.report(() => ({ "retry-after": (turn += 1) % 2 === 0 ? "1" : "4" }));
-    unreadable.report({ "retry-after": "later" });
+    alternating?.setReportHeaders(() => ({ "retry-after": (turn += 1) % 2 === 0 ? "1" : "4" }));
+    unreadable.setReportHeaders({ "retry-after": "later" });
     const answers = await sendSteadily(system, read, { perSecond: 90, seconds: 8 });
     const worst = worstBackoffs(context, system.desks);
     context.diagnostic(`${(servedShare(answers) * 100).toFixed(1)} % served`);
@@ -204,10 +213,10 @@
     const [limited, refusing, draining] = system.desks;
     if (limited === undefined || refusing === undefined || draining === undefined)
       throw new Error("Too few.");
-    for (const each of [limited, refusing, draining]) each.nameLimit("1.6");
+    for (const each of [limited, refusing, draining]) each.setReportedLimit("1.6");
     shedAlways(refusing);
-    refusing.report({ "retry-after": "1" });
-    draining.report(drainingReport);
+    refusing.setReportHeaders({ "retry-after": "1" });
+    draining.setReportHeaders(drainingReport);
     const since = performance.now();
     const answers = await sendSteadily(system, read, { perSecond: 80, seconds: 7 });
     const intakes = [limited, refusing, draining].map((each) => worstIntake(each, answers));
@@ -222,7 +231,7 @@
     await using system = await startSystem({ desks: 3, engines: 0 }, 2);
     for (const desk of system.desks) {
       shedAlways(desk);
-      desk.report({ "retry-after": "4" });
+      desk.setReportHeaders({ "retry-after": "4" });
     }
     await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
     const answers = await sendSteadily(system, read, { perSecond: 40, seconds: 1 });
@@ -234,9 +243,11 @@
     await using system = await startSystem({ desks: 4, engines: 0 });
     const [desk, ...others] = system.desks;
     shedAlways(desk);
-    desk?.report((behaviour): ReportHeaders => (behaviour === "shed" ? { "retry-after": "1.5" } : {}));
+    desk?.setReportHeaders((behaviour): ReportHeaders =>
+      behaviour === "shed" ? { "retry-after": "1.5" } : {},
+    );
     await sendSteadily(system, read, { perSecond: 90, seconds: 3 });
-    desk?.behave();
+    desk?.setBehaviours();
     await sendSteadily(system, read, { perSecond: 90, seconds: 3 });
     const before = system.desks.map(({ runs }) => runs.length);
     await sendSteadily(system, read, { perSecond: 90, seconds: 3 });
@@ -251,13 +262,13 @@
     await sendSteadily(system, tag, { perSecond: 20, seconds: 1 });
     const engine = [...system.engines].sort(byRuns)[0];
     shedAlways(engine);
-    engine?.report({ "retry-after": "2" });
+    engine?.setReportHeaders({ "retry-after": "2" });
     await sendSteadily(system, tag, { perSecond: 20, seconds: 1 });
-    engine?.report({});
-    engine?.behave();
+    engine?.setReportHeaders({});
+    engine?.setBehaviours();
     const refusedAt = engine?.arrivals.findLast((each) => each.refusedAt !== undefined)?.refusedAt ?? 0;
-    system.nameWeights(2);
-    await until(() => engine?.version() === 2);
+    system.publishWeightsVersion(2);
+    await waitUntil(() => engine?.version() === 2);
     const [order] = engine?.orders ?? [];
     const after = (order?.at ?? 0) - refusedAt;
     context.diagnostic(`ordered ${Math.round(after)} ms after the refusal`);
--- a/tests/platform/rules.test.ts
+++ b/tests/platform/rules.test.ts
@@ -7,34 +7,39 @@
 import type { ReplicaStandIn } from "../../standIns/platform/replica.ts";
 import { startStoreStandIn } from "../../standIns/platform/store.ts";
 import {
-  call,
-  configuration,
+  sendRequest,
+  createConfiguration,
   hosts,
   isReady,
   keys,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 
 const post = { host: hosts.desk, path: "/post/2f", body: "sign off" } as const;
-const ask = { host: hosts.model, path: "/ask/2f", body: "summarise", headers: promptHeaders() } as const;
+const ask = {
+  host: hosts.model,
+  path: "/ask/2f",
+  body: "summarise",
+  headers: defaultPromptHeaders(),
+} as const;
 
 const runsOf = (replicas: readonly ReplicaStandIn[]) => replicas.flatMap(({ runs }) => runs);
 
 describe("a router without a configuration", () => {
   it("refuses as not run instead of saying that a route or key is unknown, and is not ready", async () => {
     await using system = await startPlatformSystem({ isPublished: false });
-    const answer = await call(system.router, post);
+    const answer = await sendRequest(system.router, post);
     expect([answer.status, await isReady(system.router)]).toEqual([503, false]);
   });
 
   it("becomes ready when one is published", async () => {
     await using system = await startPlatformSystem({ isPublished: false });
-    system.publish(configuration());
+    system.publish(createConfiguration());
     for (const replica of [...system.desks, ...system.engines]) system.register(replica, {});
-    await until(() => isReady(system.router));
-    await until(async () => (await call(system.router, post)).status === 200);
+    await waitUntil(() => isReady(system.router));
+    await waitUntil(async () => (await sendRequest(system.router, post)).status === 200);
   });
 });
 
@@ -46,9 +51,9 @@
     for (const value of [{ state: "ready" }, { service: 7 }, "no object", { state: "resting" }]) {
       system.store.put("keyed.servers", struck.id, value);
       system.store.put("keyed.servers", `ghost-${JSON.stringify(value)}`, value);
-      await until(async () => {
+      await waitUntil(async () => {
         const before = struck.runs.length;
-        for (let index = 0; index < 4; index += 1) await call(system.router, post);
+        for (let index = 0; index < 4; index += 1) await sendRequest(system.router, post);
         return struck.runs.length === before;
       });
     }
@@ -56,8 +61,8 @@
     const before = struck.runs.length;
     system.register(struck, {});
     system.register(other, undefined);
-    await until(async () => {
-      await call(system.router, post);
+    await waitUntil(async () => {
+      await sendRequest(system.router, post);
       return struck.runs.length > before;
     });
   });
@@ -66,26 +71,31 @@
 describe("a configuration that changes", () => {
   it("is in force soon, and an older one that comes late changes nothing", async () => {
     await using system = await startPlatformSystem();
-    const added = { ...configuration().routes[0], name: "added", pathPrefix: "/added/", kind: "unsafe" };
-    system.publish(configuration(3, { routes: [...configuration().routes, added] }));
+    const added = {
+      ...createConfiguration().routes[0],
+      name: "added",
+      pathPrefix: "/added/",
+      kind: "unsafe",
+    };
+    system.publish(createConfiguration(3, { routes: [...createConfiguration().routes, added] }));
     const get = { ...post, path: "/added/x" };
-    await until(async () => (await call(system.router, get)).status === 200);
-    system.publish(configuration(2));
+    await waitUntil(async () => (await sendRequest(system.router, get)).status === 200);
+    system.publish(createConfiguration(2));
     await sleep(100);
-    expect((await call(system.router, get)).status).toEqual(200);
+    expect((await sendRequest(system.router, get)).status).toEqual(200);
   });
 
   it("that can't be read leaves the last one in force", async () => {
     await using system = await startPlatformSystem();
     system.publish({ version: 9, routes: "none" });
     await sleep(100);
-    expect((await call(system.router, post)).status).toEqual(200);
+    expect((await sendRequest(system.router, post)).status).toEqual(200);
   });
 
   it("takes a key away at once", async () => {
     await using system = await startPlatformSystem();
-    system.publish(configuration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
-    await until(async () => (await call(system.router, post)).status === 401);
+    system.publish(createConfiguration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
+    await waitUntil(async () => (await sendRequest(system.router, post)).status === 401);
   });
 });
 
@@ -94,7 +104,7 @@
   let lastServedAt = Number.NEGATIVE_INFINITY;
   for (;;) {
     const sentAt = performance.now();
-    const { status } = await call(router, post);
+    const { status } = await sendRequest(router, post);
     if (status === 503) return lastServedAt;
     lastServedAt = sentAt;
   }
@@ -103,47 +113,54 @@
 describe("a router whose store is gone", () => {
   it("serves keys no longer than it may without knowing that they are valid", async () => {
     await using system = await startPlatformSystem();
-    system.store.faults.isSilent = true;
+    system.store.faults.isUnresponsive = true;
     const lostAt = performance.now();
-    expect((await call(system.router, post)).status).toEqual(200);
+    expect((await sendRequest(system.router, post)).status).toEqual(200);
     const lastServedAt = await lastServedBeforeRefusal(system.router);
     // The bound of the test's settings is 2 s, counted from a proof before the loss.
     expect(lastServedAt - lostAt < 2_000).toEqual(true);
     const ranBefore = runsOf(system.desks).length;
-    expect([(await call(system.router, post)).status, await isReady(system.router)]).toEqual([503, false]);
+    expect([(await sendRequest(system.router, post)).status, await isReady(system.router)]).toEqual([
+      503,
+      false,
+    ]);
     expect(runsOf(system.desks).length).toEqual(ranBefore);
-    system.store.faults.isSilent = false;
-    await until(async () => (await call(system.router, post)).status === 200);
+    system.store.faults.isUnresponsive = false;
+    await waitUntil(async () => (await sendRequest(system.router, post)).status === 200);
   });
 
   it("serves on while a peer that reaches the store vouches for the version", async () => {
     await using system = await startPlatformSystem();
     await using way = await startStoreStandIn(system.store.topics);
     const cut = await system.startRouter(way);
-    await until(() => isReady(cut));
-    way.faults.isSilent = true;
+    await waitUntil(() => isReady(cut));
+    way.faults.isUnresponsive = true;
     // Longer than a key may be served without proof.
     await sleep(2_500);
     // A peer whose own proof is late for a moment may cost a refusal; without its word there are only refusals.
-    await until(async () => (await call(cut, { ...post, key: keys.isolated })).status === 200);
+    await waitUntil(async () => (await sendRequest(cut, { ...post, key: keys.isolated })).status === 200);
     const revokedAt = performance.now();
-    system.publish(configuration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
+    system.publish(createConfiguration(2, { tenants: [{ name: "one", apiKeys: [], isolated: false }] }));
     const lastServedAt = await lastServedBeforeRefusal(cut);
     expect(lastServedAt - revokedAt < 2_000).toEqual(true);
     // Whatever the peer says from now on is about a version that this router doesn't have.
-    for (let count = 0; count < 10; count += 1) expect((await call(cut, post)).status).toEqual(503);
+    for (let count = 0; count < 10; count += 1) expect((await sendRequest(cut, post)).status).toEqual(503);
   });
 
   it("takes up where the log was trimmed", async () => {
     await using system = await startPlatformSystem();
     system.store.faults.isBusy = true;
     await sleep(100);
-    system.publish(configuration(2, { tenants: [{ name: "three", apiKeys: ["new"], isolated: false }] }));
-    system.publish(configuration(3, { tenants: [{ name: "three", apiKeys: ["newer"], isolated: false }] }));
+    system.publish(
+      createConfiguration(2, { tenants: [{ name: "three", apiKeys: ["new"], isolated: false }] }),
+    );
+    system.publish(
+      createConfiguration(3, { tenants: [{ name: "three", apiKeys: ["newer"], isolated: false }] }),
+    );
     system.store.topics.trim("keyed.op", system.store.topics.end("keyed.op"));
     system.store.topics.trim("keyed.servers", system.store.topics.end("keyed.servers"));
     system.store.faults.isBusy = false;
-    await until(async () => (await call(system.router, { ...post, key: "newer" })).status === 200);
+    await waitUntil(async () => (await sendRequest(system.router, { ...post, key: "newer" })).status === 200);
   });
 });
 
@@ -156,7 +173,7 @@
     // The bound of the test's settings.
     await sleep(600);
     const before = leaving.runs.length;
-    for (let count = 0; count < 10; count += 1) await call(system.router, post);
+    for (let count = 0; count < 10; count += 1) await sendRequest(system.router, post);
     expect(leaving.runs.length).toEqual(before);
   });
 
@@ -173,10 +190,10 @@
     });
     await sleep(400);
     for (let count = 0; count < 10; count += 1) {
-      const { status } = await call(system.router, post);
+      const { status } = await sendRequest(system.router, post);
       expect([200, 503].includes(status)).toEqual(true);
     }
-    await until(async () => (await call(system.router, post)).status === 200);
+    await waitUntil(async () => (await sendRequest(system.router, post)).status === 200);
     expect(desk.runs.every(({ headers }) => headers["x-expect-replica"] === "desk-0")).toEqual(true);
   });
 });
@@ -203,7 +220,7 @@
   it("all learn in time that a replica leaves", async () => {
     await using system = await startPlatformSystem({ desks: 3 });
     for (let started = 1; started < many; started += 1) await system.startRouter();
-    for (const router of system.routers) await until(() => isReady(router));
+    for (const router of system.routers) await waitUntil(() => isReady(router));
     await sleep(1_000);
     const [leaving] = system.desks;
     if (leaving === undefined) throw new Error("there is no desk");
@@ -211,7 +228,11 @@
     await sleep(600);
     const before = leaving.runs.length;
     await Promise.all(
-      system.routers.flatMap((router) => [call(router, post), call(router, post), call(router, post)]),
+      system.routers.flatMap((router) => [
+        sendRequest(router, post),
+        sendRequest(router, post),
+        sendRequest(router, post),
+      ]),
     );
     expect(leaving.runs.length).toEqual(before);
   });
@@ -221,9 +242,9 @@
   it("are loaded by one holder with one rising number, the newest only", async () => {
     await using system = await startPlatformSystem({ engines: 4 });
     await system.startRouter();
-    system.nameWeights(2);
-    system.nameWeights(3);
-    await until(() => system.engines.every((engine) => engine.version() === 3));
+    system.publishWeightsVersion(2);
+    system.publishWeightsVersion(3);
+    await waitUntil(() => system.engines.every((engine) => engine.version() === 3));
     const orders = system.engines.flatMap((engine) => engine.orders);
     expect(new Set(orders.map(({ holder }) => holder)).size).toEqual(1);
     expect(new Set(orders.map(({ fence }) => fence)).size).toEqual(1);
@@ -232,9 +253,9 @@
 
   it("are expected of the engine that a request goes to", async () => {
     await using system = await startPlatformSystem();
-    system.nameWeights(2);
-    await until(() => system.engines.every((engine) => engine.version() === 2));
-    await until(async () => (await call(system.router, ask)).status === 200);
+    system.publishWeightsVersion(2);
+    await waitUntil(() => system.engines.every((engine) => engine.version() === 2));
+    await waitUntil(async () => (await sendRequest(system.router, ask)).status === 200);
     const last = runsOf(system.engines).at(-1);
     expect([last?.headers["x-expect-version"], last?.headers["x-cache-salt"]]).toEqual(["2", "m/2/"]);
   });
@@ -245,8 +266,8 @@
     if (engine === undefined) throw new Error("no engine");
     const order = { model: "m", version: 7, holder: "somebody", fence: 1, expectedRev: 0 };
     await fetch(`http://${engine.address}/-/order`, { method: "POST", body: JSON.stringify(order) });
-    await until(() => engine.version() === 7);
-    expect((await call(system.router, ask)).status).toEqual(200);
+    await waitUntil(() => engine.version() === 7);
+    expect((await sendRequest(system.router, ask)).status).toEqual(200);
     expect(engine.runs.at(-1)?.headers["x-expect-version"]).toEqual("7");
   });
 
@@ -258,16 +279,16 @@
       bounds: { shutdownGraceSeconds: 10 },
     });
     const second = await system.startRouter();
-    await until(() => isReady(second));
-    system.nameWeights(2);
-    await until(() => system.engines.some(({ orders }) => orders.length > 0));
+    await waitUntil(() => isReady(second));
+    system.publishWeightsVersion(2);
+    await waitUntil(() => system.engines.some(({ orders }) => orders.length > 0));
     const holder = system.engines.flatMap(({ orders }) => orders)[0]?.holder ?? "";
     const [ending] = system.routers.filter((_, index) => holder.startsWith(`router-${index}/`));
     let hasEnded = false;
     const drained = ending?.drain().then(() => {
       hasEnded = true;
     });
-    await until(() => system.engines.every((each) => each.version() === 2));
+    await waitUntil(() => system.engines.every((each) => each.version() === 2));
     // Not only once the other router is gone.
     expect(hasEnded).toEqual(false);
     await drained;
@@ -278,25 +299,25 @@
   it("are not begun on older ones by a router that starts after the bound is over", async () => {
     const engine = { refusesOrders: true };
     await using system = await startPlatformSystem({ engines: 1, engine, bounds: { weights: 1_000 } });
-    system.nameWeights(2);
+    system.publishWeightsVersion(2);
     await sleep(1_200);
-    expect((await call(system.router, ask)).status).toEqual(503);
+    expect((await sendRequest(system.router, ask)).status).toEqual(503);
     const heard = new Set<unknown>();
     setLogSink((_part, event, { peer }) => {
       if (event === "heard") heard.add(peer);
     });
     const later = await system.startRouter();
     // The first router's message says how long it has known; only the later one can hear of it.
-    await until(async () => heard.has("router-0") && (await isReady(later)));
-    expect((await call(later, ask)).status).toEqual(503);
+    await waitUntil(async () => heard.has("router-0") && (await isReady(later)));
+    expect((await sendRequest(later, ask)).status).toEqual(503);
   });
 
   it("pass over an engine that can't be reached", async () => {
     await using system = await startPlatformSystem({ engines: 4 });
     const [gone] = system.engines;
     await gone?.[Symbol.asyncDispose]();
-    system.nameWeights(2);
-    await until(() => system.engines.slice(1).every((engine) => engine.version() === 2));
+    system.publishWeightsVersion(2);
+    await waitUntil(() => system.engines.slice(1).every((engine) => engine.version() === 2));
   });
 });
 
@@ -304,15 +325,15 @@
   it("serves the balancer's last callers, refuses what it could not finish, and cuts nothing", async () => {
     const engine = { events: { count: 60, pause: 10 } };
     await using system = await startPlatformSystem({ engine });
-    const running = call(system.router, ask);
+    const running = sendRequest(system.router, ask);
     await sleep(50);
     const drained = system.router.drain();
-    await until(async () => !(await isReady(system.router)));
-    const late = await call(system.router, { ...post, headers: { "x-deadline-ms": "400" } });
+    await waitUntil(async () => !(await isReady(system.router)));
+    const late = await sendRequest(system.router, { ...post, headers: { "x-deadline-ms": "400" } });
     expect([late.status, late.headers.connection]).toEqual([200, "close"]);
     await sleep(700);
     // A third of the grace time of 2 s is over: what may take 3 s is not begun.
-    const refused = await call(system.router, ask);
+    const refused = await sendRequest(system.router, ask);
     expect([refused.status, runsOf(system.engines).length]).toEqual([503, 1]);
     const finished = await running;
     expect([finished.status, finished.isCut]).toEqual([200, false]);
--- a/tests/platform/storeEpochs.test.ts
+++ b/tests/platform/storeEpochs.test.ts
@@ -3,22 +3,27 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
 import { startStoreStandIn } from "../../standIns/platform/store.ts";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
-import { call, configuration, isReady, registeredRouters } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  added,
-  awaitStatus,
-  awaitThat,
-  awayTime,
+  sendRequest,
+  createConfiguration,
+  isReady,
+  registeredRouters,
+} from "../../standIns/platform/platformSystem.ts";
+import {
+  addedRouteCall,
+  waitForStatus,
+  waitUntil,
+  storeOutage,
   countStatus,
-  read,
+  readCall,
   revocableKey,
-  startReturningSystem,
+  startRestorableSystem,
   timeUntil,
   timeUntilAll,
   withAddedRoute,
-  withRevocable,
-} from "../support/returningStore.ts";
+  withRevocableKey,
+} from "../support/restoredStore.ts";
 
 /** Within which a change must be in force, milliseconds. */
 const applyBound = 2_000;
@@ -27,7 +32,7 @@
 
 const registrationBound = 5_000;
 
-const readWithRevocable = { ...read, key: revocableKey };
+const readWithRevocable = { ...readCall, key: revocableKey };
 
 /** Reports a time and says whether it is within a bound. */
 const isWithin = (context: TestContext, what: string, time: number, bound: number): boolean => {
@@ -53,89 +58,89 @@
 
 describe("a store that returned from an older copy", () => {
   it("keeps everything in force until the operator has written again", async () => {
-    await using system = await startReturningSystem();
-    const copy = system.store.topics.copy();
+    await using system = await startRestorableSystem();
+    const copy = system.store.topics.backUp();
     system.publish(withAddedRoute(2));
-    await awaitStatus(system, 200, added);
-    await system.store.returnFrom(copy, awayTime);
+    await waitForStatus(system, 200, addedRouteCall);
+    await system.store.restoreFrom(copy, storeOutage);
     for (let round = 0; round < 5; round += 1) {
-      expect(await countStatus(system.routers, 200, added)).toEqual(system.routers.length);
+      expect(await countStatus(system.routers, 200, addedRouteCall)).toEqual(system.routers.length);
       await sleep(100);
     }
   });
 
   // Readers kept offsets of the epoch before, which the copy did not reach.
   it("delivers configurations that were published at offsets that routers had read before", async (context) => {
-    await using system = await startReturningSystem();
-    const copy = system.store.topics.copy();
-    system.publish(configuration(2));
-    system.publish(configuration(3));
+    await using system = await startRestorableSystem();
+    const copy = system.store.topics.backUp();
+    system.publish(createConfiguration(2));
+    system.publish(createConfiguration(3));
     await sleep(300);
-    await system.store.returnFrom(copy, awayTime);
-    system.publish(configuration(3));
+    await system.store.restoreFrom(copy, storeOutage);
+    system.publish(createConfiguration(3));
     system.publish(withAddedRoute(4));
-    const time = await timeUntilAll(system, 4_000, 200, added);
+    const time = await timeUntilAll(system, 4_000, 200, addedRouteCall);
     expect(isWithin(context, "in force", time, applyBound)).toEqual(true);
   });
 
   // No read fails then: the offsets exist again, with other records.
   it("delivers configurations although others appended past the old end before a router read", async (context) => {
-    await using system = await startReturningSystem();
-    const copy = system.store.topics.copy();
-    system.publish(configuration(2));
+    await using system = await startRestorableSystem();
+    const copy = system.store.topics.backUp();
+    system.publish(createConfiguration(2));
     await sleep(300);
-    const returned = system.store.returnFrom(copy, awayTime);
+    const returned = system.store.restoreFrom(copy, storeOutage);
     await returned;
     system.publish(withAddedRoute(4));
-    for (let version = 1; version < 6; version += 1) system.nameWeights(1);
-    const time = await timeUntilAll(system, 4_000, 200, added);
+    for (let version = 1; version < 6; version += 1) system.publishWeightsVersion(1);
+    const time = await timeUntilAll(system, 4_000, 200, addedRouteCall);
     expect(isWithin(context, "in force", time, applyBound)).toEqual(true);
   });
 
   it("delivers the revocation of a key that was published after its return", async (context) => {
-    await using system = await startReturningSystem();
-    system.publish(withRevocable(2, false));
-    await awaitStatus(system, 200, readWithRevocable);
-    const copy = system.store.topics.copy();
-    system.publish(withRevocable(3, false));
-    system.publish(withRevocable(5, false));
+    await using system = await startRestorableSystem();
+    system.publish(withRevocableKey(2, false));
+    await waitForStatus(system, 200, readWithRevocable);
+    const copy = system.store.topics.backUp();
+    system.publish(withRevocableKey(3, false));
+    system.publish(withRevocableKey(5, false));
     await sleep(300);
-    await system.store.returnFrom(copy, awayTime);
-    system.publish(withRevocable(5, false));
-    system.publish(withRevocable(6, true));
+    await system.store.restoreFrom(copy, storeOutage);
+    system.publish(withRevocableKey(5, false));
+    system.publish(withRevocableKey(6, true));
     const time = await timeUntilAll(system, 4_000, 401, readWithRevocable);
     expect(isWithin(context, "revoked", time, applyBound)).toEqual(true);
   });
 
   // Nobody read the target, and the lease's records were not found at their offsets.
   it("delivers weights that were named after its return, ordered under rising fences", async (context) => {
-    await using system = await startReturningSystem();
-    system.nameWeights(2);
-    await awaitThat(() => allOnVersion(system, 2));
-    const copy = system.store.topics.copy();
-    system.publish(configuration(2));
-    system.publish(configuration(3));
-    system.nameWeights(3);
-    await awaitThat(() => allOnVersion(system, 3));
-    await system.store.returnFrom(copy, awayTime);
-    system.nameWeights(3);
-    system.nameWeights(4);
+    await using system = await startRestorableSystem();
+    system.publishWeightsVersion(2);
+    await waitUntil(() => allOnVersion(system, 2));
+    const copy = system.store.topics.backUp();
+    system.publish(createConfiguration(2));
+    system.publish(createConfiguration(3));
+    system.publishWeightsVersion(3);
+    await waitUntil(() => allOnVersion(system, 3));
+    await system.store.restoreFrom(copy, storeOutage);
+    system.publishWeightsVersion(3);
+    system.publishWeightsVersion(4);
     const time = await timeUntil(8_000, () => allOnVersion(system, 4));
     expect(isWithin(context, "all engines on new weights", time, weightsBound)).toEqual(true);
     expect(isRising(fencesOf(system))).toEqual(true);
   });
 
   it("delivers weights after it returned empty, and once more from a still older copy", async (context) => {
-    await using system = await startReturningSystem();
+    await using system = await startRestorableSystem();
     const empty = new Map();
-    system.nameWeights(2);
-    await awaitThat(() => allOnVersion(system, 2));
+    system.publishWeightsVersion(2);
+    await waitUntil(() => allOnVersion(system, 2));
     for (const version of [3, 4]) {
-      await system.store.returnFrom(empty, awayTime);
-      system.publish(configuration(1));
+      await system.store.restoreFrom(empty, storeOutage);
+      system.publish(createConfiguration(1));
       for (const replica of [...system.desks, ...system.engines])
         system.register(replica, { sequence: version });
-      system.nameWeights(version);
+      system.publishWeightsVersion(version);
     }
     const time = await timeUntil(8_000, () => allOnVersion(system, 4));
     expect(isWithin(context, "all engines on new weights", time, weightsBound)).toEqual(true);
@@ -144,20 +149,20 @@
 
   // Fences are offsets, which begin anew; routers that start then know of none that was given out.
   it("has engines ordered under rising fences after all routers were started again", async (context) => {
-    await using system = await startReturningSystem();
+    await using system = await startRestorableSystem();
     const restart = async (): Promise<void> => {
       await system.stopRouters();
       for (let count = 0; count < 6; count += 1) await system.startRouter();
     };
-    system.nameWeights(2);
-    await awaitThat(() => allOnVersion(system, 2));
+    system.publishWeightsVersion(2);
+    await waitUntil(() => allOnVersion(system, 2));
     await restart();
-    system.nameWeights(3);
-    await awaitThat(() => allOnVersion(system, 3));
-    await system.store.returnFrom(new Map(), awayTime);
-    system.publish(configuration(1));
+    system.publishWeightsVersion(3);
+    await waitUntil(() => allOnVersion(system, 3));
+    await system.store.restoreFrom(new Map(), storeOutage);
+    system.publish(createConfiguration(1));
     for (const replica of [...system.desks, ...system.engines]) system.register(replica, { sequence: 2 });
-    system.nameWeights(4);
+    system.publishWeightsVersion(4);
     await restart();
     const time = await timeUntil(8_000, () => allOnVersion(system, 4));
     context.diagnostic(`fences: ${[...new Set(fencesOf(system))].join(", ")}`);
@@ -167,49 +172,49 @@
 
   // Routers registered once, at their start.
   it("gets the registration of a router that it lost", async (context) => {
-    await using system = await startReturningSystem();
-    const copy = system.store.topics.copy();
+    await using system = await startRestorableSystem();
+    const copy = system.store.topics.backUp();
     await system.startRouter();
-    await awaitThat(() => registeredRouters(system).length === 7);
-    await system.store.returnFrom(copy, awayTime);
+    await waitUntil(() => registeredRouters(system).length === 7);
+    await system.store.restoreFrom(copy, storeOutage);
     const time = await timeUntil(registrationBound * 2, () => registeredRouters(system).length === 7);
     expect(isWithin(context, "registered again", time, registrationBound)).toEqual(true);
   });
 
   it("lists no replica again that routers know to be gone", async () => {
-    await using system = await startReturningSystem();
+    await using system = await startRestorableSystem();
     const [gone] = system.desks;
     if (gone === undefined) throw new Error("There is no replica.");
-    const copy = system.store.topics.copy();
+    const copy = system.store.topics.backUp();
     system.register(gone, undefined);
     await sleep(600);
     const before = gone.arrivals.length;
-    await system.store.returnFrom(copy, awayTime);
+    await system.store.restoreFrom(copy, storeOutage);
     for (let round = 0; round < 20; round += 1) {
-      await countStatus(system.routers, 200, read);
+      await countStatus(system.routers, 200, readCall);
       await sleep(50);
     }
     expect(gone.arrivals.length - before).toEqual(0);
   });
 
   it("leaves a replica in use that registered after the copy was made", async () => {
-    await using system = await startReturningSystem({ desks: 1 });
+    await using system = await startRestorableSystem({ desks: 1 });
     const [late] = system.desks;
     if (late === undefined) throw new Error("There is no replica.");
     system.register(late, undefined);
     await sleep(600);
-    const copy = system.store.topics.copy();
+    const copy = system.store.topics.backUp();
     system.register(late, {});
-    await awaitStatus(system, 200, read);
+    await waitForStatus(system, 200, readCall);
     const countRefusals = async (rounds: number): Promise<number> => {
       let refusals = 0;
       for (let round = 0; round < rounds; round += 1) {
-        refusals += system.routers.length - (await countStatus(system.routers, 200, read));
+        refusals += system.routers.length - (await countStatus(system.routers, 200, readCall));
         await sleep(50);
       }
       return refusals;
     };
-    await system.store.returnFrom(copy, awayTime);
+    await system.store.restoreFrom(copy, storeOutage);
     const before = await countRefusals(10);
     system.register(late, { sequence: 2 });
     expect([before, await countRefusals(50)]).toEqual([0, 0]);
@@ -217,16 +222,16 @@
 
   // A refused read was taken for a complete one and repeated at once.
   it("is called no more than twice as often as before", async (context) => {
-    await using system = await startReturningSystem();
+    await using system = await startRestorableSystem();
     const countCalls = async (): Promise<number> => {
       const before = totalCalls(system);
       await sleep(3_000);
       return totalCalls(system) - before;
     };
-    const copy = system.store.topics.copy();
-    system.publish(configuration(2));
+    const copy = system.store.topics.backUp();
+    system.publish(createConfiguration(2));
     const before = await countCalls();
-    await system.store.returnFrom(copy, awayTime);
+    await system.store.restoreFrom(copy, storeOutage);
     const after = await countCalls();
     context.diagnostic(`calls in three seconds: ${before} before, ${after} after`);
     expect(after <= 2 * before).toEqual(true);
@@ -236,21 +241,21 @@
 describe("a router, before the operator has written again", () => {
   // It read the copy, which proves nothing about what was lost.
   it("serves no older configuration than its peers, where it starts then", async () => {
-    await using system = await startReturningSystem();
-    system.publish(withRevocable(2, false));
-    await awaitStatus(system, 200, readWithRevocable);
-    const copy = system.store.topics.copy();
-    system.publish(withRevocable(3, true));
-    await awaitStatus(system, 401, readWithRevocable);
-    await system.store.returnFrom(copy, awayTime);
+    await using system = await startRestorableSystem();
+    system.publish(withRevocableKey(2, false));
+    await waitForStatus(system, 200, readWithRevocable);
+    const copy = system.store.topics.backUp();
+    system.publish(withRevocableKey(3, true));
+    await waitForStatus(system, 401, readWithRevocable);
+    await system.store.restoreFrom(copy, storeOutage);
     const late = await system.startRouter();
     const statuses = new Set<number>();
-    await awaitThat(async () => {
-      statuses.add((await call(late, readWithRevocable)).status);
+    await waitUntil(async () => {
+      statuses.add((await sendRequest(late, readWithRevocable)).status);
       return isReady(late);
     });
     for (let round = 0; round < 20; round += 1) {
-      statuses.add((await call(late, readWithRevocable)).status);
+      statuses.add((await sendRequest(late, readWithRevocable)).status);
       await sleep(50);
     }
     expect(statuses.has(200)).toEqual(false);
@@ -258,27 +263,27 @@
   });
 
   it("gets a revocation that it had not read from its peers, where the store has lost it", async (context) => {
-    await using system = await startReturningSystem();
+    await using system = await startRestorableSystem();
     await using way = await startStoreStandIn(system.store.topics);
     const cut = await system.startRouter(way);
-    system.publish(withRevocable(2, false));
-    await awaitStatus(system, 200, readWithRevocable);
-    const copy = system.store.topics.copy();
-    way.faults.isSilent = true;
+    system.publish(withRevocableKey(2, false));
+    await waitForStatus(system, 200, readWithRevocable);
+    const copy = system.store.topics.backUp();
+    way.faults.isUnresponsive = true;
     way.closeConnections();
-    system.publish(withRevocable(3, true));
+    system.publish(withRevocableKey(3, true));
     const publishedAt = performance.now();
-    await awaitThat(async () => (await countStatus(system.routers, 401, readWithRevocable)) === 6);
-    await system.store.returnFrom(copy, awayTime);
-    way.faults.isSilent = false;
+    await waitUntil(async () => (await countStatus(system.routers, 401, readWithRevocable)) === 6);
+    await system.store.restoreFrom(copy, storeOutage);
+    way.faults.isUnresponsive = false;
     const served: number[] = [];
     for (let round = 0; round < 60; round += 1) {
       const askedAt = performance.now();
-      if ((await call(cut, readWithRevocable)).status === 200) served.push(askedAt - publishedAt);
+      if ((await sendRequest(cut, readWithRevocable)).status === 200) served.push(askedAt - publishedAt);
       await sleep(50);
     }
     context.diagnostic(`last served ${Math.round(served.at(-1) ?? 0)} ms after the revocation`);
     expect(served.every((age) => age <= applyBound)).toEqual(true);
-    expect((await call(cut, readWithRevocable)).status).toEqual(401);
+    expect((await sendRequest(cut, readWithRevocable)).status).toEqual(401);
   });
 });
--- a/tests/platform/wire.test.ts
+++ b/tests/platform/wire.test.ts
@@ -5,26 +5,31 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
 import type { Behaviour, ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 import {
-  call,
-  configuration,
+  sendRequest,
+  createConfiguration,
   hosts,
   keys,
-  promptHeaders,
+  defaultPromptHeaders,
   startPlatformSystem,
-  until,
-} from "../../standIns/platform/system.ts";
+  waitUntil,
+} from "../../standIns/platform/platformSystem.ts";
 
 const read = { host: hosts.desk, path: "/read/2f?x=1", method: "GET" } as const;
 const post = { host: hosts.desk, path: "/post/2f", body: "sign off" } as const;
-const ask = { host: hosts.model, path: "/ask/2f", body: "summarise", headers: promptHeaders() } as const;
-const tag = { host: hosts.model, path: "/tag/2f", body: "tag", headers: promptHeaders() } as const;
+const ask = {
+  host: hosts.model,
+  path: "/ask/2f",
+  body: "summarise",
+  headers: defaultPromptHeaders(),
+} as const;
+const tag = { host: hosts.model, path: "/tag/2f", body: "tag", headers: defaultPromptHeaders() } as const;
 
 const runsOf = (replicas: readonly ReplicaStandIn[]) => replicas.flatMap(({ runs }) => runs);
 
 const behaveAll = (system: PlatformSystem, ...behaviours: readonly Behaviour[]): void => {
-  for (const replica of [...system.desks, ...system.engines]) replica.behave(...behaviours);
+  for (const replica of [...system.desks, ...system.engines]) replica.setBehaviours(...behaviours);
 };
 
 /** An organisation that may use so many tokens a second. */
@@ -37,14 +42,14 @@
 describe("an organisation's limit", () => {
   it("refuses at once what is beyond it, with when to come back, and lets the rest pass", async (context) => {
     await using system = await startPlatformSystem();
-    system.publish(configuration(2, limitedTo(2_000)));
+    system.publish(createConfiguration(2, limitedTo(2_000)));
     // Requests of 1,540 tokens: the count begins empty, and has room for one and two plain ones when it is full.
-    await until(async () => (await call(system.router, ask)).status === 200);
+    await waitUntil(async () => (await sendRequest(system.router, ask)).status === 200);
     await sleep(1_200);
     const askedAt = performance.now();
-    expect((await call(system.router, ask)).status).toEqual(200);
+    expect((await sendRequest(system.router, ask)).status).toEqual(200);
     const ran = runsOf(system.engines).length;
-    const refused = await call(system.router, ask);
+    const refused = await sendRequest(system.router, ask);
     expect(refused.status).toEqual(429);
     // A full count of 2,000 lacks 1,080 tokens after the first request: 0.54 s at its rate.
     const elapsedSeconds = (performance.now() - askedAt) / 1_000;
@@ -54,14 +59,14 @@
     );
     expect(comeBackAfter >= 0.54 - elapsedSeconds).toEqual(true);
     expect(comeBackAfter < 2).toEqual(true);
-    expect((await call(system.router, read)).status).toEqual(200);
+    expect((await sendRequest(system.router, read)).status).toEqual(200);
     expect(runsOf(system.engines).length).toEqual(ran);
   });
 
   it("counts by what the caller says, which has to be readable", async () => {
     await using system = await startPlatformSystem();
-    const headers = { ...promptHeaders(), "x-token-count": "many" };
-    const answer = await call(system.router, { ...ask, headers });
+    const headers = { ...defaultPromptHeaders(), "x-token-count": "many" };
+    const answer = await sendRequest(system.router, { ...ask, headers });
     expect(answer.status).toEqual(400);
     expect(answer.body).toInclude("x-token-count");
   });
@@ -70,7 +75,7 @@
 describe("a request that is passed on", () => {
   it("reaches a replica untouched, with what the system adds and without the caller's key", async () => {
     await using system = await startPlatformSystem();
-    const answer = await call(system.router, {
+    const answer = await sendRequest(system.router, {
       ...post,
       path: "/post/a%20b?c=d&e=%2F",
       id: "attempt-1",
@@ -99,10 +104,10 @@
 
   it("carries nothing that a caller sends under the system's own names", async () => {
     await using system = await startPlatformSystem();
-    await call(system.router, {
+    await sendRequest(system.router, {
       ...ask,
       headers: {
-        ...promptHeaders(),
+        ...defaultPromptHeaders(),
         "x-tenant": "two",
         "x-cache-salt": "mine",
         "x-hold": "1",
@@ -124,8 +129,8 @@
 
   it("keeps an isolated organisation's cached parts apart", async () => {
     await using system = await startPlatformSystem();
-    await call(system.router, { ...ask, key: keys.isolated });
-    await call(system.router, ask);
+    await sendRequest(system.router, { ...ask, key: keys.isolated });
+    await sendRequest(system.router, ask);
     expect(
       runsOf(system.engines)
         .map(({ headers }) => headers["x-cache-salt"])
@@ -157,7 +162,8 @@
 
   it("is refused with a type where it can't be allowed", async () => {
     await using system = await startPlatformSystem();
-    const statusOf = async (given: Parameters<typeof call>[1]) => (await call(system.router, given)).status;
+    const statusOf = async (given: Parameters<typeof sendRequest>[1]) =>
+      (await sendRequest(system.router, given)).status;
     expect(await statusOf({ ...post, key: "unknown" })).toEqual(401);
     expect(await statusOf({ ...post, key: "" })).toEqual(401);
     expect(await statusOf({ ...post, path: "/nowhere/" })).toEqual(404);
@@ -180,11 +186,11 @@
   for (const [behaviour, status, runs] of cases) {
     it(`is had again elsewhere where that does no harm: ${behaviour}`, async () => {
       await using system = await startPlatformSystem();
-      for (const desk of system.desks) desk.behave(behaviour);
+      for (const desk of system.desks) desk.setBehaviours(behaviour);
       const [first, second] = system.desks;
-      second?.behave();
+      second?.setBehaviours();
       // Whichever is chosen first: one of two requests begins at the replica that misbehaves.
-      const answers = [await call(system.router, read), await call(system.router, read)];
+      const answers = [await sendRequest(system.router, read), await sendRequest(system.router, read)];
       expect(answers.map((answer) => answer.status)).toEqual([status, status]);
       expect((first?.runs.length ?? 0) + (second?.runs.length ?? 0) >= runs).toEqual(true);
     });
@@ -194,7 +200,7 @@
     for (const behaviour of ["reset", "cut", "crossed", "broken", "unsealed"] as const) {
       await using system = await startPlatformSystem();
       behaveAll(system, behaviour);
-      const answer = await call(system.router, post);
+      const answer = await sendRequest(system.router, post);
       expect([behaviour, answer.status]).toEqual([behaviour, 502]);
       expect(runsOf(system.desks).length).toEqual(1);
     }
@@ -203,7 +209,7 @@
   it("ends at its connection's end where it has no length", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "unframed");
-    const answer = await call(system.router, { ...post, id: "unframed-1" });
+    const answer = await sendRequest(system.router, { ...post, id: "unframed-1" });
     expect([answer.status, answer.body]).toEqual([
       200,
       JSON.stringify({ id: "unframed-1", body: "sign off" }),
@@ -214,8 +220,8 @@
     await using system = await startPlatformSystem({ desks: 1 });
     for (let round = 0; round < 5; round += 1) {
       behaveAll(system, "extra");
-      const first = await call(system.router, { ...read, id: `first-${round}` });
-      const second = await call(system.router, { ...read, id: `second-${round}` });
+      const first = await sendRequest(system.router, { ...read, id: `first-${round}` });
+      const second = await sendRequest(system.router, { ...read, id: `second-${round}` });
       expect(first.body.includes(`first-${round}`)).toEqual(true);
       expect(second.body.includes(`second-${round}`)).toEqual(true);
     }
@@ -225,9 +231,9 @@
     await using system = await startPlatformSystem({ desks: 1 });
     for (let round = 0; round < 5; round += 1) {
       behaveAll(system, "early");
-      const early = await call(system.router, { ...post, body: "e".repeat(90_000) });
+      const early = await sendRequest(system.router, { ...post, body: "e".repeat(90_000) });
       expect([early.status, early.body]).toEqual([200, "early"]);
-      const next = await call(system.router, { ...post, body: `next ${round}` });
+      const next = await sendRequest(system.router, { ...post, body: `next ${round}` });
       expect([next.status, runsOf(system.desks).at(-1)?.body]).toEqual([200, `next ${round}`]);
     }
     expect(runsOf(system.desks).length).toEqual(5);
@@ -236,7 +242,7 @@
   it("is passed on as it is where it is the replica's own failure", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "fail");
-    const answer = await call(system.router, post);
+    const answer = await sendRequest(system.router, post);
     expect(answer.status).toEqual(500);
     expect(typeof answer.headers["x-replica-seal"]).toEqual("string");
   });
@@ -246,7 +252,7 @@
   it("is given with a time to come back where every replica refused", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "shed");
-    const answer = await call(system.router, post);
+    const answer = await sendRequest(system.router, post);
     expect(answer.status).toEqual(503);
     expect(Number(answer.headers["retry-after"]) > 0).toEqual(true);
     await sleep(50);
@@ -256,7 +262,7 @@
   it("is not given for a request that may have run", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "hang");
-    const answer = await call(system.router, { ...post, headers: { "x-deadline-ms": "200" } });
+    const answer = await sendRequest(system.router, { ...post, headers: { "x-deadline-ms": "200" } });
     expect(answer.status).toEqual(504);
   });
 });
@@ -264,18 +270,18 @@
 describe("a stream", () => {
   it("reaches its caller whole and in order", async () => {
     await using system = await startPlatformSystem();
-    const answer = await call(system.router, { ...ask, id: "stream-1" });
+    const answer = await sendRequest(system.router, { ...ask, id: "stream-1" });
     const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
     expect([answer.status, answer.isCut, ids]).toEqual([200, false, [1, 2, 3, 4, 5]]);
   });
 
   it("goes on at another replica where it may be resumed, with no event twice", async () => {
     await using system = await startPlatformSystem();
-    await call(system.router, tag);
+    await sendRequest(system.router, tag);
     // The next request with the same parts goes where this one went.
     const home = system.engines.find(({ runs }) => runs.length > 0);
-    home?.behave("cut");
-    const answer = await call(system.router, { ...tag, id: "resumed" });
+    home?.setBehaviours("cut");
+    const answer = await sendRequest(system.router, { ...tag, id: "resumed" });
     const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
     expect([answer.status, answer.isCut, ids]).toEqual([200, false, [1, 2, 3, 4, 5]]);
     expect(answer.body.includes("data: ha\n")).toEqual(false);
@@ -290,7 +296,7 @@
   it("breaks visibly where it may not be resumed", async () => {
     await using system = await startPlatformSystem();
     behaveAll(system, "cut");
-    const answer = await call(system.router, ask);
+    const answer = await sendRequest(system.router, ask);
     expect([answer.status, answer.isCut]).toEqual([200, true]);
     expect(runsOf(system.engines).length).toEqual(1);
   });
@@ -298,12 +304,12 @@
   it("ends the replica's work soon after its caller has gone", async () => {
     await using system = await startPlatformSystem({ engine: { events: { count: 500, pause: 10 } } });
     const leaving = new AbortController();
-    const answer = call(system.router, { ...ask, signal: leaving.signal });
-    await until(() => runsOf(system.engines).length > 0);
+    const answer = sendRequest(system.router, { ...ask, signal: leaving.signal });
+    await waitUntil(() => runsOf(system.engines).length > 0);
     await sleep(50);
     leaving.abort();
     const leftAt = performance.now();
-    await until(() => runsOf(system.engines).some(({ wasCut }) => wasCut));
+    await waitUntil(() => runsOf(system.engines).some(({ wasCut }) => wasCut));
     expect(performance.now() - leftAt < 400).toEqual(true);
     await answer;
   });
--- a/tests/processes/suspendedRouter.test.ts
+++ b/tests/processes/suspendedRouter.test.ts
@@ -8,8 +8,8 @@
 import { describe, it } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "earl";
-import { bounds, startSoakSystem, suspendableProgram } from "../../soak/platform/system.ts";
-import { callHeaders, configuration, hosts, keys } from "../../standIns/platform/system.ts";
+import { bounds, startSoakSystem, suspendableProgram } from "../../soak/platform/soakSystem.ts";
+import { callHeaders, createConfiguration, hosts, keys } from "../../standIns/platform/platformSystem.ts";
 
 /** Maximum time from the store's return until the router serves requests, milliseconds. */
 const maxRecoveryTime = 5_000;
@@ -45,7 +45,7 @@
     if (router === undefined) throw new Error("There is no router.");
     while ((await sendRead(router.url, keys.known)) !== 200) await sleep(50);
     router.process?.kill("SIGSTOP");
-    const { tenants } = configuration();
+    const { tenants } = createConfiguration();
     system.publish(2, { tenants: tenants.filter(({ name }) => name !== "one") });
     router.storeProxy.setMode("silent");
     await sleep(2 * bounds.keyRevocation);
--- a/tests/resume.test.ts
+++ b/tests/resume.test.ts
@@ -5,14 +5,14 @@
 import { createResumeTokens } from "../src/protocol/resumeToken.ts";
 import {
   failureOf,
-  isWhole,
-  lastIdOf,
+  isComplete,
+  lastEventIdOf,
   readStream,
-  streamedQuestion as question,
+  streamedRequest as question,
   textOf,
 } from "./support/eventStream.ts";
 import type { ReadStream } from "./support/eventStream.ts";
-import { onceHeaders, startLocalSystem } from "./support/localSystem.ts";
+import { atMostOnceHeaders, startLocalSystem } from "./support/localSystem.ts";
 import type { CallOptions, LocalSystem, LocalSystemOptions } from "./support/localSystem.ts";
 
 const path = "/v1/chat/completions";
@@ -75,8 +75,8 @@
     for (let lostAfter = 1; lostAfter < undisturbed.events.length; lostAfter += 1) {
       const before = executionsOf(system).length;
       const lost = await readEvents(system, lostAfter);
-      const rest = await readStream(await resume(system, lastIdOf(lost)));
-      expect(isWhole(rest)).toEqual(true);
+      const rest = await readStream(await resume(system, lastEventIdOf(lost)));
+      expect(isComplete(rest)).toEqual(true);
       expectWhole(undisturbed, lost, rest);
       expect(executionsOf(system).length).toEqual(before + 1);
     }
@@ -87,9 +87,9 @@
     await using system = await startWith({ engineSettings: slow });
     const first = await system.call(path, { body: question });
     const lost = await readStream(first, 2);
-    const second = await resume(system, lastIdOf(lost));
+    const second = await resume(system, lastEventIdOf(lost));
     const lostAgain = await readStream(second, 3);
-    const third = await resume(system, lastIdOf(lostAgain), { router: 0 });
+    const third = await resume(system, lastEventIdOf(lostAgain), { router: 0 });
     expectWhole(undisturbed, lost, lostAgain, await readStream(third));
     expect(third.headers.get(headers.requestId)).toEqual(first.headers.get(headers.requestId));
   });
@@ -98,7 +98,7 @@
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: slow });
     const lost = await readEvents(system, 2);
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     const [engine] = system.engines.filter((item) => item.executions().length > 0);
     engine?.crash();
     expectWhole(undisturbed, lost, await readStream(answer));
@@ -108,14 +108,14 @@
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
     const lost = await readEvents(system, 2);
-    expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
+    expectWhole(undisturbed, lost, await readStream(await resume(system, lastEventIdOf(lost))));
   });
 
   it("is not stopped if the caller resumes it at the same router", async () => {
     const undisturbed = await readUndisturbed();
     await using system = await startWith({ engineSettings: { tokenMilliseconds: 150 } });
     const lost = await readEvents(system, 2);
-    const answer = await resume(system, lastIdOf(lost), { router: 0 });
+    const answer = await resume(system, lastEventIdOf(lost), { router: 0 });
     expectWhole(undisturbed, lost, await readStream(answer));
     expect(executionsOf(system).map(({ state }) => state)).toEqual(["finished"]);
   });
@@ -136,23 +136,23 @@
     await using system = await startWith();
     const lost = await loseStreamAndEngines(system);
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
-    const answer = await resume(system, lastIdOf(lost), { body });
+    const answer = await resume(system, lastEventIdOf(lost), { body });
     expectWhole(undisturbed, lost, await readStream(answer));
   });
 
   it("needs the delivered text, and runs nothing if the caller sends none", async () => {
     await using system = await startWith();
     const lost = await loseStreamAndEngines(system);
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     expect(await errorOf(answer)).toEqual([409, "delivered_text_needed", "failed"]);
     expect(executionsOf(system).length).toEqual(1);
   });
 
   it("has an unknown outcome if it is non-idempotent, even if the caller doesn't repeat that header", async () => {
     await using system = await startWith();
-    const lost = await loseStreamAndEngines(system, { headers: onceHeaders(`${Date.now()}-lost`) });
+    const lost = await loseStreamAndEngines(system, { headers: atMostOnceHeaders(`${Date.now()}-lost`) });
     const body = { ...question, pomelocleat_delivered: textOf(lost) };
-    const answer = await resume(system, lastIdOf(lost), { body });
+    const answer = await resume(system, lastEventIdOf(lost), { body });
     expect(await errorOf(answer)).toEqual([502, "outcome_unknown", "outcome_unknown"]);
     expect(executionsOf(system).length).toEqual(1);
   });
@@ -175,7 +175,7 @@
     await using system = await startWith({ engineSettings: slow });
     const lost = await loseContinuedStream(system);
     const before = executionsOf(system).length;
-    expectWhole(undisturbed, lost, await readStream(await resume(system, lastIdOf(lost))));
+    expectWhole(undisturbed, lost, await readStream(await resume(system, lastEventIdOf(lost))));
     expect(executionsOf(system).length).toEqual(before);
   });
 
@@ -185,15 +185,15 @@
     const lost = await loseContinuedStream(system);
     // Keeps the stream from ending before the crash if the test runs slowly.
     for (const engine of system.engines) engine.faults.stallAfterTokens = tokensBeforeCrash;
-    const answer = await resume(system, lastIdOf(lost));
+    const answer = await resume(system, lastEventIdOf(lost));
     for (const engine of system.engines) engine.crash();
     for (const engine of system.engines) engine.faults.stallAfterTokens = null;
     const cut = await readStream(answer);
-    expect(isWhole(cut)).toEqual(false);
+    expect(isComplete(cut)).toEqual(false);
     expect(failureOf(cut)?.code).toEqual("delivered_text_needed");
     const events = cut.events.filter(({ event }) => event !== "error");
     const more = { ...cut, events };
-    const id = events.length === 0 ? lastIdOf(lost) : lastIdOf(more);
+    const id = events.length === 0 ? lastEventIdOf(lost) : lastEventIdOf(more);
     const body = { ...question, pomelocleat_delivered: textOf(lost, more) };
     expectWhole(undisturbed, lost, more, await readStream(await resume(system, id, { body })));
   });
@@ -205,7 +205,7 @@
   it("is refused, and runs nothing, if forged, from another organisation, for another body or expired", async () => {
     await using system = await startWith();
     const lost = await readEvents(system, 4);
-    const id = lastIdOf(lost);
+    const id = lastEventIdOf(lost);
     const fields = id.split(",");
     const changed = (index: number, value: string): string => fields.with(index, value).join(",");
     const point = createResumeTokens(sharedSecret).read(id, "petra-wings", 0);
--- a/tests/routerKilled.test.ts
+++ b/tests/routerKilled.test.ts
@@ -4,7 +4,7 @@
 import { demoKey, startSystem } from "../demo/processes.ts";
 import type { System } from "../demo/processes.ts";
 import { headers } from "../src/protocol/constants.ts";
-import { isWhole, lastIdOf, readStream, textOf } from "./support/eventStream.ts";
+import { isComplete, lastEventIdOf, readStream, textOf } from "./support/eventStream.ts";
 
 const question = {
   model: "records-assistant",
@@ -48,9 +48,9 @@
     const lost = await readStream(await ask(first.process.url), Infinity, (count) => {
       if (count === 20) first.process.kill("SIGKILL");
     });
-    expect(isWhole(lost)).toEqual(false);
-    const rest = await readStream(await ask(second.process.url, lastIdOf(lost)));
-    expect(isWhole(rest)).toEqual(true);
+    expect(isComplete(lost)).toEqual(false);
+    const rest = await readStream(await ask(second.process.url, lastEventIdOf(lost)));
+    expect(isComplete(rest)).toEqual(true);
     expect(textOf(lost, rest)).toEqual(undisturbed);
     expect(await countExecutions(system)).toEqual(before + 1);
   });
--- a/tests/streams.test.ts
+++ b/tests/streams.test.ts
@@ -6,15 +6,15 @@
 import {
   endingOf,
   failureOf,
-  isWhole,
-  lastIdOf,
+  isComplete,
+  lastEventIdOf,
   readStream,
-  streamedQuestion as question,
+  streamedRequest as question,
   streamedTokens as tokens,
   textOf,
 } from "./support/eventStream.ts";
 import type { ReadStream } from "./support/eventStream.ts";
-import { onceHeaders, operatorKey, startLocalSystem } from "./support/localSystem.ts";
+import { atMostOnceHeaders, operatorKey, startLocalSystem } from "./support/localSystem.ts";
 import type { LocalSystem, LocalSystemOptions } from "./support/localSystem.ts";
 
 /** Starts a system whose classes all have the given settings, and don't hedge by default. */
@@ -55,7 +55,7 @@
 const expectSame = (stream: ReadStream, undisturbed: ReadStream): void => {
   expect(textOf(stream)).toEqual(textOf(undisturbed));
   expect(endingOf(stream)).toEqual({ finishReasons: ["length"], completionTokens: [tokens] });
-  expect(isWhole(stream)).toEqual(true);
+  expect(isComplete(stream)).toEqual(true);
 };
 
 describe("a stream whose engines fail again and again", () => {
@@ -100,7 +100,7 @@
     for (const engine of system.engines) engine.faults.outage = true;
     const stream = await readStream(answer);
     expect(textOf(stream).length).toBeGreaterThan(0);
-    expect(isWhole(stream)).toEqual(false);
+    expect(isComplete(stream)).toEqual(false);
     expect(stream.events.map(({ data }) => data)).not.toInclude("[DONE]");
     expect(failureOf(stream)?.outcome).toEqual("failed");
   });
@@ -161,7 +161,7 @@
     const controller = new AbortController();
     const answer = await system.call("/v1/chat/completions", {
       body: { ...question, max_tokens: 100 },
-      headers: onceHeaders(`${Date.now()}-once`),
+      headers: atMostOnceHeaders(`${Date.now()}-once`),
       signal: controller.signal,
     });
     await answer.body?.getReader().read();
@@ -178,6 +178,6 @@
     const { events } = await ask(system);
     const ids = events.flatMap(({ id }) => id ?? []);
     expect(new Set(ids).size).toEqual(events.length - 1);
-    expect(lastIdOf({ status: 200, events })).toEqual(ids.at(-1) ?? "");
+    expect(lastEventIdOf({ status: 200, events })).toEqual(ids.at(-1) ?? "");
   });
 });
--- a/tests/support/fakeLog.ts
+++ b/tests/support/FakeLogService.ts
@@ -14,7 +14,7 @@
 const refused = (): PlatformError => platformError("cannot connect", "unreachable", false);
 
 /** Streams in memory. */
-export class FakeLog extends LogService {
+export class FakeLogService extends LogService {
   /** Appends and reads are refused before they take effect. */
   isDown = false;
   readsFail = false;
@@ -22,14 +22,14 @@
   loseAnswers = 0;
   /** The next N appends are lost, which nobody learns of. */
   loseAppends = 0;
-  /** The next N appends take effect only at {@link arrive}, and nobody learns of it. */
+  /** The next N appends take effect only at {@link applyDelayedAppends}, and nobody learns of it. */
   delayAppends = 0;
   appends = 0;
   reads = 0;
   /** Calls that have not been answered. */
-  underWay = 0;
+  pendingCalls = 0;
   /** Added to the wall clock. */
-  clockError = 0;
+  clockOffset = 0;
 
   private readonly clock: ManualClock;
   private readonly streams = new Map<string, LogRecord[]>();
@@ -50,11 +50,11 @@
   }
 
   private async track<T>(call: Promise<T>): Promise<T> {
-    this.underWay += 1;
+    this.pendingCalls += 1;
     try {
       return await call;
     } finally {
-      this.underWay -= 1;
+      this.pendingCalls -= 1;
     }
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Lets what was delayed take effect. */
-  arrive(): void {
+  applyDelayedAppends(): void {
     const arriving = this.delayed;
     this.delayed = [];
     for (const take of arriving) take();
@@ -111,7 +111,7 @@
   private take(stream: string, data: readonly string[]): readonly number[] {
     const records = this.streams.get(stream) ?? [];
     this.streams.set(stream, records);
-    const appendedAt = this.clock.wall() + this.clockError;
+    const appendedAt = this.clock.wall() + this.clockOffset;
     const offsets = data.map((_, index) => records.length + index);
     data.forEach((item, index) => records.push({ offset: offsets[index] ?? 0, appendedAt, data: item }));
     return offsets;
@@ -124,13 +124,13 @@
  *
  * @returns Ends it when disposed.
  */
-export const driveClock = (clock: ManualClock, log: FakeLog): AsyncDisposable => {
+export const driveClock = (clock: ManualClock, log: FakeLogService): AsyncDisposable => {
   let stopped = false;
   const drive = async (): Promise<void> => {
     let quietTurns = 0;
     while (!stopped) {
       await nextTurn();
-      quietTurns = log.underWay > 0 ? 0 : quietTurns + 1;
+      quietTurns = log.pendingCalls > 0 ? 0 : quietTurns + 1;
       const next = clock.nextTimer();
       if (quietTurns < turnsBeforeTimePasses || next === undefined) continue;
       clock.advanceTo(next);
--- a/tests/support/memoryNetwork.ts
+++ b/tests/support/MemoryNetwork.ts
@@ -8,15 +8,15 @@
   delay = 1;
   isDown = false;
   /** One datagram of so many is lost; none with 0. */
-  lostOfEach = 0;
+  loseEveryNth = 0;
   /** One datagram of so many comes twice; none with 0. */
-  doubledOfEach = 0;
-  /** One datagram of so many comes later by {@link lateBy}; none with 0. */
-  lateOfEach = 0;
+  duplicateEveryNth = 0;
+  /** One datagram of so many comes later by {@link extraDelay}; none with 0. */
+  delayEveryNth = 0;
   /** Milliseconds. */
-  lateBy = 0;
+  extraDelay = 0;
   /** Ports that reach only one another. */
-  cutOff: ReadonlySet<number> = new Set();
+  isolatedPorts: ReadonlySet<number> = new Set();
   /** Datagrams so far. */
   sent = 0;
   /** Ports whose processes stand still: what comes for them waits, and they send nothing. */
@@ -50,7 +50,8 @@
     const send = (to: DatagramAddress, datagram: Buffer): void => {
       this.sent += 1;
       if (this.isDown || this.frozen.has(port)) return;
-      if (this.isEach(this.lostOfEach) || this.cutOff.has(port) !== this.cutOff.has(to.port)) return;
+      if (this.isEach(this.loseEveryNth) || this.isolatedPorts.has(port) !== this.isolatedPorts.has(to.port))
+        return;
       const deliver = (): void => {
         for (const listener of this.listeners.get(to.port) ?? []) listener(datagram, from);
       };
@@ -59,8 +60,8 @@
         if (waiting === undefined) deliver();
         else waiting.push(deliver);
       };
-      this.clock.after(this.delay + (this.isEach(this.lateOfEach) ? this.lateBy : 0), arrive);
-      if (this.isEach(this.doubledOfEach)) this.clock.after(this.delay * 2, arrive);
+      this.clock.after(this.delay + (this.isEach(this.delayEveryNth) ? this.extraDelay : 0), arrive);
+      if (this.isEach(this.duplicateEveryNth)) this.clock.after(this.delay * 2, arrive);
     };
     const receive = (listener: (datagram: Buffer, from: DatagramAddress) => void): void => {
       this.listeners.set(port, [...(this.listeners.get(port) ?? []), listener]);
--- a/tests/support/configuration.ts
+++ b/tests/support/configuration.ts
@@ -42,7 +42,7 @@
   });
 
 /** A log that keeps everything, and shows less of it. */
-export const createFakeLog = () => {
+export const createMemoryLog = () => {
   const records: LogRecord[] = [];
   let earliestOffset = 0;
   return {
@@ -64,11 +64,11 @@
   };
 };
 
-/** See {@link createFakeLog}. */
-export type FakeLog = ReturnType<typeof createFakeLog>;
+/** See {@link createMemoryLog}. */
+export type MemoryLog = ReturnType<typeof createMemoryLog>;
 
 /** Reads what a history has not read yet. */
-export const readAll = (history: ConfigurationHistory, log: FakeLog): void => {
+export const readAll = (history: ConfigurationHistory, log: MemoryLog): void => {
   const from = history.readTo();
   history.applyPage(from, log.read(from, Number.POSITIVE_INFINITY));
 };
--- a/tests/support/crashingReplicas.ts
+++ b/tests/support/crashingReplicas.ts
@@ -1,8 +1,8 @@
 /** Replicas that crash under some requests and are back as new incarnations after a while, before real routers. */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { ReplicaSettings, ReplicaStandIn, Run } from "../../standIns/platform/replica.ts";
+import type { ReplicaSettings, ReplicaStandIn, ExecutedRequest } from "../../standIns/platform/replica.ts";
 import { startReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { PlatformSystem } from "../../standIns/platform/system.ts";
+import type { PlatformSystem } from "../../standIns/platform/platformSystem.ts";
 
 /** How a body asks for what becomes of the replica that runs it. */
 export const bodies = { deadly: "deadly", deadlyToo: "deadly too", deadlyMidway: "deadly midway" } as const;
@@ -15,13 +15,13 @@
 /** Keeps a number of replicas of each service running. */
 export interface CrashingReplicas extends AsyncDisposable {
   /** Runs of all incarnations with a body, the first one first. */
-  readonly runsOf: (body: string) => readonly Run[];
+  readonly runsOf: (body: string) => readonly ExecutedRequest[];
   readonly crashes: () => number;
   /** Those that run now. */
   readonly running: () => readonly ReplicaStandIn[];
 }
 
-const crashesOn = ({ body }: Run): "never" | "begin" | "midway" => {
+const crashesOn = ({ body }: ExecutedRequest): "never" | "begin" | "midway" => {
   if (body === bodies.deadlyMidway) return "midway";
   return body === bodies.deadly || body === bodies.deadlyToo ? "begin" : "never";
 };
--- a/tests/support/eventStream.ts
+++ b/tests/support/eventStream.ts
@@ -19,10 +19,10 @@
 }
 
 /** The end mark of a whole stream. */
-export const endMark = "[DONE]";
+export const endMarker = "[DONE]";
 
 const chunksOf = ({ events }: ReadStream): readonly Chunk[] =>
-  events.filter(({ data }) => data !== endMark).map(({ data }) => JSON.parse(data) as Chunk);
+  events.filter(({ data }) => data !== endMarker).map(({ data }) => JSON.parse(data) as Chunk);
 
 /**
  * Reads a stream.
@@ -63,8 +63,8 @@
     .join("");
 
 /** True if the stream ended as whole, with its end mark last and once. */
-export const isWhole = ({ events }: ReadStream): boolean =>
-  events.findIndex(({ data }) => data === endMark) === events.length - 1 && events.length > 0;
+export const isComplete = ({ events }: ReadStream): boolean =>
+  events.findIndex(({ data }) => data === endMarker) === events.length - 1 && events.length > 0;
 
 /** The failure that a stream ended with. */
 export const failureOf = (stream: ReadStream): Chunk["error"] =>
@@ -80,14 +80,14 @@
 };
 
 /** The id of the last event that has one. */
-export const lastIdOf = ({ events }: ReadStream): string =>
+export const lastEventIdOf = ({ events }: ReadStream): string =>
   events.findLast(({ id }) => id !== undefined)?.id ?? "";
 
-/** Tokens that {@link streamedQuestion} asks for. */
+/** Tokens that {@link streamedRequest} asks for. */
 export const streamedTokens = 12;
 
 /** A question whose streamed answer is always as long as it may be. */
-export const streamedQuestion = {
+export const streamedRequest = {
   model: "records-assistant",
   max_tokens: streamedTokens,
   stream: true,
--- a/tests/support/limitRouters.ts
+++ b/tests/support/limitRouters.ts
@@ -9,8 +9,8 @@
 import type { ReplicaState } from "../../src/state/forwarding/replicaState.ts";
 import { createReplicaTable } from "../../src/state/forwarding/replicaTable.ts";
 import { engineEntry } from "./forwardingFixture.ts";
-import { MemoryNetwork } from "./memoryNetwork.ts";
-import { mostInAnyWindow, stated } from "./statedLimit.ts";
+import { MemoryNetwork } from "./MemoryNetwork.ts";
+import { mostInAnyWindow, allowance } from "./limitAllowance.ts";
 
 const millisecondsPerSecond = 1_000;
 
@@ -39,9 +39,9 @@
   /** How long an answer's head takes, milliseconds. */
   readonly answerTime?: (turn: number) => number;
   /** Whether routers tell one another of a limit. */
-  readonly isTold?: boolean;
+  readonly announcesLimits?: boolean;
   /** Between two messages by which routers hear of one another, milliseconds: longer where there are many. */
-  readonly beatInterval?: number;
+  readonly heartbeatInterval?: number;
 }
 
 /** A router's clock, which stands still together with its process while it is suspended, or goes on without it. */
@@ -67,10 +67,10 @@
   return {
     clock: own,
     /** The process alone stands still. */
-    stall: (): void => {
+    pauseProcess: (): void => {
       isStalled = true;
     },
-    goOn: (): void => {
+    resumeProcess: (): void => {
       isStalled = false;
       runDue();
     },
@@ -88,7 +88,12 @@
 
 /** Starts routers that have run long enough for one of them to grant. */
 export const createLimitRouters = async (settings: LimitRoutersSettings) => {
-  const { limitAt, answerTime = () => 60, isTold = true, beatInterval = usualBeat } = settings;
+  const {
+    limitAt,
+    answerTime = () => 60,
+    announcesLimits: isTold = true,
+    heartbeatInterval: beatInterval = usualBeat,
+  } = settings;
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
   const arrivals: Arrival[] = [];
@@ -154,7 +159,7 @@
       limits,
       state,
       hearNews: (from: number, told: ReturnType<typeof toReportedLimitMessage>): void => {
-        const isCut = network.cutOff.has(self.port) !== network.cutOff.has(from + 1);
+        const isCut = network.isolatedPorts.has(self.port) !== network.isolatedPorts.has(from + 1);
         if (from !== index && !isCut) noteAnnouncedLimit(state(), told, time.clock.monotonic());
       },
     };
@@ -237,12 +242,12 @@
       network.thaw(index + 1);
     },
     /** A process stands still, and its datagrams with it. */
-    stall: (index: number): void => {
+    pauseProcess: (index: number): void => {
       network.freeze(index + 1);
-      routerAt(index).time.stall();
+      routerAt(index).time.pauseProcess();
     },
-    goOn: (index: number): void => {
-      routerAt(index).time.goOn();
+    resumeProcess: (index: number): void => {
+      routerAt(index).time.resumeProcess();
       network.thaw(index + 1);
     },
     /** A process starts anew in the place of a router's. */
@@ -261,7 +266,7 @@
       toldAt.clear();
     },
     /** @returns The routers in the order in which they keep the limit. */
-    keepers: (): readonly number[] => {
+    coordinators: (): readonly number[] => {
       const all = entries.map(({ name, dataCentre, address, port }) => ({
         name,
         dataCentre,
@@ -269,13 +274,13 @@
       }));
       const [self, ...others] = all;
       if (self === undefined) throw new Error("There are no routers.");
-      const keepers = createCoordinators({
+      const coordinators = createCoordinators({
         self,
         others: () => others,
         nearestDataCentre: () => "centre-0",
         clock,
       });
-      const order = keepers.orderFor(replicaId);
+      const order = coordinators.orderFor(replicaId);
       return order.map(({ name }) => entries.findIndex((entry) => entry.name === name));
     },
     /** Sends at a pace from routers in turn. */
@@ -287,17 +292,17 @@
       }
     },
     /** @returns The most that came in any window from routers that had been told a moment before. */
-    worst: (from = 0): number =>
+    highestIntake: (from = 0): number =>
       mostInAnyWindow(
         arrivals
           .filter(
             ({ at, router }) =>
-              at >= from && at >= (toldAt.get(router) ?? Number.POSITIVE_INFINITY) + stated.grace,
+              at >= from && at >= (toldAt.get(router) ?? Number.POSITIVE_INFINITY) + allowance.grace,
           )
           .map(({ at }) => at),
       ),
     /** @returns What came in the last milliseconds. */
-    lately: (milliseconds: number): number =>
+    countRecentArrivals: (milliseconds: number): number =>
       arrivals.filter(({ at }) => at > clock.monotonic() - milliseconds).length,
   };
 };
--- a/tests/support/limitedReplicas.ts
+++ b/tests/support/limitedReplicas.ts
@@ -1,14 +1,14 @@
 /** Callers of routers before replicas that name a limit, and how much such a replica got. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import type { CallerAnswer, CallerCall, PlatformSystem } from "../../standIns/platform/system.ts";
-import { call } from "../../standIns/platform/system.ts";
-import { allowedInWindow, mostInAnyWindow, stated } from "./statedLimit.ts";
+import type { CallerAnswer, RequestOptions, PlatformSystem } from "../../standIns/platform/platformSystem.ts";
+import { sendRequest } from "../../standIns/platform/platformSystem.ts";
+import { allowedInWindow, mostInAnyWindow, allowance } from "./limitAllowance.ts";
 
 const millisecondsPerSecond = 1_000;
 
 /** Names the router through which a request goes; passed on unchanged. */
-export const throughHeader = "x-through";
+export const routerHeader = "x-through";
 
 /** The answer to a request, with when it was asked and answered: milliseconds on this process's monotonic clock. */
 export interface ReceivedAnswer extends CallerAnswer {
@@ -33,7 +33,7 @@
 /** Sends at a pace, to the routers in turn, whatever the answers are; resolves once all are there. */
 export const sendSteadily = async (
   { routers }: Pick<PlatformSystem, "routers">,
-  asked: CallerCall,
+  asked: RequestOptions,
   { perSecond, seconds }: { readonly perSecond: number; readonly seconds: number },
 ): Promise<readonly ReceivedAnswer[]> => {
   const begunAt = performance.now();
@@ -43,8 +43,8 @@
     const router = routers[index];
     if (router === undefined) throw new Error("There is no router.");
     const askedAt = performance.now();
-    const headers = { ...asked.headers, [throughHeader]: String(index) };
-    const answer = await call(router, { ...asked, headers });
+    const headers = { ...asked.headers, [routerHeader]: String(index) };
+    const answer = await sendRequest(router, { ...asked, headers });
     return { ...answer, router: index, askedAt, answeredAt: performance.now(), replica: replicaOf(answer) };
   };
   for (let turn = 0; turn < perSecond * seconds; turn += 1) {
@@ -67,8 +67,8 @@
     toldAt.set(router, Math.min(toldAt.get(router) ?? Number.POSITIVE_INFINITY, answer.answeredAt));
   }
   const counted = replica.arrivals.filter(({ headers, at }) => {
-    const told = toldAt.get(String(headers[throughHeader]));
-    return told !== undefined && at >= told + stated.grace;
+    const told = toldAt.get(String(headers[routerHeader]));
+    return told !== undefined && at >= told + allowance.grace;
   });
   return mostInAnyWindow(counted.map(({ at }) => at));
 };
--- a/tests/support/localSystem.ts
+++ b/tests/support/localSystem.ts
@@ -239,7 +239,7 @@
 };
 
 /** The headers of a call that may run at most once. */
-export const onceHeaders = (key: string): Readonly<Record<string, string>> => ({
+export const atMostOnceHeaders = (key: string): Readonly<Record<string, string>> => ({
   [headers.idempotent]: "false",
   [headers.idempotencyKey]: key,
 });
--- a/tests/support/peerNodes.ts
+++ b/tests/support/peerNodes.ts
@@ -56,7 +56,7 @@
   readonly freeze: (name: string) => void;
   readonly thaw: (name: string) => void;
   /** Tells every node of all nodes. */
-  readonly announce: () => void;
+  readonly publishVmList: () => void;
   readonly advance: (milliseconds: number) => Promise<void>;
   readonly now: () => number;
 }
@@ -247,7 +247,7 @@
       held = held.filter((item) => item.name !== name);
       for (const { callback } of due) callback();
     },
-    announce,
+    publishVmList: announce,
     advance: async (milliseconds) => {
       const end = clock.monotonic() + milliseconds;
       while (clock.monotonic() < end) {
--- a/tests/support/quarantineRouters.ts
+++ b/tests/support/quarantineRouters.ts
@@ -12,7 +12,7 @@
   FeedRecord,
   QuarantineRecord,
 } from "../../src/protocol/forwarding/types.ts";
-import { MemoryNetwork } from "./memoryNetwork.ts";
+import { MemoryNetwork } from "./MemoryNetwork.ts";
 import type { StoreEpoch } from "../../src/protocol/storeEpoch.ts";
 import { StorePosition } from "../../src/protocol/StorePosition.ts";
 import type { StoreEpochs } from "../../src/state/storeEpochs.ts";
@@ -22,7 +22,7 @@
 export interface MemoryRecords {
   readonly log: FeedRecord<QuarantineRecord>[];
   /** Ports of routers that the store does not answer. */
-  readonly cutOff: Set<number>;
+  readonly cutOffPorts: Set<number>;
   reads: number;
   epoch: StoreEpoch;
 }
@@ -46,7 +46,7 @@
   }
 
   override changes(from: StorePosition): Promise<FeedPage<QuarantineRecord>> {
-    if (this.records.cutOff.has(this.port)) return this.fail();
+    if (this.records.cutOffPorts.has(this.port)) return this.fail();
     this.epochs.observe(this.records.epoch);
     if (from.epoch !== this.records.epoch)
       return Promise.reject(platformError("ended", "epoch_ended", false));
@@ -68,14 +68,14 @@
   }
 
   private append(key: string, value: QuarantineRecord | undefined): Promise<void> {
-    if (this.records.cutOff.has(this.port)) return this.fail();
+    if (this.records.cutOffPorts.has(this.port)) return this.fail();
     this.epochs.observe(this.records.epoch);
     this.records.log.push({ position: this.end(), key, value });
     return Promise.resolve();
   }
 
   private answer(page: FeedPage<QuarantineRecord>): Promise<FeedPage<QuarantineRecord>> {
-    if (this.records.cutOff.has(this.port)) return this.fail();
+    if (this.records.cutOffPorts.has(this.port)) return this.fail();
     this.epochs.observe(this.records.epoch);
     this.records.reads += 1;
     return Promise.resolve(page);
@@ -95,7 +95,7 @@
   headers: [],
   body: Buffer.from(body),
   arrivedAt: 0,
-  patience: 3_000,
+  timeout: 3_000,
   key: "key-one",
   prompt: undefined,
   countedTokens: undefined,
@@ -121,17 +121,17 @@
 export const createQuarantineRouters = (count: number) => {
   const clock = createManualClock(1_000);
   const network = new MemoryNetwork(clock);
-  const records: MemoryRecords = { log: [], cutOff: new Set(), reads: 0, epoch: 1 };
+  const records: MemoryRecords = { log: [], cutOffPorts: new Set(), reads: 0, epoch: 1 };
   const routers: QuarantineRouter[] = [];
   const trackers: StoreEpochs[] = [];
   /** Ports that exchange no datagrams with the rest. */
-  const apart = new Set<number>();
+  const isolatedPorts = new Set<number>();
 
   const start = (port: number): QuarantineRouter => {
     const link = network.open(port);
     const others = () =>
       routers
-        .filter((other) => other.port !== port && apart.has(other.port) === apart.has(port))
+        .filter((other) => other.port !== port && isolatedPorts.has(other.port) === isolatedPorts.has(port))
         .map((other) => ({ at: { address: "10.0.0.1", port: other.port } }));
     const feed = new MemoryFeed(records, port);
     const { epochs } = feed;
@@ -145,7 +145,7 @@
   for (let port = 1; port <= count; port += 1) start(port);
 
   /** The store loses all records from an offset on. */
-  const returnStore = (length: number): void => {
+  const restoreStore = (length: number): void => {
     records.log.length = length;
     records.epoch += 1;
     // Routers read other topics all the time.
@@ -156,7 +156,8 @@
   const beat = (): void => {
     for (const { port, quarantine } of routers) {
       for (const other of routers) {
-        if (apart.has(other.port) === apart.has(port)) other.quarantine.notePeerDigest(quarantine.digest());
+        if (isolatedPorts.has(other.port) === isolatedPorts.has(port))
+          other.quarantine.notePeerDigest(quarantine.digest());
       }
     }
     clock.after(beatInterval, beat);
@@ -182,9 +183,9 @@
     network,
     records,
     routers,
-    apart,
+    isolatedPorts: isolatedPorts,
     start,
-    returnStore,
+    restoreStore: restoreStore,
     stop: async (router: QuarantineRouter): Promise<void> => {
       routers.splice(routers.indexOf(router), 1);
       const disposed = router.quarantine[Symbol.asyncDispose]();
@@ -204,10 +205,10 @@
       at(index).quarantine.noteCrash({ replica, suspects });
     },
     /** At which routers a request would not be sent. */
-    heldAt: (body: string): readonly number[] =>
+    quarantinedAt: (body: string): readonly number[] =>
       routers.filter(({ quarantine }) => quarantine.isQuarantined(requestOf(body))).map(({ port }) => port),
     /** Asks whether a request may be passed on; moves on until there is an answer. */
-    ask: async (index: number, body: string, id = `${body}-${clock.monotonic()}-${index}`) => {
+    admit: async (index: number, body: string, id = `${body}-${clock.monotonic()}-${index}`) => {
       const request = requestOf(body, id);
       let result: { readonly wait: number | undefined } | undefined;
       const asked = at(index).quarantine.admit(request) ?? Promise.resolve(undefined);
--- a/tests/support/replicaReports.ts
+++ b/tests/support/replicaReports.ts
@@ -1,15 +1,15 @@
 /** Arrivals at replicas that report draining or ask for backoff, by router. */
 import type { Arrival, ReplicaStandIn } from "../../standIns/platform/replica.ts";
-import { drainingReplicaOf } from "../../standIns/platform/system.ts";
+import { drainingReplicaOf } from "../../standIns/platform/platformSystem.ts";
 import type { ReceivedAnswer } from "./limitedReplicas.ts";
-import { throughHeader } from "./limitedReplicas.ts";
+import { routerHeader } from "./limitedReplicas.ts";
 
 const millisecondsPerSecond = 1_000;
 
 /** Requests under way when a replica asks for backoff may arrive for so long, milliseconds. */
 const backoffGrace = 500;
 
-const routerOf = ({ headers }: Pick<Arrival, "headers">): string => String(headers[throughHeader]);
+const routerOf = ({ headers }: Pick<Arrival, "headers">): string => String(headers[routerHeader]);
 
 /** @returns Arrivals from routers that had passed on an answer that reports draining longer than a bound before. */
 export const arrivalsAfterDraining = (
--- a/tests/support/returningStore.ts
+++ b/tests/support/restoredStore.ts
@@ -1,30 +1,40 @@
 /** A system whose store returns from older copies, and what operator and replicas then write again. */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { ForwardingRouter } from "../../src/daemons/forwardingRouter.ts";
-import type { CallerCall, PlatformSystem, PlatformSystemSettings } from "../../standIns/platform/system.ts";
-import { call, configuration, hosts, isReady, startPlatformSystem } from "../../standIns/platform/system.ts";
+import type {
+  RequestOptions,
+  PlatformSystem,
+  PlatformSystemSettings,
+} from "../../standIns/platform/platformSystem.ts";
+import {
+  sendRequest,
+  createConfiguration,
+  hosts,
+  isReady,
+  startPlatformSystem,
+} from "../../standIns/platform/platformSystem.ts";
 
 /** How long the store is away before it returns, milliseconds. */
-export const awayTime = 400;
+export const storeOutage = 400;
 
-export const read: CallerCall = { host: hosts.desk, path: "/read/2f", body: "look up" };
+export const readCall: RequestOptions = { host: hosts.desk, path: "/read/2f", body: "look up" };
 
 /** Served by configurations that have the added route. */
-export const added: CallerCall = { host: hosts.desk, path: "/added/2f", body: "look up" };
+export const addedRouteCall: RequestOptions = { host: hosts.desk, path: "/added/2f", body: "look up" };
 
 /** Keys of an organisation whose key may be revoked. */
 export const revocableKey = "key-three";
 
-const usual = configuration(1);
+const usual = createConfiguration(1);
 
 const addedRoute = { ...usual.routes[0], name: "added", pathPrefix: "/added/" };
 
 export const withAddedRoute = (version: number) =>
-  configuration(version, { routes: [...usual.routes, addedRoute] });
+  createConfiguration(version, { routes: [...usual.routes, addedRoute] });
 
 /** A configuration with a third organisation, whose key is there or revoked. */
-export const withRevocable = (version: number, isRevoked: boolean) =>
-  configuration(version, {
+export const withRevocableKey = (version: number, isRevoked: boolean) =>
+  createConfiguration(version, {
     tenants: [
       ...usual.tenants,
       { name: "three", apiKeys: isRevoked ? [] : [revocableKey], priority: 1, isolated: false },
@@ -32,13 +42,13 @@
   });
 
 /** Starts a system whose routers are all ready. */
-export const startReturningSystem = async (
+export const startRestorableSystem = async (
   settings: PlatformSystemSettings = {},
   routers = 6,
 ): Promise<PlatformSystem> => {
   const system = await startPlatformSystem({ desks: 4, engines: 5, ...settings });
   while (system.routers.length < routers) await system.startRouter();
-  await awaitThat(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
+  await waitUntil(async () => (await Promise.all(system.routers.map(isReady))).every(Boolean));
   return system;
 };
 
@@ -46,9 +56,9 @@
 export const countStatus = async (
   routers: readonly ForwardingRouter[],
   status: number,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<number> => {
-  const answers = await Promise.all(routers.map((router) => call(router, asked)));
+  const answers = await Promise.all(routers.map((router) => sendRequest(router, asked)));
   return answers.filter((answer) => answer.status === status).length;
 };
 
@@ -70,7 +80,7 @@
   { routers }: Pick<PlatformSystem, "routers">,
   longest: number,
   status: number,
-  asked: CallerCall,
+  asked: RequestOptions,
 ): Promise<number> =>
   timeUntil(longest, async () => (await countStatus(routers, status, asked)) === routers.length);
 
@@ -78,15 +88,15 @@
 const longestSetUp = 10_000;
 
 /** Waits until something holds; throws if it takes too long. */
-export const awaitThat = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
+export const waitUntil = async (condition: () => boolean | Promise<boolean>): Promise<void> => {
   const time = await timeUntil(longestSetUp, condition);
   if (!Number.isFinite(time))
     throw new Error(`A condition of the test did not hold within ${longestSetUp} ms.`);
 };
 
 /** Waits until all routers answer a request with a status. */
-export const awaitStatus = (
+export const waitForStatus = (
   { routers }: Pick<PlatformSystem, "routers">,
   status: number,
-  asked: CallerCall,
-): Promise<void> => awaitThat(async () => (await countStatus(routers, status, asked)) === routers.length);
+  asked: RequestOptions,
+): Promise<void> => waitUntil(async () => (await countStatus(routers, status, asked)) === routers.length);
--- a/tests/support/rollOutSystem.ts
+++ b/tests/support/rollOutSystem.ts
@@ -25,7 +25,7 @@
 
 /** The model whose engines are brought over, and the weights that they start with. */
 export const model = "records-assistant";
-export const oldWeights = "2026-05";
+export const initialWeights = "2026-05";
 
 const leaseDuration = 600;
 const pollInterval = 5;
@@ -46,7 +46,7 @@
 export interface TestHolder extends AsyncDisposable {
   readonly orders: DeploymentOrders;
   /** Cuts it off from the log, as an outage of its network would. */
-  readonly cutFromLog: () => Promise<void>;
+  readonly disconnectFromLog: () => Promise<void>;
 }
 
 /** A running system. Holders start by {@link RollOutSystem.startHolder}. */
@@ -59,7 +59,7 @@
   /** Puts a configuration in force that names these weights and adapters. */
   readonly publish: (weightsVersion: string, adapters?: Configuration["models"][number]["adapters"]) => void;
   /** Marks an engine as leaving in the platform's list. */
-  readonly listLeaving: (engine: EngineStandIn) => void;
+  readonly markLeaving: (engine: EngineStandIn) => void;
   readonly until: (condition: () => boolean) => Promise<void>;
 }
 
@@ -86,7 +86,7 @@
   );
   const engines: EngineStandIn[] = [];
   for (let index = 0; index < (options.engines ?? 4); index += 1) {
-    const settings = { name: `engine-${index}`, model, weightsVersion: oldWeights };
+    const settings = { name: `engine-${index}`, model, weightsVersion: initialWeights };
     const { fencing = "checked" } = options;
     const more = { fencing, weightStoreUrl: weightStore.url, ...options.engineSettings };
     engines.push(resources.use(await createEngineStandIn({ ...settings, ...more })));
@@ -137,7 +137,11 @@
       return ended;
     };
     holders.defer(dispose);
-    return { orders, cutFromLog: async () => log[Symbol.asyncDispose](), [Symbol.asyncDispose]: dispose };
+    return {
+      orders,
+      disconnectFromLog: async () => log[Symbol.asyncDispose](),
+      [Symbol.asyncDispose]: dispose,
+    };
   };
 
   const until = async (condition: () => boolean): Promise<void> => {
@@ -158,7 +162,7 @@
       version += 1;
       index = createConfigurationIndex(version, changeConfiguration(base, weightsVersion, adapters, options));
     },
-    listLeaving: (engine) => void leaving.add(engine.name),
+    markLeaving: (engine) => void leaving.add(engine.name),
     until,
     [Symbol.asyncDispose]: () => owned[Symbol.asyncDispose](),
   };
--- a/tests/support/runnerFixture.ts
+++ b/tests/support/runnerFixture.ts
@@ -11,7 +11,7 @@
 import { ModelEngine } from "../../src/protocol/ModelEngine.ts";
 import type { AnswerFrame, EngineAnswer, EngineCall } from "../../src/protocol/types.ts";
 import { MemoryMetrics } from "../../src/state/MemoryMetrics.ts";
-import { createSchedulingFixture, poolName, settle } from "./schedulingFixture.ts";
+import { createSchedulingFixture, poolName, settlePromises } from "./schedulingFixture.ts";
 
 /** What an engine does with a call; the pieces come as they are yielded. */
 export type EngineScript = (
@@ -21,7 +21,7 @@
 ) => AsyncGenerator<readonly AnswerFrame[], void, void>;
 
 /** A piece with text. */
-export const textPiece = (text: string): AnswerFrame => ({
+export const textFrame = (text: string): AnswerFrame => ({
   text,
   extra: undefined,
   finishReason: undefined,
@@ -29,7 +29,7 @@
 });
 
 /** The piece that ends an answer. */
-export const lastPiece: AnswerFrame = { ...textPiece(""), finishReason: "stop" };
+export const lastFrame: AnswerFrame = { ...textFrame(""), finishReason: "stop" };
 
 /** Never ends by itself. */
 export const untilAborted = (signal: AbortSignal): Promise<never> =>
@@ -80,8 +80,8 @@
 }
 
 /** How a request ended for its caller. */
-export interface CallerView {
-  readonly pieces: readonly AnswerFrame[];
+export interface CallerResult {
+  readonly frames: readonly AnswerFrame[];
   readonly text: string;
   readonly failure: RequestError["failure"] | undefined;
 }
@@ -131,7 +131,7 @@
   };
 
   /** Reads a whole answer, or up to its failure. */
-  const read = async (signal = new AbortController().signal): Promise<CallerView> => {
+  const read = async (signal = new AbortController().signal): Promise<CallerResult> => {
     const pieces: AnswerFrame[] = [];
     let failure: RequestError["failure"] | undefined;
     try {
@@ -141,7 +141,7 @@
       if (!(error instanceof RequestError)) throw error;
       ({ failure } = error);
     }
-    return { pieces, text: pieces.map(({ text }) => text).join(""), failure };
+    return { frames: pieces, text: pieces.map(({ text }) => text).join(""), failure };
   };
 
   /** Moves the clock on while work is under way; engines report as healthy all the while. */
@@ -149,7 +149,7 @@
     const progress = { ended: false };
     void work.finally(() => (progress.ended = true)).catch(() => undefined);
     for (;;) {
-      await settle();
+      await settlePromises();
       if (progress.ended) break;
       clock.advanceTo(clock.nextTimer() ?? clock.monotonic() + 1);
       for (const id of scheduling.ids) scheduling.report(id);
--- a/tests/support/schedulingFixture.ts
+++ b/tests/support/schedulingFixture.ts
@@ -81,7 +81,7 @@
   readonly maximumRunning?: number;
   readonly standings?: Readonly<Record<string, number>>;
   readonly concurrentRequests?: number;
-  readonly parts?: Partial<PredictiveSchedulerDependencies>;
+  readonly dependencies?: Partial<PredictiveSchedulerDependencies>;
 }
 
 /** A piece of work, with what matters to a test. */
@@ -94,7 +94,7 @@
 }
 
 /** What has become of a piece of work; neither is set while it waits. */
-export interface Begun {
+export interface AssignmentProgress {
   assignment: Assignment | undefined;
   refusal: RequestError | undefined;
 }
@@ -160,7 +160,7 @@
     clock,
     configuration: () => index,
     dataCentre,
-    ...options.parts,
+    ...options.dependencies,
   });
 
   let questions = 0;
@@ -198,8 +198,8 @@
     };
   };
 
-  const begin = (work: Work, signal: AbortSignal = new AbortController().signal): Begun => {
-    const begun: Begun = { assignment: undefined, refusal: undefined };
+  const begin = (work: Work, signal: AbortSignal = new AbortController().signal): AssignmentProgress => {
+    const begun: AssignmentProgress = { assignment: undefined, refusal: undefined };
     scheduler.assign(work, signal).then(
       (assignment) => (begun.assignment = assignment),
       (error: unknown) => {
@@ -216,4 +216,4 @@
 };
 
 /** Lets promises that are settled call back. */
-export const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+export const settlePromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
