--- a/src/coordination/coordinators/keyCoordination.ts
+++ b/src/coordination/coordinators/keyCoordination.ts
@@ -1,6 +1,8 @@
 /**
- * Coordination of keys by one router: queries the coordinator of a key, answers as the coordinator, and monitors the routers
- * that precede this one. The limits of organisations and of replicas are enforced this way.
+ * Coordination of keys by one router: queries the coordinator of a key, answers as the coordinator, and probes the
+ * routers on which its role depends: predecessors in a key's order, after a start or a pause also successors, and one
+ * router of each data centre. The limits of organisations and of replicas are enforced this way. A key is an
+ * organisation's name or a replica's id; not an API key.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { CoordinatorQuery, LimitAnswer } from "../../protocol/forwarding/limitMessage.ts";
@@ -65,7 +67,7 @@
   const { nearestDataCentre = () => undefined } = dependencies;
   const coordinators = createCoordinators({ self, others, nearestDataCentre, clock });
   const queries = createCoordinatorQueries({ link, clock, random });
-  /** By name of a router: the time until which it is not queried. */
+  /** By name of a router: the time until which it is not queried about any key. */
   const skippedUntil = new Map<string, number>();
   const roles: { [Kind in CoordinatorQuery["kind"]]?: CoordinatorRole<Kind> } = {};
 
@@ -75,7 +77,9 @@
     return answer ?? answerElsewhere(query.number);
   };
 
-  /** The first few routers that are not skipped: where most routers are lost the coordinator may be far down the order. */
+  /**
+   * The first few routers that are not skipped: where most routers are lost the coordinator may be far down the order.
+   */
   const candidatesFor = (key: string): readonly LiveRouter[] => {
     const now = clock.monotonic();
     const order = coordinators.orderFor(key);
--- a/src/coordination/crashes/quarantine.ts
+++ b/src/coordination/crashes/quarantine.ts
@@ -3,11 +3,11 @@
  *
  * The load pattern behind it: a caller repeats the same request; each run ends a process, together with all streams
  * that it served. Routers notify one another which requests were in flight at each crash. A request that was in
- * flight at three crashes, and has been answered nowhere since, is sent to no replica any more. Where several
- * requests were in flight at the same replicas, only the likeliest cause is quarantined, and its crashes count
- * against no other. Any complete answer clears a request at once, so that popular requests, in flight at every crash,
- * are cleared by their next answer at any router. A request that was quarantined by chance is released by a trial,
- * which a single router makes. The platform's store keeps the decisions.
+ * flight at crashes of three different replicas, and has been answered nowhere since, is sent to no replica any more.
+ * Where several requests were in flight at the same replicas, only the likeliest cause is quarantined, and its
+ * crashes count against no other. Any complete answer clears a request at once, so that popular requests, in flight
+ * at every crash, are cleared by their next answer at any router. A request that was quarantined by chance is
+ * released by a trial, which a single router makes. The platform's store keeps the decisions.
  */
 import type { DatagramLink } from "../../protocol/forwarding/DatagramLink.ts";
 import type { CrashMessage, ReplicaCrash } from "../../protocol/forwarding/crashMessage.ts";
@@ -28,7 +28,7 @@
 import { startRecordsMaintenance } from "./recordsMaintenance.ts";
 import { createTrials } from "./trials.ts";
 
-/** Identifies the requests of one interface. */
+/** Identifies the requests of one kind. */
 export interface RequestIdentity<Request> {
   readonly fingerprintOf: (request: Request) => Fingerprint;
   /** @returns The request id, for the log; a retry of the caller may have another one. */
@@ -111,8 +111,8 @@
   createQuarantineFor(dependencies, callerRequests);
 
 /**
- * Creates a quarantine of the requests of any interface, which exchanges updates with peers and the store until it is
- * disposed of.
+ * Creates a quarantine of requests of any kind, such as completions, which exchanges updates with peers and the store
+ * until it is disposed of.
  */
 export const createQuarantineFor = <Request extends object>(
   dependencies: QuarantineDependencies,
@@ -143,7 +143,8 @@
     for (let cause = evidence.likeliestCause(); cause !== undefined; cause = evidence.likeliestCause()) {
       const isOwn = evidence.isOwn(cause);
       add(cause, "crashes");
-      // All routers decide at once: if each of 195 announced and recorded it, one request would cost 75,000 messages.
+      // Only routers that had the request in flight announce and record it: all routers decide at once, and if each of
+      // 195 announced and recorded it, one request would cost 75,000 messages.
       if (!isOwn) continue;
       updates.announceQuarantined(cause);
       void records.write(cause);
--- a/src/coordination/forwarding/attemptLoop.ts
+++ b/src/coordination/forwarding/attemptLoop.ts
@@ -54,7 +54,10 @@
    * @throws `RequestError` where there is no response.
    */
   readonly begin: (run: ForwardRun, lastEventId: string | undefined) => Promise<StartedAnswer>;
-  /** Whether another attempt may follow a failure; if so, it is taken from the retry budget. */
+  /**
+   * Whether another attempt may follow a failure. If so, it is taken from the retry budget, unless the request was not
+   * sent. A failure that reached a replica ends the request's quarantine trial.
+   */
   readonly mayRetry: (run: ForwardRun, failure: UpstreamError) => boolean;
 }
 
@@ -172,6 +175,7 @@
     // Checked before each attempt, also one that resumes a stream: the previous one may have shown that the request
     // crashes replicas.
     while (!quarantine.isQuarantined(run.request) && !search.isExhausted()) {
+      // A replica with other weights than expected may be tried again, as may all others.
       const excluded = search.excluded(failure?.fault === "wrong_weights" ? new Set<string>() : run.sentTo);
       const known = owners.isEnabled() ? await queryOwners(run, excluded, isWide, search) : undefined;
       const choice = choose(run, excluded, known, search);
@@ -191,6 +195,7 @@
         isWide = true;
         continue;
       }
+      // Throws.
       if (comeBackAfter !== undefined) load.refuse(run, choice, comeBackAfter);
       const isLimited = choice.replica.limit !== undefined;
       const grant = isLimited ? await grants.acquire(run, choice, search) : undefined;
--- a/src/coordination/forwarding/configurationState.ts
+++ b/src/coordination/forwarding/configurationState.ts
@@ -33,7 +33,8 @@
   /** @returns The newest wanted weights of a model. */
   readonly wantedWeights: (model: string) => WantedWeights | undefined;
   /**
-   * The time allowed for the change counts from the first newer version, however soon further ones follow.
+   * Used to date the bound on old weights: the time allowed for the change counts from the first newer version, however
+   * soon further ones follow.
    *
    * @returns The oldest wanted weights that are newer than a version.
    */
@@ -60,7 +61,7 @@
    * @returns Milliseconds since this router sent its last read that succeeded.
    */
   readonly readAge: () => number;
-  /** Records that another router has proven that nothing newer had been published at that time. */
+  /** The same as `confirm` for a read by another router: does not change `readAge`. */
   readonly prove: (at: number) => void;
   /** Records that a peer has proven a version current at that time; ignored for other versions than the one here. */
   readonly confirmVersion: (version: number, at: number) => void;
@@ -183,7 +184,7 @@
     notePeerVersion: (version) => {
       newestOfPeers = Math.max(newestOfPeers, version);
       const isBehind = newestOfPeers > (table?.configuration.version ?? Number.NEGATIVE_INFINITY);
-      // A router that has just started read the store after it had lost records that its peers still apply.
+      // Drops a proof that the recovery window only suspends: this router's read missed records that a peer has.
       if (isBehind && !Number.isFinite(validProof())) provenAt = Number.NEGATIVE_INFINITY;
     },
     epoch: () => epoch,
--- a/src/coordination/forwarding/enginePlacement.ts
+++ b/src/coordination/forwarding/enginePlacement.ts
@@ -80,7 +80,10 @@
 /** Weight of a route's priority relative to an organisation's. */
 const routeWeight = 3;
 
-/** Combines both priorities. The route's counts more, since routes differ in urgency more than organisations do. */
+/**
+ * Combines both priorities; a lower number is more urgent. The route's counts more, since routes differ in urgency more
+ * than organisations do.
+ */
 const priorityOf = ({ route, organisation }: Admission): number => {
   const combined = route.priority * routeWeight + (organisation?.priority ?? 0);
   return Math.min(leastUrgent - 1, Math.max(0, combined));
@@ -201,6 +204,7 @@
       const version = versionOf(replica);
       const view = viewOf(version);
       const cachedTokens = view.cached.get(id)?.tokens ?? 0;
+      /** Whether the replica is the home or caches all reusable parts. */
       const isHome = cachedTokens >= view.reusableTokens || view.home === id;
       const wait = predictFirstToken(replica);
       return (
--- a/src/coordination/forwarding/loadShedding.ts
+++ b/src/coordination/forwarding/loadShedding.ts
@@ -2,9 +2,9 @@
  * Load shedding: decides whether a request is refused instead of being sent to a replica that would answer too late.
  *
  * Handles overload: engines are lost or many callers arrive at once, and prompts arrive faster than they are computed.
- * Without a limit every prompt queues behind all others, all answers are late, and engines compute prompts whose
- * callers have given up. With it the queue holds only what can be answered in time, and shed callers learn at once
- * that they may retry when the queue has shrunk.
+ * Without shedding every prompt queues behind all others, all answers are late, and engines compute prompts whose
+ * callers have given up. With shedding the queue holds only what can be answered in time, and shed callers learn at
+ * once that they may retry when the queue has shrunk.
  */
 import {
   toleratedQueueShare,
@@ -31,10 +31,11 @@
  * requests. A prompt that is late because of its own length takes its time at any replica, so it is admitted if the
  * queue ahead of it is short. A prompt is also shed if its caller would stop waiting too soon for the answer.
  *
- * Retries are held to the same limit. Admitting all of them makes everyone late: in a simulated burst of twice the
- * usual requests, 54 % are answered in time, against 65 % with one limit for all.
+ * Callers' retries are held to the same limit. Admitting all of them makes everyone late: in a simulated burst of twice
+ * the usual requests, 54 % are answered in time, against 65 % with one limit for all. The router's own further attempts
+ * after a request was sent are never shed.
  *
- * @param threshold - Latency objectives within which the answer must start.
+ * @param threshold - Multiple of the latency objective within which the answer must start.
  * @param random - A random number from 0 to 1, for jitter: callers that are shed together don't retry together.
  * @returns Milliseconds after which the caller should retry; `undefined` if the request is to be sent.
  */
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -32,7 +32,7 @@
   proofAge: number;
   /** Whether its last log line says that it is live. */
   isLoggedLive: boolean;
-  /** Whether it has announced that it takes no duties any more. */
+  /** Whether its last message says that it takes no duties at the moment. */
   hasSteppedDown: boolean;
   /** Whether it has announced that it shuts down. */
   isShuttingDown: boolean;
@@ -66,7 +66,7 @@
    * Whether this router is one of those of its data centre that have a duty, such as reading the store for the others.
    *
    * @param maxHolders - Routers with the duty; fewer in a data centre with few routers.
-   * @param hasSteppedDown - Whether this router takes no duties any more.
+   * @param hasSteppedDown - Whether this router takes no duties at the moment.
    */
   readonly isDutyHolder: (duty: string, maxHolders: number, hasSteppedDown: boolean) => boolean;
   /** @returns The names of the routers of this data centre that have a duty, in rendezvous order. */
--- a/src/coordination/forwarding/retryPolicy.ts
+++ b/src/coordination/forwarding/retryPolicy.ts
@@ -19,9 +19,15 @@
 }
 
 export interface RetryPolicy {
-  /** Whether another attempt may follow a failure; if so, it is taken from the retry budget. */
+  /**
+   * Whether another attempt may follow a failure. If so, it is taken from the retry budget, unless the request was not
+   * sent. A failure that reached a replica ends the request's quarantine trial.
+   */
   readonly mayRetry: (run: ForwardRun, failure: UpstreamError) => boolean;
-  /** The same for a server error that a replica has sent: another replica may not fail. */
+  /**
+   * Whether another attempt may follow a server error that a replica has sent: another replica may not fail. If so, it
+   * is taken from the retry budget.
+   */
   readonly mayRetryAnswer: (run: ForwardRun, answer: StartedAnswer) => boolean;
 }
 
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -60,15 +60,23 @@
   readonly countServing: () => number;
   /** Announces to peers that a replica runs new weights. */
   readonly announceWeights: (replica: string, model: string, version: number) => void;
-  /** Announces to peers at once that a replica is to get no new work until a time on the monotonic clock. */
+  /**
+   * Announces to peers that a replica is to get no new work until a time on the monotonic clock: with the next message,
+   * sent after a short delay.
+   */
   readonly announceChanging: (replica: string, until: number) => void;
-  /** Announces this router's work to peers now instead of at the next tick. */
+  /**
+   * Announces this router's work to peers now instead of at the next tick. Does nothing where there are many routers.
+   */
   readonly announceWork: () => void;
   /** Announces to peers that a replica leaves. */
   readonly announceLeaving: (replica: string) => void;
   /** Notifies peers that a replica asked for backoff; does nothing where owners of replicas report it. */
   readonly broadcastBackoff: (replica: ReplicaState) => void;
-  /** Announces a replica's reported limit at once. Does nothing where there are many routers: its owner is queried. */
+  /**
+   * Announces a replica's reported limit with the next message, sent after a short delay. Does nothing where there are
+   * many routers: its owner is queried.
+   */
   readonly announceLimit: (replica: ReplicaState) => void;
   /** Announces, with the next message, that a replica computes or caches a prompt part. */
   readonly announceHolder: (key: number, replica: string, isReady: boolean) => void;
@@ -125,7 +133,7 @@
   sentWork: string;
 }
 
-/** Key of the duty for the rendezvous order of its holders. */
+/** Rendezvous key of the duty of reading the store. */
 const readingDuty = "registry";
 
 const audiences: readonly Audience[] = ["near", "far"];
@@ -181,6 +189,8 @@
   let cancelUpdates: (() => void) | undefined;
 
   /**
+   * Whether this router takes duties at the moment; if not, messages say so as `hasSteppedDown`.
+   *
    * A router that alone is cut off from the store still gets proofs from its peers. If it stayed the first candidate
    * for the lease of orders, nobody would hold the lease until the proofs of all routers had expired: 4.6 to 5.6 s
    * without orders.
@@ -264,7 +274,10 @@
   const audience = (): readonly Peer[] => (peers.isLarge() ? [] : peers.all().filter(peers.mayServe));
   const broadcastBackoff = createBackoffExchange({ ...dependencies, recipients: audience });
 
-  /** Sends this router's state at once to a peer that has just started, which waits for it. */
+  /**
+   * Sends this router's state at once to a peer that has just started, which waits for it. The message takes the
+   * pending updates about prompt parts for near peers: other near peers don't get them.
+   */
   const greet = ({ at }: Peer): void => {
     const message = compose(announcedWork(), "near");
     link.send(at, encodeRouterMessage({ ...message, echo: undefined }));
--- a/src/coordination/forwarding/weightsChange.ts
+++ b/src/coordination/forwarding/weightsChange.ts
@@ -1,4 +1,7 @@
-/** Changes the weights of one engine: drains it for a moment, sends the order, and polls until the load is finished. */
+/**
+ * Changes the model weights that one engine runs: drains it for a moment, sends the order, and polls until it has
+ * loaded them.
+ */
 import { upstreamError } from "../../protocol/errors.ts";
 import type { ReplicaClient } from "../../protocol/forwarding/ReplicaClient.ts";
 import type { EngineStatus, WeightsTarget } from "../../protocol/forwarding/types.ts";
@@ -98,7 +101,9 @@
     return status;
   };
 
-  /** Gives running requests time to end on the weights that they started with. */
+  /**
+   * Gives running requests time to end on the weights that they started with. Not a departure (`entry.isDraining`).
+   */
   const drain = async (replica: ReplicaState): Promise<void> => {
     setChanging(replica, clock.monotonic() + changingTimeout);
     const deadline = clock.monotonic() + drainTimeBeforeLoad;
@@ -141,7 +146,8 @@
       target,
       running: "keep",
       holder: dependencies.holder,
-      // Log offsets start at 0, and an order without a number is refused.
+      // A fencing number is made from a store epoch and a log offset. Both start at 0, and it is not specified whether
+      // engines accept the number 0.
       fencingNumber: tenure.fencingNumber + 1,
       acceptedOrders,
     } as const;
--- a/src/coordination/replicaOwners/ownerQueries.ts
+++ b/src/coordination/replicaOwners/ownerQueries.ts
@@ -1,5 +1,6 @@
 /**
- * Queries the owners of a few replicas for their current state, right before a request is placed.
+ * Queries the owners of a few replicas for their current state, right before a request is placed. Only in large
+ * deployments.
  *
  * The load pattern behind it: where two hundred routers each have two or three requests a second, periodic updates
  * between them are seconds old, and each router sends its work where others have just sent theirs. Without the
@@ -54,14 +55,14 @@
   readonly finish: () => void;
 }
 
-/** Number of timed-out queries whose late answers are still recognised. */
+/** Number of timed-out messages whose late answers are still recognised. */
 const maxTimedOut = 100;
 
 /** Creates the queries of one router. */
 export const createOwnerQueries = (dependencies: OwnerQueriesDependencies): OwnerQueries => {
   const { name, link, owners, clock } = dependencies;
   const open = new Map<number, Question>();
-  /** Timed-out queries by number: a late answer shows that the owner is reachable. */
+  /** Timed-out messages by number: a late answer shows that the owner is reachable. */
   const timedOut = new Map<number, LiveRouter>();
   let number = 0;
   const times = createAdaptiveTimeout({
--- a/src/coordination/replicaOwners/owners.ts
+++ b/src/coordination/replicaOwners/owners.ts
@@ -11,7 +11,7 @@
 import { mixHashes } from "../forwarding/rendezvousReplica.ts";
 import { membersRefreshInterval, maxOwnerCandidates, unreachableOwnerTimes } from "./constants.ts";
 
-/** A router that may be serving. */
+/** A router that may be serving; it may be unreachable. */
 export interface LiveRouter {
   readonly name: string;
   readonly dataCentre: string;
--- a/src/coordination/scheduling/affinity.ts
+++ b/src/coordination/scheduling/affinity.ts
@@ -2,8 +2,9 @@
  * Chooses the prefix level that decides where a prompt is placed (the affinity level), and estimates its request
  * rate.
  *
- * It is the deepest level that is requested again while engines still have it cached. Shallower levels are small
- * and soon cached on every engine; deeper ones, such as the question itself, are never requested again.
+ * It is the deepest level that is requested again while engines still have it cached, or the first level if none is.
+ * Shallower levels are small and soon cached on every engine; deeper ones, such as the question itself, are never
+ * requested again.
  */
 import type { PrefixLevel } from "../../protocol/types.ts";
 import { createHeatSketch } from "../../state/heatSketch.ts";
@@ -93,7 +94,7 @@
       const levelRate = rate(level.key, now);
       const distance = last - index;
       const reuseRate = rates[distance] ?? initialReuse(distance);
-      // A level seen once has no rate yet: assume the reuse rate of the levels at the same distance.
+      // A level seen at most once has rate 0: use the reuse share at its distance.
       const reuseProbability = levelRate === 0 ? reuseRate : 1 - Math.exp(-levelRate * retention);
       if (index === 0 || reuseProbability >= reuseThreshold) return { level, index, rate: levelRate };
     }
--- a/src/coordination/scheduling/homeConfidence.ts
+++ b/src/coordination/scheduling/homeConfidence.ts
@@ -1,6 +1,7 @@
 /**
- * Confidence that a prefix's home has it cached although this router has not sent it there: if all routers share
- * the prefix, others have. Learned from answers, separately for each organisation and range of request rates.
+ * Confidence that a home of a prefix (one of the first engines in its rendezvous order, which routers prefer for it)
+ * has it cached although this router has not sent it there: if all routers share the prefix, others have. Learned from
+ * answers, separately for each organisation and range of request rates.
  */
 import { initialHomeConfidence, homeConfidenceGain, homeWarmupTime, homeWarmupDelay } from "./constants.ts";
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,4 +1,7 @@
-/** Chooses an engine for a request by the predicted time to first token and the prompt tokens to be recomputed. */
+/**
+ * Chooses an engine for a completion by the predicted time to first token and the prompt tokens to be recomputed.
+ * Forwarded requests are placed by `../forwarding/placement.ts`.
+ */
 import type { ObjectiveConfiguration } from "../../protocol/configuration/schema.ts";
 import type { CacheModel, EngineStamp } from "../../state/cacheModel.ts";
 import type { EngineDirectory, EngineReplica } from "../../state/engineDirectory.ts";
@@ -182,8 +185,8 @@
       const prefill = (work.promptTokens - cachedTokens) * tokenCost;
       const hasRoomNow = hasRoom(work, estimate, now);
       const slotDelay = hasRoomNow ? 0 : slotWait(work, estimate);
-      // Work with a possibly long prefill runs after the others of its class. Only this router's own work counts for
-      // this, since that other routers filled the cache is not certain.
+      // A prompt that may take long to compute runs after others of its class. Only prefixes that this router sent
+      // count as cached here, because it is uncertain what other routers have sent.
       const observedTokens = forecast.cachedTokens(stamp, estimate.retention(), 0, now);
       const isLong = (work.promptTokens - observedTokens) * tokenCost > longPrefillThreshold;
       const enginePriority = isLong ? Math.min(lowestPriority, priority + 1) : priority;
--- a/src/coordination/storeEpochs/operatorRecovery.ts
+++ b/src/coordination/storeEpochs/operatorRecovery.ts
@@ -1,5 +1,5 @@
 /**
- * Recovers operator records that the store has lost: routers that know them write copies to a separate topic, for peers
+ * Recovers operator records that the store has lost: routers that know them write copies to a separate feed, for peers
  * that had not read them, and for routers that start before the operator has written them again.
  */
 import type { RecordFeed } from "../../protocol/forwarding/RecordFeed.ts";
@@ -21,7 +21,7 @@
 
 export interface OperatorRecoveryDependencies {
   readonly self: string;
-  /** The topic of copies. */
+  /** The feed of copies. */
   readonly copies: RecordFeed<OperatorRecord>;
   readonly configuration: Pick<ConfigurationState, "apply" | "newest" | "versionOf">;
   /** @returns The names of live routers, including this one. */
--- a/src/coordination/usageLimits/usageCoordinator.ts
+++ b/src/coordination/usageLimits/usageCoordinator.ts
@@ -1,4 +1,4 @@
-/** The usage counts that this router coordinates: it grants what organisations' limits leave, for all routers. */
+/** The token buckets that this router coordinates: it grants what organisations' limits leave, for all routers. */
 import type { LimitAnswer, UsageLimitQuery } from "../../protocol/forwarding/limitMessage.ts";
 import type { OrganisationLimit } from "../../protocol/forwarding/types.ts";
 import { createLogger } from "../../state/log.ts";
@@ -21,13 +21,13 @@
 /** The coordinator of organisations' usage in one router. */
 export interface UsageCoordinator {
   readonly answer: (query: Omit<UsageLimitQuery, "kind">) => LimitAnswer;
-  /** Starts and ends counts as this router becomes or ceases to be their coordinator. */
+  /** Creates and drops buckets as this router becomes or ceases to be their coordinator. */
   readonly poll: (organisations: Iterable<string>) => void;
 }
 
 const writeLog = createLogger("limits");
 
-/** Creates a coordinator without counts. */
+/** Creates a coordinator without buckets. */
 export const createUsageCoordinator = ({
   coordinators,
   limitOf,
@@ -63,6 +63,7 @@
       const parameters = parametersOf(limit);
       bucket.charge(spent - returned, parameters);
       const wait = bucket.take(amount, parameters);
+      // `undefined`: the amount was taken.
       const verdict = wait === undefined ? "granted" : "refused";
       return {
         kind: "answer",
--- a/src/protocol/forwarding/limitMessage.ts
+++ b/src/protocol/forwarding/limitMessage.ts
@@ -22,7 +22,7 @@
   readonly organisation: string;
   /** The cost of the request. */
   readonly amount: number;
-  /** The amount forwarded without a grant since the last query. */
+  /** The amount forwarded without a grant since the last query that was answered, further runs of requests included. */
   readonly spent: number;
   /** The amount that was granted but not used. */
   readonly returned: number;
--- a/src/protocol/forwarding/peerMessage.ts
+++ b/src/protocol/forwarding/peerMessage.ts
@@ -116,7 +116,7 @@
   readonly storeEpoch: StoreEpoch;
   /** Milliseconds for which reads of the store still prove nothing after it was restored from a copy. */
   readonly recovering: number;
-  /** The sender no longer takes on duties for other routers. */
+  /** The sender takes no duties for other routers at the moment. */
   readonly hasSteppedDown: boolean;
   readonly isShuttingDown: boolean;
 }
