--- a/src/commandLine/requestTimeline.ts
+++ b/src/commandLine/requestTimeline.ts
@@ -31,6 +31,7 @@
 const describers: Readonly<Record<string, (line: LogLine) => string>> = {
   "requests served": (line) =>
     `answered by replica ${fieldOf(line, "replica")} after ${fieldOf(line, "milliseconds")} ms, ${fieldOf(line, "attempts")} attempts`,
+  // The replica answered with an error status.
   "requests failed_there": (line) =>
     `replica ${fieldOf(line, "replica")} answered a failure of its own, passed on after ${fieldOf(line, "milliseconds")} ms`,
   "requests failed": (line) => `failed after ${fieldOf(line, "milliseconds")} ms: ${fieldOf(line, "reason")}`,
@@ -186,6 +187,7 @@
     applies: (end) => eventNameOf(end) === "requests stream_broken" || eventNameOf(end) === "requests failed",
     text: "the replica's connection failed or it was silent; see what is known of it below",
   },
+  // The replica answered with an error status.
   { applies: (end) => eventNameOf(end) === "requests failed_there", text: "the replica failed by itself" },
   { applies: (end) => eventNameOf(end) === "requests stream_left", text: "the caller went away" },
   {
--- a/src/coordination/claims/logClaimLedger.ts
+++ b/src/coordination/claims/logClaimLedger.ts
@@ -1,6 +1,6 @@
 /**
- * Claim ledger on top of the log service: a claim is appended and read back before anything is dispatched, and
- * the first claim in log order wins. docs/design/claims.md explains the design.
+ * Claim ledger on top of the log service: a claim is appended and read back before a non-idempotent request is
+ * dispatched, and the first claim in log order wins. docs/design/claims.md explains the design.
  */
 import { randomUUID } from "node:crypto";
 import type { LogService } from "../../protocol/LogService.ts";
@@ -70,7 +70,12 @@
     return { kind: "claimed", claim: createClaim(attempt, standing.holder) };
   };
 
-  /** Waits for the outcome of the request that holds the key. @returns Undefined once the claim is released. */
+  /**
+   * Waits for the outcome of the request that holds the key. Throws if the key was used for another request, or if no
+   * outcome arrives in time.
+   *
+   * @returns Undefined once the claim is released.
+   */
   const awaitOutcome = async (
     attempt: ClaimAttempt,
     first: StandingClaim,
--- a/src/coordination/forwarding/forwarder.ts
+++ b/src/coordination/forwarding/forwarder.ts
@@ -1,4 +1,7 @@
-/** Forwards a request unchanged: admission, attempts at replicas, one final response, its log line and metrics. */
+/**
+ * Forwards a request unchanged: admission, attempts at replicas, one final response, its log line and metrics. Used by
+ * daemons/forwardingRouter.ts; the OpenAI-style completions of daemons/router.ts don't pass through here.
+ */
 import type { CallerRequest, ForwardedAnswer } from "../../protocol/forwarding/types.ts";
 import { createLogger } from "../../state/log.ts";
 import { metricNames } from "../../state/constants.ts";
--- a/src/coordination/forwarding/placement.ts
+++ b/src/coordination/forwarding/placement.ts
@@ -1,6 +1,7 @@
 /**
  * Chooses the replica for a request: the one whose answer is predicted to start first. Other costs are added as time:
- * old weights, traffic between data centres, copied parts, failures.
+ * old weights, traffic between data centres, copied parts, failures. Used by
+ * daemons/forwardingRouter.ts, which forwards requests unchanged.
  */
 import type { CallerRequest } from "../../protocol/forwarding/types.ts";
 import type { ReplicaState } from "../../state/forwarding/replicaState.ts";
--- a/src/coordination/forwarding/weightsOrders.ts
+++ b/src/coordination/forwarding/weightsOrders.ts
@@ -1,6 +1,6 @@
 /**
  * Rolls out the weights that the operator wants to all engines. One router at a time does so, elected by a lease in the
- * platform's log.
+ * platform's log. Used by daemons/forwardingRouter.ts, which forwards requests unchanged.
  *
  * Engines are drained for a moment before they load, a limited number of them loads at the same time, and each loads
  * the newest weights published by then, not superseded ones.
--- a/src/coordination/leases/lease.ts
+++ b/src/coordination/leases/lease.ts
@@ -127,7 +127,8 @@
     if (isHeld()) return;
     const { freeAt, head } = history.state(name);
     const duration = dependencies.duration();
-    // Records that expired unread may just have granted the lease to another router.
+    // Records that expired unread, or were lost with an earlier epoch, may just have granted the lease to another
+    // router.
     const lossEndsAt = (history.recordsLostAt() ?? Number.NEGATIVE_INFINITY) + duration;
     if (clock.monotonic() < Math.max(freeAt, lossEndsAt)) return;
     followsRelease = head?.kind === "release";
--- a/src/coordination/membership/configurationExchange.ts
+++ b/src/coordination/membership/configurationExchange.ts
@@ -66,7 +66,7 @@
     this.versionChangedAt = dependencies.clock.monotonic();
   }
 
-  /** Whether this router follows the log, reads it from time to time, or relies on its peers. */
+  /** Whether this router follows the log, reads it occasionally, or relies on its peers (see {@link LogReadMode}). */
   readonly logReadMode = (): LogReadMode => {
     const { membership } = this.dependencies;
     const readers = membership.representatives(readerSelectionKey, configurationSpread.readers);
@@ -183,7 +183,10 @@
     });
   }
 
-  /** Adds changes to a heartbeat: the first reader at once, other readers only if some peer still lacks them later. */
+  /**
+   * Adds changes to a heartbeat. The first reader of the log, or a router that got the version from another data
+   * centre, does so at once; other readers only if some peer still lacks the changes later.
+   */
   private addChanges(message: PeerMessage, now: number): void {
     const version = this.version();
     if (version === undefined || isSame(version, this.lastSpreadVersion)) return;
--- a/src/coordination/membership/peerMembership.ts
+++ b/src/coordination/membership/peerMembership.ts
@@ -57,7 +57,10 @@
   readonly applyVms: (vms: readonly ListedVm[]) => void;
   /** Sends pending updates at once instead of with the next heartbeat. */
   readonly push: () => void;
-  /** Announces to all peers that this router accepts no more work. */
+  /**
+   * Announces that this router accepts no more work: to the peers of its data centre at once, to others with the next
+   * message to them.
+   */
   readonly leave: () => void;
   /** For the operator's dump. */
   readonly dump: () => unknown;
@@ -72,7 +75,7 @@
 
 const writeLog = createLogger("membership");
 
-/** Length of a session's random name, bytes. */
+/** Length of a session's id, bytes: the random id of a stream, from which its sealing key is derived. */
 const sessionLength = 16;
 
 const peerView = (peer: Peer, now: number, hasStream: boolean) => ({
--- a/src/coordination/orders/rollOut.ts
+++ b/src/coordination/orders/rollOut.ts
@@ -1,6 +1,7 @@
 /**
  * The roll-out of one deployment under one tenure of its lease: finds the engines that are not in the desired state,
- * and runs a task for each engine that may be changed now.
+ * and runs a task for each engine that may be changed now. Used by daemons/router.ts, which serves
+ * OpenAI-style completions.
  */
 import type { EnginePoolConfiguration } from "../../protocol/configuration/schema.ts";
 import type { ModelEngine } from "../../protocol/ModelEngine.ts";
@@ -69,6 +70,7 @@
   const delays = createRetryDelays(clock);
   const tasks = new Map<string, Promise<void>>();
   const runningPhases = new Map<string, RollOutPhase>();
+  /** Engines that this or an earlier lease holder may have drained; each is recorded before its task changes it. */
   const drained = createDrainRecords(tenure);
   let outdatedCount = 0;
   const rules = createMemberRules({
--- a/src/coordination/republication.ts
+++ b/src/coordination/republication.ts
@@ -39,7 +39,10 @@
   const stop = new AbortController();
   const lease = startLease({ ...dependencies, name: republicationLeaseName, history: dependencies.leases });
 
-  /** Compares with the log service's clock: the two may differ by some minutes, but the retention is much longer. */
+  /**
+   * Whether the record is old enough to be appended again. Its time is by the log service's clock, which must record
+   * one. That clock and this router's may differ by some minutes, but the retention is much longer.
+   */
   const isDue = (): boolean => {
     const record = configuration.wholeRecord();
     return record === undefined || clock.wall() - record.appendedAt >= retention * republicationAgeShare;
--- a/src/coordination/requests/completionRunner.ts
+++ b/src/coordination/requests/completionRunner.ts
@@ -1,4 +1,7 @@
-/** Runs model requests, new and resumed ones, with retries, hedges and continuations. */
+/**
+ * Runs model requests, new and resumed ones, with retries, hedges and continuations. Used by
+ * daemons/router.ts, which serves OpenAI-style completions.
+ */
 import type { RequestError } from "../../protocol/errors.ts";
 import type { AnswerBatch } from "../../protocol/FrontEnd.ts";
 import { metricNames } from "../../state/constants.ts";
@@ -66,7 +69,8 @@
     yield first;
     yield* rest;
   } finally {
-    // Releases the attempt also if the reader stops after the first batch, before `rest` has been read.
+    // Releases the attempt also if the reader stops after the first batch, before `rest` has been read. If the
+    // reader never starts reading, this block does not run.
     await rest.return();
   }
 };
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -67,6 +67,7 @@
 
 /** Skips the pieces that the caller already has, and collects their text so that another engine could continue it. */
 const createSkipper = ({ point, delivered }: ResumeJob, answer: DeliveredAnswer) => {
+  // `tokens` counts pieces with text; `textlessPieces` counts only those after the last piece with text.
   let remainingTokens = point.tokens - point.attemptOffset;
   let remainingTextlessPieces = point.textlessPieces;
   let skipped = "";
--- a/src/coordination/requests/retryDecision.ts
+++ b/src/coordination/requests/retryDecision.ts
@@ -25,8 +25,9 @@
   /** Called when a new piece of the answer has arrived; resets the count of consecutive failures. */
   readonly noteProgress: () => void;
   /**
-   * The time by which an engine has to be assigned, milliseconds on the monotonic clock. It starts anew after each
-   * failure, bounded by the completion deadline: the request was admitted, and a late answer is better than none.
+   * The time by which an engine has to be assigned, milliseconds on the monotonic clock; an idempotent request's
+   * timeout for the first piece is computed from it. It starts anew after each failure, bounded by the completion
+   * deadline: the request was admitted, and a late answer is better than none.
    */
   readonly firstTokenDeadline: () => number;
   /**
@@ -69,7 +70,10 @@
     return undefined;
   };
 
-  /** No engine could be assigned: if engines have failed this request, allows them again after a delay. */
+  /**
+   * The router itself refused the attempt, usually since no engine could be assigned: if engines have failed this
+   * request, allows them again after a delay.
+   */
   const decideAfterRefusal = (excluded: Set<string>): number | undefined => {
     if (failures === 0) return undefined;
     excluded.clear();
--- a/src/daemons/forwardingRouter.ts
+++ b/src/daemons/forwardingRouter.ts
@@ -64,7 +64,10 @@
   port,
 });
 
-/** Divides each replica's connection limit evenly among all routers. */
+/**
+ * Divides each replica's connection limit evenly among the routers that serve now. An existing connection pool keeps
+ * its limit.
+ */
 const divideConnectionLimits = (
   { replicaClient }: ForwardingPlatform,
   forwardingView: ForwardingView,
@@ -78,7 +81,10 @@
   }
 };
 
-/** Starts a router; it is ready as soon as it knows the configuration, the replicas and the quarantine. */
+/**
+ * Starts a router. It is ready while it knows the replicas and the quarantine, its configuration is proven fresh, and
+ * it is not shutting down.
+ */
 export const startForwardingRouter = async (
   settings: ForwardingSettings,
   connect: ConnectPlatform,
--- a/src/daemons/storeFollowing.ts
+++ b/src/daemons/storeFollowing.ts
@@ -49,7 +49,10 @@
     RouterPeers,
     "countServing" | "isLarge" | "isStoreReader" | "live" | "otherStoreReaders"
   >;
-  /** Called when a configuration was received; its limits may differ. */
+  /**
+   * Called after each read of the operator's changes or of the copies of its records, also if nothing has changed; the
+   * limits of the configuration may differ.
+   */
   readonly onConfiguration: () => void;
 }
 
@@ -166,6 +169,7 @@
         feed: operatorFeed,
         lastChangePosition: operatorFeed.position,
         age: configuration.age,
+        // The proof is another router's, so it does not count as a read of this one.
         confirm: configuration.prove,
       },
       replicas: {
--- a/src/protocol/configuration/record.ts
+++ b/src/protocol/configuration/record.ts
@@ -70,7 +70,7 @@
   readonly publishedAt: number;
 }
 
-/** A difference from the version in force; void if another publication was appended first. */
+/** A difference from the version `base`; void unless that version is in force at the record's offset. */
 export interface Publication extends Publisher, SectionDifference {
   readonly kind: "publication";
   readonly base: number | null;
--- a/src/protocol/forwarding/ReplicaClient.ts
+++ b/src/protocol/forwarding/ReplicaClient.ts
@@ -28,7 +28,7 @@
  *
  * - `made`: the connection was established.
  * - `refused`: the VM is reachable, but no process listens on the port.
- * - `silent`: no reply, neither from the replica nor from the network in between.
+ * - `silent`: no reply from the replica's VM; the network in between may have reported that it is unreachable.
  */
 export type ConnectionProbeResult = "made" | "refused" | "silent";
 
--- a/src/protocol/forwarding/peerMessage.ts
+++ b/src/protocol/forwarding/peerMessage.ts
@@ -1,6 +1,6 @@
 /**
  * The state that routers announce to one another in datagrams. The messages are short, sent repeatedly, and obsolete
- * once a newer one has arrived.
+ * once a newer one has arrived, except for updates, such as holders, that only some messages carry.
  *
  * The binary format is written by hand: as JSON with schema validation, a message with work at eight replicas takes
  * 490 bytes and 238 µs to encode and decode, and routers on small VMs and links exchange 80 a second and more.
@@ -95,11 +95,15 @@
   readonly incarnation: string;
   /** The sender's data centre. */
   readonly dataCentre: string;
-  /** Time of sending, milliseconds on the sender's monotonic clock. */
+  /** Time of sending, milliseconds on the sender's monotonic clock, counted from a random origin. */
   readonly sentAt: number;
-  /** The newest `sentAt` that the sender received from the receiver; `undefined` before the first message. */
+  /**
+   * The newest `sentAt` that the sender received from the receiver; `undefined` before the first message, and always
+   * where there are many routers.
+   */
   readonly echo: number | undefined;
   readonly configuration: AnnouncedConfiguration | undefined;
+  /** Empty where there are many routers: each reports its work to the owners of replicas instead. */
   readonly work: readonly AnnouncedWork[];
   readonly weights: readonly AnnouncedWeights[];
   readonly changing: readonly AnnouncedChange[];
@@ -116,7 +120,7 @@
   readonly storeEpoch: StoreEpoch;
   /** Milliseconds for which reads of the store still prove nothing after it was restored from a copy. */
   readonly recovering: number;
-  /** The sender no longer takes on duties for other routers. */
+  /** The sender takes on no duties for other routers at present: it is shutting down, or its reads are too old. */
   readonly hasSteppedDown: boolean;
   readonly isShuttingDown: boolean;
 }
--- a/src/state/cacheModel.ts
+++ b/src/state/cacheModel.ts
@@ -12,7 +12,7 @@
   readonly engineId: string;
   readonly incarnation: string;
   readonly weightsVersion: string;
-  /** Changes whenever the entries of the engine become invalid. */
+  /** A counter that changes whenever the entries of the engine become invalid; unrelated to epochs of the store. */
   readonly epoch: number;
 }
 
@@ -49,6 +49,7 @@
 }
 
 interface ObservedRestart {
+  /** The one before the restart. */
   readonly incarnation: string;
   readonly at: number;
 }
@@ -84,7 +85,10 @@
     observedRestarts.delete(engine.id);
   });
 
-  /** True while the last load report is older than the response that showed another incarnation. */
+  /**
+   * True while the last load report is older than the response that showed a restart and still names the incarnation
+   * before it. Otherwise forgets the restart.
+   */
   const isReportOutdated = (engine: EngineReplica): boolean => {
     const restart = observedRestarts.get(engine.id);
     if (restart === undefined) return false;
--- a/src/state/configurationReplay.ts
+++ b/src/state/configurationReplay.ts
@@ -1,7 +1,7 @@
 /**
  * Decides the outcomes of the configuration stream's records in order. Of the publications based on the version in
- * force, the first valid one by offset is applied; the others are void. A version is the offset of its publication, so
- * versions only increase.
+ * force, the first valid one by offset is applied; the others are void. A valid replacement is always applied. A
+ * version is the offset of its publication or replacement, so versions only increase.
  */
 import { checkConfiguration } from "../protocol/configuration/check.ts";
 import { decodeConfigurationRecord } from "../protocol/configuration/record.ts";
@@ -31,7 +31,7 @@
 
 /** A version, its digest and its publisher. */
 export interface VersionIdentity extends Publisher {
-  /** Offset of the publication. */
+  /** Offset of the publication or replacement. */
   readonly version: number;
   readonly digest: string;
 }
--- a/src/state/steadyTime.ts
+++ b/src/state/steadyTime.ts
@@ -1,6 +1,6 @@
 /**
- * A monotonic time in milliseconds that includes the time for which the VM was suspended. Leases, timeouts and the age
- * of cached state are measured by it.
+ * A monotonic time in milliseconds that includes the time for which the VM was suspended. Leases, deadlines and the age
+ * of cached state are compared by it. Timers run on the runtime's clock, so they may fire late after a suspension.
  *
  * The monotonic clock of the runtime stops during a suspension, so expired leases, proofs and grants would look valid.
  * Two other clocks continue: the time of day, which may also be set, and the clock since boot, which some machines
@@ -114,7 +114,7 @@
   };
 };
 
-/** The monotonic time of this process, suspensions included. All timeouts, leases and ages use it. */
+/** The monotonic time of this process, suspensions included. Deadlines, leases and ages are compared by it. */
 export const steadyNow = createSteadyTime({
   monotonic: () => performance.now(),
   wall: () => Date.now(),
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -1,4 +1,7 @@
-/** HTTP/1.1 client for replicas. Each incarnation has its own connection pool: no connection outlives its replica. */
+/**
+ * HTTP/1.1 client for replicas. Each replica id has its own connection pool. Ids differ between starts of a replica if
+ * the registry gives the time of the start.
+ */
 import { connect } from "node:net";
 import { buildConnector, Pool } from "undici";
 import { upstreamError } from "../../protocol/errors.ts";
@@ -26,7 +29,7 @@
 /** Maximum number of connections to a replica whose pool is created before a limit is set. */
 const defaultMaxConnections = 8;
 
-/** Connection errors that the network reports, as opposed to the replica's VM. */
+/** Connection errors that show nothing about the replica's process: its VM did not answer. */
 const networkErrorCodes: ReadonlySet<string> = new Set(["EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"]);
 
 /** A request that the router makes for its own purposes, such as polling a status or sending an order. */
@@ -44,7 +47,10 @@
   readonly text: string;
 }
 
-/** Manages connections and sends requests; subclasses implement an engine's status, order and cache requests. */
+/**
+ * Manages connections and sends requests; subclasses implement status and order requests to engines, and requests to
+ * cache stores.
+ */
 export abstract class HttpReplicaClient extends ReplicaClient {
   private readonly wire: ForwardingWire;
   private readonly pools = new Map<string, Pool>();
@@ -90,6 +96,7 @@
     });
   }
 
+  /** Applies only to connection pools created afterwards. */
   override limitConnections(replica: ReplicaEntry, limit: number): void {
     this.connectionLimits.set(replica.id, Math.max(1, limit));
   }
--- a/src/transport/peerQueue.ts
+++ b/src/transport/peerQueue.ts
@@ -4,6 +4,7 @@
 export interface PeerQueue {
   /** @returns False if the queue has ended, or ends now since it is full. */
   readonly add: (message: Uint8Array) => boolean;
+  /** Ends the queue; messages that the reader has not yet taken are dropped. */
   readonly end: () => void;
   readonly messages: () => AsyncIterable<Uint8Array>;
 }
@@ -12,7 +13,7 @@
  * Creates an empty queue.
  *
  * @param maximumBytes - The queue ends when several messages with more bytes than this are queued: its reader is
- * too slow. A single message may be larger.
+ * too slow. A single message may be larger. Messages that the reader has taken as a batch are not counted.
  */
 export const createPeerQueue = (maximumBytes: number): PeerQueue => {
   let queued: Uint8Array[] = [];
