--- a/bench/lab/LabReplicaClient.ts
+++ b/bench/lab/LabReplicaClient.ts
@@ -31,7 +31,7 @@
   headers: [],
   echoedId: request.id,
   isSealed: true,
-  isNotRun: false,
+  isNotExecuted: false,
   isMisdirected: false,
   replicaId: undefined,
   weightsVersion,
@@ -128,7 +128,7 @@
     return isEnded ? this.refuse(call, replica.version, 503) : this.run(call, signal);
   }
 
-  override async tryConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
+  override async probeConnection({ id }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const state = this.fleet.find(id)?.state;
     const isUnresponsive = state === "dark" || state === undefined;
     await pause(this.clock, isUnresponsive ? timeout : latency);
@@ -177,7 +177,12 @@
 
   private refuse(call: ReplicaCall, version: number, status: number): ReplicaAnswer {
     const replica = this.fleet.find(call.replica.id) ?? nothingReported;
-    const head = { ...headOf(call, version, replica), status, isNotRun: true, isMisdirected: status === 421 };
+    const head = {
+      ...headOf(call, version, replica),
+      status,
+      isNotExecuted: true,
+      isMisdirected: status === 421,
+    };
     return { head, body: createEmptyBody() };
   }
 
--- a/src/coordination/crashes/crashMonitor.test.ts
+++ b/src/coordination/crashes/crashMonitor.test.ts
@@ -23,7 +23,7 @@
   const monitor = createCrashMonitor({
     replicas,
     client: {
-      tryConnection: () => {
+      probeConnection: () => {
         state.tries += 1;
         return Promise.resolve(state.trial);
       },
--- a/src/coordination/crashes/crashMonitor.ts
+++ b/src/coordination/crashes/crashMonitor.ts
@@ -14,7 +14,7 @@
 
 export interface CrashMonitorDependencies {
   readonly replicas: Pick<ReplicaTable, "get">;
-  readonly client: Pick<ReplicaClient, "tryConnection">;
+  readonly client: Pick<ReplicaClient, "probeConnection">;
   readonly clock: Clock;
   /** Called again if more broken requests of the same replica are found later. */
   readonly onCrash: (crash: ReplicaCrash) => void;
@@ -44,11 +44,11 @@
   const probe = async (replica: ReplicaState): Promise<void> => {
     const { entry } = replica;
     await pause(clock, crashProbeDelay);
-    const trial = await client.tryConnection(entry, connectionProbeTimeout);
+    const result = await client.probeConnection(entry, connectionProbeTimeout);
     const suspects = pending.get(entry.id) ?? [];
     pending.delete(entry.id);
     // A router that is cut off from the network gets no response from any replica: only a refusal proves a crash.
-    if (trial !== "refused" || !mayCrash(replica)) return;
+    if (result !== "refused" || !mayCrash(replica)) return;
     const requests = suspects.map(({ fingerprint }) => fingerprint).join(" ");
     writeLog("crashed", { replica: entry.id, service: entry.service, requests });
     onCrash({ replica: entry.id, suspects });
--- a/src/coordination/forwarding/answerCheck.ts
+++ b/src/coordination/forwarding/answerCheck.ts
@@ -65,7 +65,7 @@
     if (head.echoedId !== undefined && head.echoedId !== request.id) {
       throw upstreamError("the response echoes the id of another request", "crossed", "sent");
     }
-    if (head.isNotRun) {
+    if (head.isNotExecuted) {
       // The status alone decides; a body that is cut off does not change it.
       await collectBody(body).catch(() => undefined);
       await learnFromRefusal(head, replica).catch((error: unknown) => {
--- a/src/coordination/forwarding/applyPeerMessage.ts
+++ b/src/coordination/forwarding/applyPeerMessage.ts
@@ -63,11 +63,11 @@
 
 /** Applies what a peer knows of the store. A newer epoch only triggers a read: it is adopted from the store alone. */
 const applyStoreState = (
-  { storeEpoch, recovering }: RouterMessage,
+  { storeEpoch, recoveryRemaining }: RouterMessage,
   { epochs, recovery, onNewerEpoch }: Pick<PeerMessageDependencies, "epochs" | "recovery" | "onNewerEpoch">,
 ): void => {
   if (storeEpoch > epochs.current()) onNewerEpoch();
-  if (storeEpoch === epochs.current()) recovery.extend(recovering);
+  if (storeEpoch === epochs.current()) recovery.extend(recoveryRemaining);
   recovery.noteContact();
 };
 
@@ -87,7 +87,7 @@
   applyUpdates(message, { ...dependencies, cacheStores: () => configuration.table()?.cacheStores ?? [] });
   applyConfiguration(message, echoedSentAt, dependencies);
   applyStoreState(message, dependencies);
-  dependencies.quarantine.notePeerDigest(message.held);
+  dependencies.quarantine.notePeerDigest(message.quarantineDigest);
 };
 
 /**
--- a/src/coordination/forwarding/replicaMonitor.test.ts
+++ b/src/coordination/forwarding/replicaMonitor.test.ts
@@ -15,7 +15,7 @@
   startReplicaMonitor({
     replicas,
     client: {
-      tryConnection: () => {
+      probeConnection: () => {
         state.probes += 1;
         return Promise.resolve(state.isReachable ? "made" : "silent");
       },
--- a/src/coordination/forwarding/replicaMonitor.ts
+++ b/src/coordination/forwarding/replicaMonitor.ts
@@ -18,7 +18,7 @@
 
 export interface ReplicaMonitorDependencies {
   readonly replicas: ReplicaTable;
-  readonly client: Pick<ReplicaClient, "tryConnection">;
+  readonly client: Pick<ReplicaClient, "probeConnection">;
   readonly health: ReplicaHealth;
   readonly clock: Clock;
   /**
@@ -44,7 +44,7 @@
     const { entry } = replica;
     probing.add(entry.id);
     replica.isSuspected = false;
-    const isReachable = (await client.tryConnection(entry, connectionProbeTimeout)) === "made";
+    const isReachable = (await client.probeConnection(entry, connectionProbeTimeout)) === "made";
     probing.delete(entry.id);
     if (replicas.get(entry.id) !== replica) return;
     replica.quietSince = clock.monotonic();
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -100,10 +100,13 @@
   quarantine,
   epochs,
   recovery,
-}: RouterPeersDependencies): Pick<RouterMessage, "held" | "storeEpoch" | "recovering"> => ({
-  held: quarantine.digest(),
+}: RouterPeersDependencies): Pick<
+  RouterMessage,
+  "quarantineDigest" | "storeEpoch" | "recoveryRemaining"
+> => ({
+  quarantineDigest: quarantine.digest(),
   storeEpoch: epochs.current(),
-  recovering: Math.ceil(recovery.remaining()),
+  recoveryRemaining: Math.ceil(recovery.remaining()),
 });
 
 /** @returns The work of this router's own requests, by replica. */
--- a/src/coordination/forwarding/routerUpdates.ts
+++ b/src/coordination/forwarding/routerUpdates.ts
@@ -20,7 +20,10 @@
 export type Audience = "near" | "far";
 
 /** The fields of a message that carry updates. */
-export type UpdateFields = Pick<RouterMessage, "weights" | "changing" | "leaving" | "holders" | "limited">;
+export type UpdateFields = Pick<
+  RouterMessage,
+  "weights" | "changingReplicas" | "leaving" | "holders" | "reportedLimits"
+>;
 
 /** Updates waiting to be sent. */
 export interface RouterUpdates {
@@ -46,17 +49,17 @@
 /** Creates an empty set of updates. */
 export const createRouterUpdates = (clock: Clock): RouterUpdates => {
   const weights = createUpdates<AnnouncedWeights>(clock, updateRepetitionTime);
-  const changing = createUpdates<number>(clock, updateRepetitionTime);
+  const changingReplicas = createUpdates<number>(clock, updateRepetitionTime);
   const leaving = createUpdates<true>(clock, updateRepetitionTime);
-  const limited = createUpdates<ReportedLimit>(clock, updateRepetitionTime);
+  const reportedLimits = createUpdates<ReportedLimit>(clock, updateRepetitionTime);
   const holders: Record<Audience, Map<string, AnnouncedHolder>> = { near: new Map(), far: new Map() };
 
   return {
     addWeights: (replica, model, version) =>
       weights.add(`${replica} ${model}`, { replica: replicaKeyOf(replica), model, version }),
-    addChanging: changing.add,
+    addChanging: changingReplicas.add,
     addLeaving: (replica) => leaving.add(replica, true),
-    addLimit: limited.add,
+    addLimit: reportedLimits.add,
     addHolder: (key, replica, isReady) => {
       const announced = { part: key, replica: replicaKeyOf(replica), isReady };
       for (const pending of Object.values(holders)) pending.set(`${key} ${replica}`, announced);
@@ -68,13 +71,13 @@
       holders[audience].clear();
       return {
         weights: weights.entries().map(([, update]) => update),
-        changing: changing.entries().map(([id, until]) => ({
+        changingReplicas: changingReplicas.entries().map(([id, until]) => ({
           replica: replicaKeyOf(id),
           remaining: Math.max(0, Math.round(until - now)),
         })),
         leaving: leaving.entries().map(([id]) => replicaKeyOf(id)),
         holders: announced,
-        limited: limited.entries().map(([id, reportedLimit]) => ({
+        reportedLimits: reportedLimits.entries().map(([id, reportedLimit]) => ({
           replica: replicaKeyOf(id),
           reportedLimit: toReportedLimitMessage(reportedLimit, now),
         })),
@@ -100,7 +103,7 @@
     const id = idOf(replica);
     if (id !== undefined) replicas.noteWeights(id, model, version);
   }
-  for (const { replica: key, remaining } of message.changing) {
+  for (const { replica: key, remaining } of message.changingReplicas) {
     const replica = replicas.getByKey(key);
     if (replica !== undefined) replica.changingUntil = now + remaining;
   }
@@ -109,7 +112,7 @@
     if (version > (configuration.wantedWeights(model)?.version ?? 0)) onNewerConfiguration();
     configuration.noteWantedAge(model, version, age);
   }
-  for (const { replica: key, reportedLimit: reportedLimit } of message.limited) {
+  for (const { replica: key, reportedLimit } of message.reportedLimits) {
     const replica = replicas.getByKey(key);
     if (replica !== undefined) noteAnnouncedLimit(replica, reportedLimit, now);
   }
--- a/src/coordination/replicaLimits/limitCoordinator.ts
+++ b/src/coordination/replicaLimits/limitCoordinator.ts
@@ -32,10 +32,7 @@
     if (limits.delete(id)) writeLog("limit_kept_no_more", { replica: id });
   };
 
-  const limitFor = ({
-    replica: id,
-    reportedLimit: word,
-  }: ReplicaLimitQuery): CoordinatedLimit | undefined => {
+  const limitFor = ({ replica: id, reportedLimit }: ReplicaLimitQuery): CoordinatedLimit | undefined => {
     if (replicas.get(id) === undefined) return undefined;
     coordinators.monitor(id);
     if (!coordinators.isActing(id)) {
@@ -44,17 +41,17 @@
     }
     const known = limits.get(id);
     if (known !== undefined) return known;
-    const reported = fromReportedLimitMessage(word, clock.monotonic());
+    const reported = fromReportedLimitMessage(reportedLimit, clock.monotonic());
     const created = createCoordinatedLimit(clock, reported);
     limits.set(id, created);
     writeLog("limit_kept", { replica: id, perSecond: reported.perSecond });
     return created;
   };
 
-  const observe = (limit: CoordinatedLimit, { reportedLimit: word, unnamed }: ReplicaLimitQuery): void => {
+  const observe = (limit: CoordinatedLimit, { reportedLimit, limitRemovedAt }: ReplicaLimitQuery): void => {
     const now = clock.monotonic();
-    limit.observeLimit(fromReportedLimitMessage(word, now));
-    if (unnamed !== undefined) limit.observeNoLimit(fromReportedSpan(unnamed, now));
+    limit.observeLimit(fromReportedLimitMessage(reportedLimit, now));
+    if (limitRemovedAt !== undefined) limit.observeNoLimit(fromReportedSpan(limitRemovedAt, now));
   };
 
   const createAnswer = (number: number, verdict: LimitVerdict, wait = 0): LimitAnswer => ({
@@ -72,8 +69,8 @@
       if (limit === undefined) return answerElsewhere(number);
       observe(limit, query);
       if (limit.endedAt() !== undefined) return createAnswer(number, "unlimited");
-      if (!query.isAsked) return createAnswer(number, "granted");
-      const { isGranted, wait } = limit.acquire(query.patience);
+      if (!query.wantsGrant) return createAnswer(number, "granted");
+      const { isGranted, wait } = limit.acquire(query.timeout);
       return createAnswer(number, isGranted ? "granted" : "refused", wait);
     },
     poll: () => {
--- a/src/coordination/replicaLimits/replicaLimits.ts
+++ b/src/coordination/replicaLimits/replicaLimits.ts
@@ -91,7 +91,7 @@
   const createQuery = (
     { entry }: ReplicaState,
     reported: ReportedLimit,
-    fields: Pick<ReplicaLimitQuery, "unnamed" | "isAsked" | "patience">,
+    fields: Pick<ReplicaLimitQuery, "limitRemovedAt" | "wantsGrant" | "timeout">,
   ): ReplicaLimitQuery => ({
     kind: "replicaQuestion",
     number: 0,
@@ -115,8 +115,8 @@
     reported: ReportedLimit,
     missing?: AnswerSpan,
   ): Promise<void> => {
-    const unnamed = missing === undefined ? undefined : toReportedSpan(missing, clock.monotonic());
-    const query = createQuery(replica, reported, { unnamed, isAsked: false, patience: 0 });
+    const limitRemovedAt = missing === undefined ? undefined : toReportedSpan(missing, clock.monotonic());
+    const query = createQuery(replica, reported, { limitRemovedAt, wantsGrant: false, timeout: 0 });
     const answer = await coordination.query(replica.entry.id, query);
     if (answer?.verdict === "unlimited") endLimit(replica);
   };
@@ -148,9 +148,9 @@
     maxWait: number,
   ): Promise<Grant | undefined> => {
     const query = createQuery(replica, reported, {
-      unnamed: undefined,
-      isAsked: true,
-      patience: Math.max(0, Math.floor(maxWait)),
+      limitRemovedAt: undefined,
+      wantsGrant: true,
+      timeout: Math.max(0, Math.floor(maxWait)),
     });
     const answer = await coordination.query(replica.entry.id, query);
     if (answer === undefined) return grantLocally(replica, reported);
--- a/src/coordination/replicaReports/reportObserver.test.ts
+++ b/src/coordination/replicaReports/reportObserver.test.ts
@@ -13,7 +13,7 @@
   echoedId: "asked",
   replicaId: undefined,
   isSealed: true,
-  isNotRun: false,
+  isNotExecuted: false,
   limit: undefined,
   isDraining: false,
   retryAfter: undefined,
@@ -48,7 +48,7 @@
   it("are observed in every kind of answer, also a limit of 0", () => {
     const { receive, observed } = start();
     receive(1.6);
-    receive(0.4, { isSealed: false, isNotRun: true });
+    receive(0.4, { isSealed: false, isNotExecuted: true });
     receive(0);
     receive(undefined);
     expect(observed).toEqual([1.6, 0.4, 0, "none"]);
@@ -73,7 +73,7 @@
 
   it("are ignored in answers from another replica at the address, to another request, or without a mark", () => {
     const { receive, observed } = start();
-    receive(1, { replicaId: "another", isNotRun: true });
+    receive(1, { replicaId: "another", isNotExecuted: true });
     receive(1, { echoedId: "crossed" });
     receive(1, { isSealed: false });
     expect(observed).toEqual([]);
@@ -92,7 +92,7 @@
     const lines = record();
     receive(undefined, { isDraining: true });
     receive(undefined, { isDraining: true });
-    receive(undefined, { status: 503, isSealed: false, isNotRun: true, retryAfter: 3_000 });
+    receive(undefined, { status: 503, isSealed: false, isNotExecuted: true, retryAfter: 3_000 });
     expect(lines).toEqual([
       ["draining", { replica: "engine", request: "asked", status: 200 }],
       ["backoff_started", { replica: "engine", request: "asked", status: 503, milliseconds: 3_000 }],
@@ -104,7 +104,7 @@
   it("start a backoff with a 429, and with a 503 without a mark of the replica", () => {
     const { receive, replicas } = start();
     const lines = record();
-    receive(undefined, { status: 429, isSealed: false, isNotRun: true, retryAfter: 1_000 });
+    receive(undefined, { status: 429, isSealed: false, isNotExecuted: true, retryAfter: 1_000 });
     expect(lines.length).toEqual(1);
     replicas.remove("engine");
     replicas.put(engineEntry("engine", { bornAt: 2 }));
@@ -114,8 +114,8 @@
 
   it("set no period where Retry-After is zero or can't be decoded, but other replicas are preferred", () => {
     const { receive, replicas } = start();
-    receive(undefined, { status: 503, isNotRun: true, retryAfter: 0 });
-    receive(undefined, { status: 503, isNotRun: true, retryAfter: "unreadable" });
+    receive(undefined, { status: 503, isNotExecuted: true, retryAfter: 0 });
+    receive(undefined, { status: 503, isNotExecuted: true, retryAfter: "unreadable" });
     const backoff = replicas.get("engine")?.backoff;
     expect([backoff?.until, backoff?.refusals]).toEqual([Number.NEGATIVE_INFINITY, 2]);
   });
@@ -131,14 +131,14 @@
     const { receive } = start();
     const lines = record();
     receive(undefined, { isDraining: true, replicaId: "another" });
-    receive(undefined, { status: 503, isNotRun: true, retryAfter: 3_000, echoedId: "crossed" });
+    receive(undefined, { status: 503, isNotExecuted: true, retryAfter: 3_000, echoedId: "crossed" });
     expect(lines).toEqual([]);
   });
 
   it("are counted each time and logged once where they can't be decoded", () => {
     const { receive, metrics } = start();
     const lines = record();
-    receive(undefined, { status: 503, isNotRun: true, retryAfter: "unreadable" });
+    receive(undefined, { status: 503, isNotExecuted: true, retryAfter: "unreadable" });
     receive(undefined, { isDraining: "unreadable" });
     expect(lines).toEqual([
       ["report_unreadable", { replica: "engine", request: "asked", field: "retryAfter" }],
--- a/src/coordination/replicaReports/reportObserver.ts
+++ b/src/coordination/replicaReports/reportObserver.ts
@@ -51,7 +51,7 @@
 };
 
 /** Only a replica can mark an answer so; a refusal counts as backoff without a mark. */
-const isMarkedByReplica = ({ isSealed, isNotRun }: ReplicaReport): boolean => isSealed || isNotRun;
+const isMarkedByReplica = ({ isSealed, isNotExecuted }: ReplicaReport): boolean => isSealed || isNotExecuted;
 
 /** Creates an observer that updates a table of replicas and their limits. */
 export const createReportObserver = (dependencies: ReportObserverDependencies): ReportObserver => {
--- a/src/protocol/forwarding/ReplicaClient.ts
+++ b/src/protocol/forwarding/ReplicaClient.ts
@@ -86,7 +86,7 @@
    *
    * @param timeout - Milliseconds.
    */
-  abstract tryConnection(replica: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult>;
+  abstract probeConnection(replica: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult>;
 
   /** Reads the status of an engine. */
   abstract readStatus(replica: ReplicaEntry, signal: AbortSignal): Promise<EngineStatus>;
--- a/src/protocol/forwarding/limitMessage.test.ts
+++ b/src/protocol/forwarding/limitMessage.test.ts
@@ -25,9 +25,9 @@
     number: count,
     replica: name,
     reportedLimit: record({ perThousandSeconds: count, ...span }),
-    unnamed: fc.option(record(span), { nil: undefined }),
-    isAsked: fc.boolean(),
-    patience: count,
+    limitRemovedAt: fc.option(record(span), { nil: undefined }),
+    wantsGrant: fc.boolean(),
+    timeout: count,
   }),
   record({
     kind: fc.constant("answer" as const),
--- a/src/protocol/forwarding/limitMessage.ts
+++ b/src/protocol/forwarding/limitMessage.ts
@@ -37,11 +37,11 @@
   /** The limit that the router received last. */
   readonly reportedLimit: ReportedLimitMessage;
   /** The times of a response without a limit, after earlier ones reported one; `undefined` if there was none. */
-  readonly unnamed: ReportedSpan | undefined;
+  readonly limitRemovedAt: ReportedSpan | undefined;
   /** Whether a grant for a request is asked for. */
-  readonly isAsked: boolean;
+  readonly wantsGrant: boolean;
   /** How long the request may wait for its grant, milliseconds. */
-  readonly patience: number;
+  readonly timeout: number;
 }
 
 /**
@@ -76,10 +76,10 @@
 const writeReplicaLimitQuery = (writer: ByteWriter, query: ReplicaLimitQuery): void => {
   writer.shortText(query.replica);
   writeReportedLimit(writer, query.reportedLimit);
-  writer.uint8(query.unnamed === undefined ? 0 : 1);
-  if (query.unnamed !== undefined) writeReportedSpan(writer, query.unnamed);
-  writer.uint8(query.isAsked ? 1 : 0);
-  writer.varint(query.patience);
+  writer.uint8(query.limitRemovedAt === undefined ? 0 : 1);
+  if (query.limitRemovedAt !== undefined) writeReportedSpan(writer, query.limitRemovedAt);
+  writer.uint8(query.wantsGrant ? 1 : 0);
+  writer.varint(query.timeout);
 };
 
 /**
@@ -121,9 +121,9 @@
   number: reader.varint(),
   replica: reader.shortText(),
   reportedLimit: readReportedLimit(reader),
-  unnamed: reader.uint8() === 1 ? readReportedSpan(reader) : undefined,
-  isAsked: reader.uint8() === 1,
-  patience: reader.varint(),
+  limitRemovedAt: reader.uint8() === 1 ? readReportedSpan(reader) : undefined,
+  wantsGrant: reader.uint8() === 1,
+  timeout: reader.varint(),
 });
 
 const readVerdict = (reader: ByteReader): LimitVerdict => {
--- a/src/protocol/forwarding/peerMessage.ts
+++ b/src/protocol/forwarding/peerMessage.ts
@@ -102,20 +102,20 @@
   readonly configuration: AnnouncedConfiguration | undefined;
   readonly work: readonly AnnouncedWork[];
   readonly weights: readonly AnnouncedWeights[];
-  readonly changing: readonly AnnouncedChange[];
+  readonly changingReplicas: readonly AnnouncedChange[];
   /** Replicas that are leaving. */
   readonly leaving: readonly ReplicaKey[];
   /** Only those that the sender has learned of since the last message. */
   readonly holders: readonly AnnouncedHolder[];
   readonly weightsTargets: readonly AnnouncedTarget[];
   /** Limits that the sender has recently received. */
-  readonly limited: readonly AnnouncedLimit[];
+  readonly reportedLimits: readonly AnnouncedLimit[];
   /** Digest of the requests that the sender has quarantined, 32 bits. */
-  readonly held: number;
+  readonly quarantineDigest: number;
   /** The newest store epoch that the sender knows. */
   readonly storeEpoch: StoreEpoch;
   /** Milliseconds for which reads of the store still prove nothing after it was restored from a copy. */
-  readonly recovering: number;
+  readonly recoveryRemaining: number;
   /** The sender no longer takes on duties for other routers. */
   readonly hasSteppedDown: boolean;
   readonly isShuttingDown: boolean;
@@ -138,7 +138,7 @@
     writer.shortText(model);
     writer.varint(version);
   });
-  writer.list(message.changing, ({ replica, remaining }) => {
+  writer.list(message.changingReplicas, ({ replica, remaining }) => {
     writer.uint48(replica);
     writer.varint(remaining);
   });
@@ -149,7 +149,7 @@
     writer.varint(version);
     writer.varint(age);
   });
-  writer.list(message.limited, ({ replica, reportedLimit }) => {
+  writer.list(message.reportedLimits, ({ replica, reportedLimit }) => {
     writer.uint48(replica);
     writeReportedLimit(writer, reportedLimit);
   });
@@ -179,9 +179,9 @@
     writer.list(promptTokens, writer.varint);
   });
   writeUpdates(writer, message);
-  writer.varint(message.held);
+  writer.varint(message.quarantineDigest);
   writer.varint(message.storeEpoch);
-  writer.varint(message.recovering);
+  writer.varint(message.recoveryRemaining);
   return writer.finish();
 };
 
@@ -216,14 +216,17 @@
       model: reader.shortText(),
       version: reader.varint(),
     })),
-    changing: reader.list(() => ({ replica: reader.uint48(), remaining: reader.varint() })),
+    changingReplicas: reader.list(() => ({ replica: reader.uint48(), remaining: reader.varint() })),
     leaving: reader.list(reader.uint48),
     holders: readHolders(reader),
     weightsTargets: reader.list(() => readTarget(reader)),
-    limited: reader.list(() => ({ replica: reader.uint48(), reportedLimit: readReportedLimit(reader) })),
-    held: reader.varint(),
+    reportedLimits: reader.list(() => ({
+      replica: reader.uint48(),
+      reportedLimit: readReportedLimit(reader),
+    })),
+    quarantineDigest: reader.varint(),
     storeEpoch: reader.varint(),
-    recovering: reader.varint(),
+    recoveryRemaining: reader.varint(),
     hasSteppedDown: isSet(flags.hasSteppedDown),
     isShuttingDown: isSet(flags.isShuttingDown),
   };
--- a/src/protocol/forwarding/types.ts
+++ b/src/protocol/forwarding/types.ts
@@ -255,7 +255,7 @@
   /** Whether the response bears the seal that only replicas set. */
   readonly isSealed: boolean;
   /** Whether the replica states that it has not executed the request and will not. */
-  readonly isNotRun: boolean;
+  readonly isNotExecuted: boolean;
   /** The replica's id, if stated. */
   readonly replicaId: string | undefined;
   /** Requests per second that it accepts from all routers together. */
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -74,7 +74,7 @@
     return { head: this.wire.decodeAnswer(status, headers), body };
   }
 
-  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
+  override probeConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const [host, port] = address.split(":");
     return new Promise((resolve) => {
       const socket = connect({ host, port: Number(port), timeout });
