--- a/src/coordination/coordinators/coordinators.ts
+++ b/src/coordination/coordinators/coordinators.ts
@@ -210,7 +210,7 @@
     isActing: (key) => {
       detectPause();
       const { predecessors } = neighboursFor(key);
-      // A successor can't tell that its predecessors are unreachable before it has monitored the key for the timeout.
+      // A successor can't know that its predecessors are unreachable before it has monitored the key for the timeout.
       if (predecessors.some(isAlive) || (predecessors.length > 0 && !monitors.isEstablished(key)))
         return false;
       return mayBegin(key) && hasQuorum();
--- a/src/coordination/forwarding/cacheHolders.ts
+++ b/src/coordination/forwarding/cacheHolders.ts
@@ -172,9 +172,9 @@
       ),
     keysOf,
     wasUsed: (key) => entriesByPart.has(key),
-    noteStoreChange: (store, { isStored: isKeptByStore, salt, part }) => {
+    noteStoreChange: (store, { isStored, salt, part }) => {
       const key = keyOf(salt, part);
-      if (isKeptByStore) noteReported(key, store);
+      if (isStored) noteReported(key, store);
       else entriesByPart.get(key)?.delete(store);
     },
     notePart: (key, holder, isReady) => {
--- a/src/coordination/forwarding/cacheStoreFollower.ts
+++ b/src/coordination/forwarding/cacheStoreFollower.ts
@@ -60,9 +60,9 @@
   };
 
   const pollStore = async (current: FollowedStore): Promise<void> => {
-    const { store, nextSequenceNumber: next } = current;
+    const { store, nextSequenceNumber } = current;
     const answer = await withTimeLimit(clock, stopping.signal, cacheStoreTimeout, (limit) =>
-      client.readCacheChanges(store, next, limit),
+      client.readCacheChanges(store, nextSequenceNumber, limit),
     );
     const hasRestarted = current.incarnation !== undefined && current.incarnation !== answer.incarnation;
     current.incarnation = answer.incarnation;
--- a/src/coordination/forwarding/loadShedding.test.ts
+++ b/src/coordination/forwarding/loadShedding.test.ts
@@ -36,8 +36,8 @@
   });
 
   it("sheds requests at once whose caller can't wait long enough", () => {
-    const impatient = { ...queuedFor(100, 900), remaining: 1_000 };
-    expect(decideShedding(impatient, sheddingThreshold, 0.5) !== undefined).toEqual(true);
+    const lateRequest = { ...queuedFor(100, 900), remaining: 1_000 };
+    expect(decideShedding(lateRequest, sheddingThreshold, 0.5) !== undefined).toEqual(true);
   });
 
   /**
--- a/src/coordination/forwarding/peerTable.ts
+++ b/src/coordination/forwarding/peerTable.ts
@@ -80,7 +80,7 @@
 
 /** Creates an empty table for a router. */
 export const createPeerTable = (
-  { name: self, dataCentre: here }: Pick<RouterEntry, "name" | "dataCentre">,
+  { name: self, dataCentre: ownDataCentre }: Pick<RouterEntry, "name" | "dataCentre">,
   clock: Clock,
 ): PeerTable => {
   const peers = new Map<string, Peer>();
@@ -119,7 +119,7 @@
       name,
       incarnation,
       dataCentre,
-      isNear: dataCentre === here,
+      isNear: dataCentre === ownDataCentre,
       at,
       lastMessageAt,
       addedAt: clock.monotonic(),
--- a/src/coordination/forwarding/routerPeers.ts
+++ b/src/coordination/forwarding/routerPeers.ts
@@ -206,7 +206,7 @@
       weightsTargets: configuration.wantedAges(),
       ...describeState(dependencies),
       hasSteppedDown: !takesDuties(),
-      isShuttingDown: isShuttingDown,
+      isShuttingDown,
     };
   };
 
--- a/src/coordination/replicaOwners/ownedReplicas.ts
+++ b/src/coordination/replicaOwners/ownedReplicas.ts
@@ -117,14 +117,14 @@
       for (const report of message.reports) applyReport(message, report);
       applyAnnouncedHolders(message.holders, dependencies);
     },
-    answer: ({ name, number, replicas: keys, parts: wanted }) => ({
+    answer: ({ name, number, replicas: keys, parts }) => ({
       kind: "answer",
       number,
       reports: keys.flatMap((key) => {
         const state = replicas.getByKey(key);
         return state === undefined ? [] : [reportOn(state, name)];
       }),
-      holders: wanted.flatMap((part): readonly AnnouncedHolder[] =>
+      holders: parts.flatMap((part): readonly AnnouncedHolder[] =>
         holders
           .holdersOf(part)
           .slice(0, maxHoldersPerPart)
--- a/src/coordination/replicaOwners/owners.ts
+++ b/src/coordination/replicaOwners/owners.ts
@@ -81,8 +81,8 @@
     if (cached !== undefined) return cached;
     const members = byDataCentre.get(entry.dataCentre) ?? allMembers;
     const first: { readonly router: LiveRouter; readonly score: number }[] = [];
-    for (const { router, hash: own } of members) {
-      const score = mixHashes(hash, own);
+    for (const { router, hash: routerHash } of members) {
+      const score = mixHashes(hash, routerHash);
       const last = first[maxOwnerCandidates - 1];
       if (last !== undefined && last.score >= score) continue;
       const place = first.findIndex((each) => each.score < score);
--- a/src/coordination/replicaReports/backoffExchange.ts
+++ b/src/coordination/replicaReports/backoffExchange.ts
@@ -20,7 +20,7 @@
   link,
   replicas,
   clock,
-  recipients: audience,
+  recipients,
 }: BackoffExchangeDependencies): ((replica: ReplicaState) => void) => {
   link.receive((datagram) => {
     for (const key of decodeBackoffMessage(datagram) ?? []) {
@@ -30,6 +30,6 @@
   });
   return ({ entry }) => {
     const datagram = encodeBackoffMessage([replicaKeyOf(entry.id)]);
-    for (const { at } of audience()) link.send(at, datagram);
+    for (const { at } of recipients()) link.send(at, datagram);
   };
 };
--- a/src/coordination/requests/resumption.ts
+++ b/src/coordination/requests/resumption.ts
@@ -56,7 +56,7 @@
   };
 };
 
-/** @returns The delivered part of the answer, as far as the token and the caller's text tell. */
+/** @returns The delivered part of the answer, as far as it is known from the resume token and the caller's text. */
 export const deliveredBeforeResume = ({ point, delivered }: ResumeJob): DeliveredAnswer => ({
   text: delivered ?? "",
   tokens: point.tokens,
--- a/src/coordination/storeReading/storeReading.ts
+++ b/src/coordination/storeReading/storeReading.ts
@@ -129,9 +129,9 @@
     if (!applyProof(replicas, answer.replicas, since)) replicas.feed.readNow();
   };
 
-  const progressOf = ({ lastChangePosition: changedAt, age }: FollowedRecords): ReadProgress | undefined => {
+  const progressOf = ({ lastChangePosition, age }: FollowedRecords): ReadProgress | undefined => {
     const since = age();
-    const position = changedAt();
+    const position = lastChangePosition();
     return position === undefined || !Number.isFinite(since)
       ? undefined
       : { position, age: Math.ceil(since) };
@@ -140,8 +140,13 @@
   const answer = (asked: number): Buffer | undefined => {
     const progress = { operator: progressOf(operator), replicas: progressOf(replicas) };
     if (progress.operator === undefined || progress.replicas === undefined) return undefined;
-    const { operator: ofOperator, replicas: ofReplicas } = progress;
-    return encodeProofMessage({ kind: "answer", number: asked, operator: ofOperator, replicas: ofReplicas });
+    const { operator: operatorProgress, replicas: replicasProgress } = progress;
+    return encodeProofMessage({
+      kind: "answer",
+      number: asked,
+      operator: operatorProgress,
+      replicas: replicasProgress,
+    });
   };
 
   link.receive((datagram, from) => {
--- a/src/protocol/forwarding/backoffMessage.ts
+++ b/src/protocol/forwarding/backoffMessage.ts
@@ -3,7 +3,7 @@
 import { createByteWriter } from "./byteWriter.ts";
 import type { ReplicaKey } from "./peerMessage.ts";
 
-/** The first byte of the datagram, which tells it from the other datagrams between routers. */
+/** The first byte of the datagram, which distinguishes it from the other datagrams between routers. */
 const messageType = 0x61;
 
 /** Encodes a backoff message as a datagram. */
--- a/src/protocol/forwarding/crashMessage.ts
+++ b/src/protocol/forwarding/crashMessage.ts
@@ -42,7 +42,7 @@
 
 export type CrashMessage = CrashUpdates | QuarantineUpdates;
 
-/** The first byte of each datagram, which tells it from the other datagrams between routers. */
+/** The first byte of each datagram, which distinguishes it from the other datagrams between routers. */
 const messageTypes = { crash: 0x51, held: 0x52, answered: 0x53 } as const;
 
 const writeCrash = (writer: ByteWriter, { replica, suspects }: ReplicaCrash): void => {
--- a/src/protocol/forwarding/limitMessage.ts
+++ b/src/protocol/forwarding/limitMessage.ts
@@ -68,7 +68,7 @@
 
 export type LimitMessage = CoordinatorQuery | LimitAnswer;
 
-/** The first byte of each datagram, which tells it from the other datagrams between routers. */
+/** The first byte of each datagram, which distinguishes it from the other datagrams between routers. */
 const messageTypes = { question: 0x41, answer: 0x42, replicaQuestion: 0x43 } as const;
 
 const verdicts: readonly LimitVerdict[] = ["granted", "refused", "elsewhere", "unlimited"];
--- a/src/protocol/forwarding/ownerMessage.ts
+++ b/src/protocol/forwarding/ownerMessage.ts
@@ -74,7 +74,7 @@
 
 export type OwnerMessage = WorkMessage | AskMessage | AnswerMessage;
 
-/** The first byte of each datagram, which tells it from the other datagrams between routers. */
+/** The first byte of each datagram, which distinguishes it from the other datagrams between routers. */
 const messageTypes = { work: 0x21, ask: 0x22, answer: 0x23 } as const;
 
 /** Bit flags of one byte. Routers that know only the first flag read any other value as no flag. */
--- a/src/protocol/forwarding/peerMessage.test.ts
+++ b/src/protocol/forwarding/peerMessage.test.ts
@@ -94,7 +94,7 @@
     };
     const workAtReplica = { replica: replicaKeyOf("engine-1"), requests: 3, promptTokens: [0, 12_000] };
     const work = Array.from({ length: 100 }, () => workAtReplica);
-    const bytes = encodeRouterMessage({ ...empty, work: work }).length - encodeRouterMessage(empty).length;
+    const bytes = encodeRouterMessage({ ...empty, work }).length - encodeRouterMessage(empty).length;
     expect(bytes / work.length).toBeLessThanOrEqual(12);
   });
 });
--- a/src/protocol/forwarding/proofMessage.ts
+++ b/src/protocol/forwarding/proofMessage.ts
@@ -33,7 +33,7 @@
 
 export type ProofMessage = ProofQuestion | ProofAnswer;
 
-/** The first byte of each datagram, which tells it from the other datagrams between routers. */
+/** The first byte of each datagram, which distinguishes it from the other datagrams between routers. */
 const messageTypes = { question: 0x31, answer: 0x33 } as const;
 
 /**
--- a/src/protocol/serializedBody.ts
+++ b/src/protocol/serializedBody.ts
@@ -40,8 +40,8 @@
  */
 export const digestRequest = (request: CompletionRequest): string => {
   const { kind, model, adapter = "", maximumTokens } = request;
-  const { prompt, otherFields: others } = serializeBody(request);
+  const { prompt, otherFields } = serializeBody(request);
   const hash = createHash("sha256");
   hash.update(JSON.stringify([kind, model, adapter, maximumTokens]));
-  return hash.update(others).update("\u0000").update(prompt).digest("base64url");
+  return hash.update(otherFields).update("\u0000").update(prompt).digest("base64url");
 };
--- a/src/state/boundedLogSink.test.ts
+++ b/src/state/boundedLogSink.test.ts
@@ -32,7 +32,9 @@
     expect(lines.length).toEqual(10);
     now = 1_000;
     write("part", "event", { count: 25 });
-    expect(lines.slice(10).map(({ event, lines: left, count }) => [event, left, count])).toEqual([
+    expect(
+      lines.slice(10).map(({ event, lines: leftOutLines, count }) => [event, leftOutLines, count]),
+    ).toEqual([
       ["left_out", 15, undefined],
       ["event", undefined, 25],
     ]);
--- a/src/state/cacheModel.test.ts
+++ b/src/state/cacheModel.test.ts
@@ -67,7 +67,7 @@
     if (identity !== lifetimes.get(id)?.identity) endLifetime(id, identity);
   };
 
-  const answer = ({ dispatch, key: answered, incarnation }: Step & { kind: "answer" }): void => {
+  const answer = ({ dispatch, key, incarnation }: Step & { kind: "answer" }): void => {
     const stamp = dispatches[dispatch];
     if (stamp === undefined) return;
     if (stamp.incarnation !== `incarnation-${incarnation}`) {
@@ -75,10 +75,10 @@
       endLifetime(stamp.engineId, lifetimes.get(stamp.engineId)?.identity ?? "");
       return;
     }
-    model.note([answered], stamp, now);
-    const view = model.levelView(answered);
+    model.note([key], stamp, now);
+    const view = model.levelView(key);
     if (model.age(view, stamp, now) === 0)
-      notedInLifetime.set(`${answered} ${stamp.engineId}`, lifetimeOf(stamp.engineId));
+      notedInLifetime.set(`${key} ${stamp.engineId}`, lifetimeOf(stamp.engineId));
   };
 
   const run = (currentStep: Step): void => {
--- a/src/state/forwarding/reportedLimit.ts
+++ b/src/state/forwarding/reportedLimit.ts
@@ -23,12 +23,9 @@
 });
 
 /** @returns The span of a message, on this router's clock. */
-export const fromReportedSpan = (
-  { askedAge, receivedAge: heardAge }: ReportedSpan,
-  now: number,
-): AnswerSpan => ({
+export const fromReportedSpan = ({ askedAge, receivedAge }: ReportedSpan, now: number): AnswerSpan => ({
   askedAt: now - askedAge,
-  receivedAt: now - heardAge,
+  receivedAt: now - receivedAge,
 });
 
 /** @returns The limit for a message to other routers. */
--- a/src/transport/engineWire.ts
+++ b/src/transport/engineWire.ts
@@ -64,7 +64,7 @@
  */
 export const engineBody = (call: EngineCall): string => {
   const { request, delivered } = call;
-  const { otherFields: others } = serializeBody(request);
+  const { otherFields } = serializeBody(request);
   const ownFields = JSON.stringify({
     model: request.model,
     ...(request.adapter === undefined ? {} : { adapter: request.adapter }),
@@ -74,7 +74,7 @@
     stream_options: { include_usage: true },
     cache_salt: call.cacheSalt,
   });
-  return `${ownFields.slice(0, -1)},${promptField(call)}${others === "" ? "" : `,${others}`}}`;
+  return `${ownFields.slice(0, -1)},${promptField(call)}${otherFields === "" ? "" : `,${otherFields}`}}`;
 };
 
 const readUsage = (usage: unknown): Usage | undefined => {
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -57,8 +57,8 @@
   }
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
-    const { request, replica, maySend: mayLeave } = call;
-    const reader = createAnswerReader(mayLeave, signal, this.resetMonitor.isResetting);
+    const { request, replica, maySend } = call;
+    const reader = createAnswerReader(maySend, signal, this.resetMonitor.isResetting);
     this.connectionPool(replica).dispatch(
       {
         method: request.method,
--- a/src/transport/forwarding/forwardingServer.ts
+++ b/src/transport/forwarding/forwardingServer.ts
@@ -70,7 +70,7 @@
 export const startForwardingServer = async (
   dependencies: ForwardingServerDependencies,
 ): Promise<ForwardingServer> => {
-  const { wire, forward, limits, shouldCloseConnections: endsConnections } = dependencies;
+  const { wire, forward, limits, shouldCloseConnections } = dependencies;
 
   const decode = async (message: IncomingMessage): Promise<CallerRequest> => {
     const arrivedAt = steadyNow();
@@ -96,7 +96,7 @@
       "content-length": body.length,
       ...(retryAfterSeconds === undefined ? {} : { "retry-after": retryAfterSeconds.toFixed(2) }),
       // The unread rest of a refused body must not be parsed as the next request.
-      ...(response.req.complete && !endsConnections() ? {} : { connection: "close" }),
+      ...(response.req.complete && !shouldCloseConnections() ? {} : { connection: "close" }),
     });
     response.end(body);
   };
@@ -114,7 +114,7 @@
     const { body } = answer;
     const headers = withoutContentLength(answer.headers);
     if (Buffer.isBuffer(body)) headers.push("content-length", String(body.length));
-    if (endsConnections()) headers.push("connection", "close");
+    if (shouldCloseConnections()) headers.push("connection", "close");
     response.writeHead(answer.status, headers);
     if (Buffer.isBuffer(body)) {
       response.end(body);
