--- a/src/protocol/forwarding/peerMessage.test.ts
+++ b/src/protocol/forwarding/peerMessage.test.ts
@@ -22,19 +22,19 @@
   configuration: fc.option(record({ version: count, age: count }), { nil: undefined }),
   work: fc.array(record({ replica: key, requests: small, promptTokens: fc.array(small, { maxLength: 10 }) })),
   weights: fc.array(record({ replica: key, model: text, version: count })),
-  changing: fc.array(record({ replica: key, remaining: small })),
+  changingReplicas: fc.array(record({ replica: key, remaining: small })),
   leaving: fc.array(key),
   holders: fc.array(record({ part: fc.nat({ max: 2 ** 32 - 1 }), replica: key, isReady: fc.boolean() })),
   weightsTargets: fc.array(record({ model: text, version: count, age: small })),
-  limited: fc.array(
+  reportedLimits: fc.array(
     record({
       replica: key,
       reportedLimit: record({ perThousandSeconds: count, askedAge: small, receivedAge: small }),
     }),
   ),
-  held: fc.nat({ max: 2 ** 32 - 1 }),
+  quarantineDigest: fc.nat({ max: 2 ** 32 - 1 }),
   storeEpoch: fc.nat({ max: 2 ** 32 - 1 }),
-  recovering: fc.nat({ max: 2 ** 32 - 1 }),
+  recoveryRemaining: fc.nat({ max: 2 ** 32 - 1 }),
   hasSteppedDown: fc.boolean(),
   isShuttingDown: fc.boolean(),
 });
@@ -81,20 +81,20 @@
       configuration: { version: 1, age: 1 },
       work: [],
       weights: [],
-      changing: [],
+      changingReplicas: [],
       leaving: [],
       holders: [],
       weightsTargets: [],
-      limited: [],
-      held: 0,
+      reportedLimits: [],
+      quarantineDigest: 0,
       storeEpoch: 0,
-      recovering: 0,
+      recoveryRemaining: 0,
       hasSteppedDown: false,
       isShuttingDown: false,
     };
     const workAtReplica = { replica: replicaKeyOf("engine-1"), requests: 3, promptTokens: [0, 12_000] };
     const work = Array.from({ length: 100 }, () => workAtReplica);
-    const bytes = encodeRouterMessage({ ...empty, work: work }).length - encodeRouterMessage(empty).length;
+    const bytes = encodeRouterMessage({ ...empty, work }).length - encodeRouterMessage(empty).length;
     expect(bytes / work.length).toBeLessThanOrEqual(12);
   });
 });
--- a/src/transport/forwarding/HttpReplicaClient.ts
+++ b/src/transport/forwarding/HttpReplicaClient.ts
@@ -63,8 +63,8 @@
   }
 
   protected override async transmit(call: ReplicaCall, signal: AbortSignal): Promise<ReplicaAnswer> {
-    const { request, replica, maySend: mayLeave } = call;
-    const reader = createAnswerReader(mayLeave, signal, this.resetMonitor.isResetting);
+    const { request, replica, maySend } = call;
+    const reader = createAnswerReader(maySend, signal, this.resetMonitor.isResetting);
     this.connectionPool(replica).dispatch(
       {
         method: request.method,
@@ -80,7 +80,7 @@
     return { head: this.wire.decodeAnswer(status, headers), body };
   }
 
-  override tryConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
+  override probeConnection({ address }: ReplicaEntry, timeout: number): Promise<ConnectionProbeResult> {
     const [host, port] = address.split(":");
     return new Promise((resolve) => {
       const socket = connect({ host, port: Number(port), timeout });
