--- a/src/coordination/forwarding/partSaving.test.ts
+++ b/src/coordination/forwarding/partSaving.test.ts
@@ -39,7 +39,7 @@
 
   it("saves lost parts, and all parts on first use once losses are frequent", () => {
     const { saving, clock } = create();
-    const lost = { wasUsed: true, isKept: false };
+    const lost = { wasUsed: true, isCached: false };
     expect(saving.chooseStore(shared(lost))).toEqual(store);
     clock.advanceTo(2_000);
     expect(saving.chooseStore(shared())).toEqual(undefined);
@@ -49,7 +49,7 @@
 
   it("skips parts that are saved, cheap to compute, a small share of the prompt, or of superseded weights", () => {
     const { saving } = create();
-    const lost = { wasUsed: true, isKept: false };
+    const lost = { wasUsed: true, isCached: false };
     for (const fields of [{ isSaved: true }, { computingTime: 5 }, { share: 0.3 }, { store: undefined }]) {
       expect(saving.chooseStore(shared({ ...lost, ...fields }))).toEqual(undefined);
     }
